--- a/bench/plugin/plugin.cpp
+++ b/bench/plugin/plugin.cpp
@@ -139,13 +139,13 @@
     std::printf("library at rest for 10 s, its connections open: %llu wake-ups\n",
                 static_cast<unsigned long long>(client.counts().wakeups - wakeups));
     ClientSettings resting = settings;
-    resting.rest_after = 1s;
+    resting.idle_after = 1s;
     Client seldom(resting);
     seldom.get("sheet-1").get();
     std::this_thread::sleep_for(3s);
     const std::uint64_t before = seldom.counts().wakeups;
     std::this_thread::sleep_for(10s);
-    std::printf("with rest_after, for 10 s: %llu wake-ups, of which the question is one; %zu connections\n",
+    std::printf("with idle_after, for 10 s: %llu wake-ups, of which the question is one; %zu connections\n",
                 static_cast<unsigned long long>(seldom.counts().wakeups - before),
                 seldom.counts().connections);
     std::vector<double> woken;
--- a/bench/policy/policy.cpp
+++ b/bench/policy/policy.cpp
@@ -24,9 +24,9 @@
  public:
   void send(RequestId, ServerId server, Time) override { last_server_ = server; }
   void cancel(RequestId, std::uint32_t) override {}
-  void refuse(RequestId, Time) override { last_server_ = kNone; }
+  void reject(RequestId, Time) override { last_server_ = kNone; }
   void fail(RequestId) override { last_server_ = kNone; }
-  void watch_members() override {}
+  void poll_discovery() override {}
 
   [[nodiscard]] ServerId last_server() const { return last_server_; }
 
@@ -44,9 +44,9 @@
   Config config;
   config.max_attempts = 3;
   config.can_cancel = true;
-  config.can_copy = true;
+  config.can_hedge = true;
   RequestClass read;
-  read.aim = 800'000;
+  read.latency_objective = 800'000;
   read.deadline = kRequestDeadline;
   read.effect = Effect::safe;
   config.classes = {read};
@@ -88,7 +88,7 @@
     result.request = last_request_;
     result.server = server;
     result.outcome = Outcome::served;
-    result.took = kAnswerLatency;
+    result.duration = kAnswerLatency;
     result.request_over = true;
     router_.on_result(now_, result);
     if (router_.next_wakeup() <= now_) {
--- a/bench/resp/head_of_line.cpp
+++ b/bench/resp/head_of_line.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using namespace streampick;
-using namespace streampick::node;
+using namespace streampick::engine;
 namespace asio = boost::asio;
 
 // Both on one server, as where values have no further source.
@@ -38,7 +38,7 @@
   resp::ServerCounts counts;
   Links links;
   links.most_connections = 64;
-  links.dial_time_out = 250'000;
+  links.connect_timeout = 250'000;
   struct Ends final : AttemptObserver {
     void on_attempt_ended(AttemptId id, Outcome outcome, Answer) override {
       const auto found = begun.find(id.request);
--- a/bench/roster/roster.cpp
+++ b/bench/roster/roster.cpp
@@ -81,8 +81,8 @@
   }
 };
 
-struct Reader final : node::EndpointListObserver {
-  void on_endpoint_list(const node::EndpointList& list) override {
+struct Reader final : engine::EndpointListObserver {
+  void on_endpoint_list(const engine::EndpointList& list) override {
     if (list.complete) {
       members = list.members.size();
       return;
--- a/bench/shares/shares.cpp
+++ b/bench/shares/shares.cpp
@@ -101,9 +101,9 @@
 struct Nowhere final : ActionSink {
   void send(RequestId, ServerId, Time) override {}
   void cancel(RequestId, std::uint32_t) override {}
-  void refuse(RequestId, Time) override {}
+  void reject(RequestId, Time) override {}
   void fail(RequestId) override {}
-  void watch_members() override {}
+  void poll_discovery() override {}
 };
 
 // Nanoseconds for a request of a tenant with a quota, from its coming to its answer.
@@ -132,7 +132,7 @@
     const auto id = static_cast<RequestId>(i);
     router.on_request(
         now, {.id = id, .tenant = 0, .key = id * 7919, .has_key = true, .deadline = now + 1'000'000});
-    router.on_withdrawn(now, id);
+    router.on_cancelled(now, id);
   }
   return 1e9 * (cpu_seconds() - from) / kRequests;
 }
--- a/examples/grpc_viewer/viewer.cpp
+++ b/examples/grpc_viewer/viewer.cpp
@@ -72,7 +72,7 @@
   try {
     streampick::ClientSettings settings;
     settings.config_path = argv[1];
-    settings.rest_after = 2s;  // between two sheets nothing is held open
+    settings.idle_after = 2s;  // between two sheets nothing is held open
     const auto client = std::make_shared<streampick::Client>(settings);
     const auto stub =
         sheets::Sheets::NewStub(streampick::rpc::open_channel(client, {.services = {"sheets.Sheets"}}));
--- a/examples/readme.cpp
+++ b/examples/readme.cpp
@@ -12,16 +12,17 @@
   void cancel(streampick::RequestId request, std::uint32_t attempt) override {
     std::cout << "cancel attempt " << attempt << " of request " << request << '\n';
   }
-  void refuse(streampick::RequestId request, streampick::Time) override {
+  void reject(streampick::RequestId request, streampick::Time) override {
     std::cout << "refuse request " << request << '\n';
   }
   void fail(streampick::RequestId request) override { std::cout << "fail request " << request << '\n'; }
-  void watch_members() override {}
+  void poll_discovery() override {}
 };
 
 int main() {
   streampick::Config config;
-  config.classes.push_back({.aim = 800'000, .deadline = 4'000'000, .effect = streampick::Effect::safe});
+  config.classes.push_back(
+      {.latency_objective = 800'000, .deadline = 4'000'000, .effect = streampick::Effect::safe});
   PrintingHost host;
   streampick::Time now = 1'000'000;
   streampick::Router router(config, 42, now, host);
--- a/examples/viewer/viewer.cpp
+++ b/examples/viewer/viewer.cpp
@@ -69,14 +69,14 @@
   void came(std::size_t i, streampick::Result result) {
     using streampick::Status;
     Tile& tile = tiles_[i];
-    if (result.status == Status::refused && tile.tries < kTries) {
+    if (result.status == Status::rejected && tile.tries < kTries) {
       std::this_thread::sleep_for(std::max<std::chrono::microseconds>(result.retry_after, 20ms));
       return ask(i);
     }
     if (result.status != Status::served)
-      tile.missing = result.status == streampick::Status::absent ? "no such tile"
-                     : result.late                               ? "too late"
-                                                                 : "no answer";
+      tile.missing = result.status == streampick::Status::not_found ? "no such tile"
+                     : result.late                                  ? "too late"
+                                                                    : "no answer";
     if (result.status == Status::served) {
       bytes_ += result.value.size();
       if (!folder_.empty()) std::ofstream(folder_ / (tile.key + ".tile"), std::ios::binary) << result.value;
--- a/fuzz/resp_decode.cpp
+++ b/fuzz/resp_decode.cpp
@@ -87,7 +87,7 @@
   pipe.written(pipe.output().size());
   pipe.put("%0\r\n");
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    pipe.send({i, 0}, streampick::node::Message{}, 1'000'000);
+    pipe.send({i, 0}, streampick::engine::Message{}, 1'000'000);
     pipe.written(pipe.output().size());
   }
   pipe.put(bytes);
--- a/include/streampick/client.h
+++ b/include/streampick/client.h
@@ -1,9 +1,9 @@
-// The router inside a host process: the same engine and decisions as the daemon's, called instead of asked
-// over a socket. One Client is one router: its fleet, its settings, its limits, its random numbers and its
-// connections are its own, also where a process has several.
-//
-// All functions may be called from any thread. A call ends exactly once, by its callback, whatever happens:
-// also when the client is drained or destroyed, then with Status::withdrawn.
+/// \file
+/// The router as a library: the daemon's engine and decisions, called within the host process. Each Client is
+/// one router with its own settings, limits, random numbers and connections; a process may have several.
+///
+/// All functions may be called from any thread. Each call ends exactly once, by its callback. A client that
+/// is drained or destroyed ends its open calls with Status::cancelled.
 #pragma once
 
 #include <chrono>
@@ -27,72 +27,79 @@
 
 namespace streampick {
 
-// Of settings, or of a use that can never work; says what is wrong in one line.
+/// Invalid settings, or a use that can never work. what() is one line.
 class STREAMPICK_API ClientError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 enum class Status : std::uint8_t {
-  served,     // `value` is what a server answered to this call
-  refused,    // nothing ran, or a repeat does no harm; `retry_after` says when to come back
-  failed,     // no answer in time, or none that could be used; see `may_have_run`
-  withdrawn,  // by cancel(), by the client's drain or its end
-  invalid,    // the call could never be sent: `reason` says why. Nothing ran
-  absent,     // there is no such key: an answer, and no failure. Asking again changes nothing
+  served,     ///< `value` is what a server answered to this call
+  rejected,   ///< nothing ran, or a retry does no harm; `retry_after` is the earliest time for one
+  failed,     ///< no usable answer within the deadline; see `may_have_run`
+  cancelled,  ///< by Call::cancel(), Client::drain() or the client's destructor
+  invalid,    ///< the call could not be sent: `reason` says why. Nothing ran
+  not_found,  ///< the key does not exist; a retry does not change that
 };
 
 struct Result {
   Status status = Status::failed;
   std::string value = {}, content_type = {};
-  bool late = false;                         // failed because its time was up
-  bool absent = false;                       // the same as Status::absent; kept for a time
-  bool may_have_run = false;                 // some server may have carried it out
-  std::chrono::microseconds retry_after{0};  // of a refusal; 0: no advice
-  std::string reason = {};
+  bool late = false;                         ///< failed at its deadline
+  bool not_found = false;                    ///< the same as Status::not_found
+  bool may_have_run = false;                 ///< some server may have executed it
+  std::chrono::microseconds retry_after{0};  ///< rejected: from now; 0: no advice
+  std::string reason = {};                   ///< one line for people; may be empty
 };
 
 struct CallOptions {
-  std::string request_class = {};  // as the settings name it; empty: the client's default for reads or saves
-  std::string tenant = {};         // empty: none
-  std::chrono::microseconds deadline{0};  // from the call on; 0: the class's. Never longer than the class's
-  std::string idempotency_key = {};       // of a keyed save; empty: one of its own
-  std::string content_type = {};          // of a save's value
+  std::string request_class = {};  ///< a name in the settings; empty: the client's default for reads or saves
+  std::string tenant = {};         ///< empty: none
+  std::chrono::microseconds deadline{0};  ///< from the call; 0: the class's, which is also the maximum
+  std::string idempotency_key = {};       ///< of a keyed save; empty: a generated one
+  std::string content_type = {};          ///< of a save's value
 };
 
 struct ClientSettings {
-  std::string config = {};       // the platform's configuration: JSON text
-  std::string config_path = {};  // ... or a file with it, read at once
-  // The operator's options file, where the library was built with options: its text, or its path. Its servers
-  // that speak RESP are spoken to so; what is the daemon's alone ([resp.front]) is checked and left.
+  std::string config = {};       ///< the platform's configuration: JSON text
+  std::string config_path = {};  ///< ... or the path of a file with it, which the constructor reads
+  /// The operator's options file, if the library was built with options: its text, or its path. Servers that
+  /// it lists as RESP servers are reached by RESP; sections for the daemon alone ([resp.front]) are only
+  /// checked.
   std::string options = {}, options_path = {};
-  std::string read_class = {},
-              save_class = {};  // defaults; empty: the first safe class, and the first that is not
-  // Threads that callbacks run on. 0: on the client's own thread, which then carries nothing while one runs.
+  /// Default classes; empty: the first safe class, and the first that is not safe.
+  std::string read_class = {}, save_class = {};
+  /// Threads that run callbacks. 0: the client's own thread, which does nothing else while a callback runs.
   std::size_t callback_threads = 2;
-  // Where callbacks run instead, if it is set: it must run what it is given, once, and never within the call.
+  /// Replaces the callback threads: must run its argument once, and never within the call.
   std::function<void(std::function<void()>)> run_callback = {};
-  std::function<void(std::string_view)> log = {};  // from any thread; none: nothing is logged
-  std::size_t most_calls = 10'000;                 // open at a time; what comes beyond is refused at once
-  // After so long without an open call the client rests: its connections and its watch on the list of servers
-  // are closed, and nothing wakes it. The call that ends a rest waits until the list has been read, half a
-  // second at most. 0: never. For programs that call a few times a minute.
-  std::chrono::milliseconds rest_after{0};
+  std::function<void(std::string_view)> log = {};  ///< called from any thread; empty: no log
+  std::size_t max_open_calls = 10'000;             ///< further calls are rejected at once
+  /// After so long without an open call the client closes its connections and its discovery watch and
+  /// schedules no wake-ups. The next call waits until the endpoint list has been read, for half a second at
+  /// most. 0: never. For programs that make a few calls a minute.
+  std::chrono::milliseconds idle_after{0};
 };
 
 struct ClientCounts {
-  std::uint64_t calls = 0, served = 0, refused = 0, failed = 0, withdrawn = 0, invalid = 0, absent = 0;
-  std::uint64_t attempts = 0, cancels = 0, dials = 0, threw = 0, pauses = 0, wakeups = 0, rests = 0;
+  std::uint64_t calls = 0, served = 0, rejected = 0, failed = 0, cancelled = 0, invalid = 0, not_found = 0;
+  std::uint64_t attempts = 0, cancels = 0;
+  std::uint64_t connects = 0;             ///< connections started
+  std::uint64_t callback_exceptions = 0;  ///< callbacks that threw
+  std::uint64_t suspensions = 0;          ///< times that the process was found to have been suspended
+  std::uint64_t wakeups = 0;
+  std::uint64_t idle_periods = 0;  ///< see ClientSettings::idle_after
   std::size_t open = 0, connections = 0, servers = 0;
 };
 
 class Client;
 
-// One call, to cancel it. Copies name the same call; one that has ended is not harmed.
+/// A handle to cancel a call. Copies name the same call.
 class STREAMPICK_API Call {
  public:
   Call() = default;
-  void cancel() const;  // it ends as withdrawn, unless it has ended already
+  /// Ends the call with Status::cancelled, unless it has ended already.
+  void cancel() const;
 
  private:
   friend class Client;
@@ -105,9 +112,9 @@
  public:
   using Callback = std::function<void(Result)>;
 
-  // Throws ClientError.
+  /// Throws ClientError.
   explicit Client(const ClientSettings& settings);
-  // Open calls end as withdrawn. May be called from within a callback of its own.
+  /// Cancels open calls. May be called from within one of the client's callbacks.
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
@@ -118,19 +125,19 @@
   std::future<Result> get(std::string_view key, const CallOptions& options = {});
   std::future<Result> put(std::string_view key, std::string value, const CallOptions& options = {});
 
-  // For co_await. The coroutine goes on where callbacks run.
+  /// For co_await. The coroutine resumes where callbacks run.
   class Awaitable;
   Awaitable async_get(std::string_view key);
   Awaitable async_get(std::string_view key, const CallOptions& options);
   Awaitable async_put(std::string_view key, std::string_view value);
   Awaitable async_put(std::string_view key, std::string_view value, const CallOptions& options);
 
-  // Takes no more calls, waits until the open ones have ended and their callbacks have returned, and then
-  // withdraws what is left. Returns whether none was.
-  // Not to be called from within a callback.
-  bool drain(std::chrono::microseconds longest);
+  /// Accepts no more calls and waits until the open ones have ended and their callbacks have returned. Calls
+  /// still open after `timeout` are cancelled. Returns whether there were none. Not to be called from within
+  /// a callback.
+  bool drain(std::chrono::microseconds timeout);
   ClientCounts counts() const;
-  // Whether requests of a class are safe, that is reads; nothing: the settings have no class of that name.
+  /// Whether requests of a class are safe, that is reads; nothing if the settings have no such class.
   std::optional<bool> is_safe(std::string_view request_class) const;
 
  private:
--- a/include/streampick/grpc.h
+++ b/include/streampick/grpc.h
@@ -8,11 +8,11 @@
 //   TryCancel()                       Call::cancel()
 //   metadata named in the settings    tenant, idempotency key
 //   Status::served                    OK
-//   Status::refused                   UNAVAILABLE, with grpc-retry-pushback-ms in the trailing metadata
+//   Status::rejected                  UNAVAILABLE, with grpc-retry-pushback-ms in the trailing metadata
 //   Status::failed, late              DEADLINE_EXCEEDED
-//   Status::absent                    NOT_FOUND
+//   Status::not_found                 NOT_FOUND
 //   Status::failed                    UNKNOWN
-//   Status::withdrawn                 CANCELLED, or UNAVAILABLE where the client was drained or ended
+//   Status::cancelled                 CANCELLED, or UNAVAILABLE where the client was drained or ended
 //   Status::invalid                   INVALID_ARGUMENT
 //
 // Trailing metadata streampick-may-have-run: 1 stands with a failed save that some server may have carried
--- a/include/streampick/router.h
+++ b/include/streampick/router.h
@@ -44,56 +44,59 @@
 /// How an attempt ended.
 enum class Outcome : std::uint8_t {
   served,
-  error,           ///< may have run
-  full,            ///< rejected unseen
-  timeout,         ///< may have run
-  connect_failed,  ///< never sent
-  reset,           ///< may have run
-  cancelled,       ///< may have run
-  not_sent,        ///< never sent
-  miss,            ///< the cache server lacks the key; nothing ran
-  spoilt,          ///< a malformed answer: may have run, and the server is up
-  rejected,        ///< the server finds fault with the request itself: so would any other
+  error,            ///< may have run
+  overloaded,       ///< the server shed it: it did not run
+  timeout,          ///< may have run
+  connect_failed,   ///< never sent
+  reset,            ///< may have run
+  cancelled,        ///< may have run
+  not_sent,         ///< never sent
+  miss,             ///< the cache server lacks the key; nothing ran
+  malformed,        ///< the answer could not be parsed: may have run, and the server is up
+  invalid_request,  ///< the server finds fault with the request itself: so would any other
 };
 
-/// What requests of one kind have in common.
+/// What requests of one class have in common.
 struct RequestClass {
-  Time aim = 0;       ///< latency objective: an answer within this earns the full worth
-  Time deadline = 0;  ///< the client's whole patience, over all its tries
-  double worth = 1;   ///< priority weight
+  Time latency_objective = 0;  ///< an answer within this earns the full priority weight
+  Time deadline = 0;           ///< how long the client waits in all, over its own retries
+  double priority_weight = 1;
   Effect effect = Effect::unsafe;
   Group group = Group::all;
-  Time window = 0;             ///< how long repeats of a keyed request are discarded
-  std::uint32_t attempts = 0;  ///< at most for one request; 0: as for all
-  std::uint32_t like = kNone;  ///< of one added later: the class whose usual latency it begins with
+  Time idempotency_window = 0;     ///< how long servers discard repeats of a keyed request
+  std::uint32_t max_attempts = 0;  ///< of one request; 0: Config::max_attempts
+  std::uint32_t similar_class =
+      kNone;  ///< of a class added later: the one whose usual latency it starts with
   friend bool operator==(const RequestClass&, const RequestClass&) = default;
 };
 
 struct Tenant {
-  double quota_per_s = 0;  ///< requests; over all routers together; 0 means no quota
+  double quota_per_s = 0;  ///< requests over all routers together; 0: no quota
   friend bool operator==(const Tenant&, const Tenant&) = default;
 };
 
 /// Settings of a Router. Durations are microseconds.
 struct Config {
   std::uint32_t zone = kNone;         ///< of this router
-  std::uint32_t origin_kind = kNone;  ///< look-aside fleets: the member kind that is the origin
-  std::uint32_t routers = 1;          ///< of the fleet
+  std::uint32_t origin_kind = kNone;  ///< cache-aside fleets: the member kind that is the origin
+  std::uint32_t routers = 1;          ///< number of routers in the fleet
   std::uint32_t max_attempts = 1;     ///< of one request
-  bool aside = false;                 ///< misses come back to the router, which then reads the origin
+  bool cache_aside = false;           ///< misses are reported to the router, which then reads the origin
   bool can_cancel = false;            ///< attempts in flight can be cancelled
-  bool can_copy = false;              ///< two attempts of one request may be in flight together
-  bool must_ask = false;              ///< discovery answers only when it is polled
-  Time answer_slack = 0;       ///< an answer needs so long to reach its client: no attempt is sent later
-  Time max_retry_after = 0;    ///< greatest Retry-After
-  Time dial_time_out = 0;      ///< a connection not made within this fails
-  Time keep_alive = 0;         ///< an idle connection closes after this; 0: not told
-  double connection_cost = 0;  ///< price of open connections, for each 100 x servers; 0: they cost nothing
-  double handshake_cost = 0;   ///< price of new connections, for each request
-  double cold_share = 1;       ///< a starting server can do at least this share of its work ...
-  Time cold_time = 0;          ///< ... and all of it after this time
-  double fall_multiple = 0;    ///< it falls when all routers send it this much of what it can do; 0: not told
-  Time fall_time = 1'000'000;  ///< ... within this
+  bool can_hedge = false;             ///< two attempts of one request may be in flight together
+  bool polls_discovery = false;       ///< discovery answers only when it is polled; otherwise it pushes lists
+  Time answer_slack = 0;              ///< time for an answer to reach its client: no attempt starts later
+  Time max_retry_after = 0;           ///< greatest Retry-After
+  Time connect_timeout = 0;           ///< from the start of a connect to its failure
+  Time keep_alive = 0;                ///< servers close a connection that is idle for this long; 0: unknown
+  double connection_cost = 0;         ///< price of open connections, for each 100 x servers; 0: free
+  double handshake_cost = 0;          ///< price of new connections, for each request
+  double slow_start_initial_share = 1;  ///< share of its full load that a starting server can take
+  Time slow_start_duration = 0;         ///< from a server's start until it can take its full load
+  /// A starting server is overloaded when all routers together send it this multiple of what it can take
+  /// within `slow_start_overload_window`; 0: unknown.
+  double slow_start_overload_factor = 0;
+  Time slow_start_overload_window = 1'000'000;
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
 };
@@ -121,8 +124,8 @@
   std::uint64_t key = 0;
   bool has_key = false;
   bool write = false;
-  Time deadline = 0;   ///< when the client gives this try up
-  Time cost_hint = 0;  ///< expected work, 0 when not told
+  Time deadline = 0;   ///< point in time at which the client gives up
+  Time cost_hint = 0;  ///< expected work; 0: unknown
 };
 
 /// How one attempt ended.
@@ -131,24 +134,23 @@
   std::uint32_t attempt = 0;  ///< number of the attempt, from 0, in the order of send()
   ServerId server = kNone;
   Outcome outcome = Outcome::error;
-  Time took = 0;              ///< from send() to the end
-  bool request_over = false;  ///< the client has its answer, or is gone
-  bool spent = false;         ///< its body went on as it came, and can't be had again
+  Time duration = 0;           ///< from send() to the end
+  bool request_over = false;   ///< the client has its answer, or has disconnected
+  bool body_consumed = false;  ///< the streamed request body was read in part: it cannot be sent again
 };
 
-/// What this router may use of totals that all routers share, where they share them by demand.
+/// This router's part of limits that hold for all routers together, where they are divided by demand.
 struct Shares {
-  std::vector<double> quotas;  ///< requests a second, by tenant; tenants beyond have an even share
-  /// Attempts at the origin that may be in flight at once: so many, and until a time so many more. Looked at
-  /// when one is sent, by the host's clock.
-  double origin_floor = 1e18, origin_leased = 0;
-  Time origin_until = 0;
+  std::vector<double> quotas;     ///< requests a second, by tenant; tenants beyond have an even share
+  double origin_reserved = 1e18;  ///< attempts at the origin that may always be in flight at once ...
+  double origin_leased = 0;       ///< ... and so many more until `origin_lease_end`
+  Time origin_lease_end = 0;      ///< compared with the time at which an attempt is sent
 };
 
 /// Work of this router at the origin.
 struct OriginWork {
-  int out = 0;              ///< attempts in flight
-  std::size_t waiting = 0;  ///< queued requests; those that are over and not yet taken out among them
+  int in_flight = 0;       ///< attempts
+  std::size_t queued = 0;  ///< requests, including finished ones that are not removed from the queue yet
 };
 
 /// Receives a Router's actions. The host implements it; it must outlive the Router, and must not call the
@@ -163,13 +165,13 @@
   virtual void cancel(RequestId request, std::uint32_t attempt) = 0;
   /// Rejects the request: the client may come back after `retry_after`. Nothing of it has run, or it may be
   /// repeated.
-  virtual void refuse(RequestId request, Time retry_after) = 0;
+  virtual void reject(RequestId request, Time retry_after) = 0;
   /// Ends the request with a failure. An attempt of it may have run.
   virtual void fail(RequestId request) = 0;
   /// Closes the idle connections to this server. Optional.
   virtual void close_idle(ServerId) {}
   /// Polls discovery for the endpoint list; the answer is reported by Router::on_members().
-  virtual void watch_members() = 0;
+  virtual void poll_discovery() = 0;
 };
 
 /// Decides for each request which server it is sent to and when, what is retried, hedged and rejected. Every
@@ -189,23 +191,23 @@
   void on_config(Time now, Config config);
   /// The endpoint list has come, or discovery has failed.
   void on_members(Time now, Update update, std::span<const Member> members);
-  /// A request has arrived. It ends with a result that says request_over, with refuse(), with fail() or with
-  /// on_withdrawn().
+  /// A request has arrived. It ends with a result that says request_over, with ActionSink::reject(), with
+  /// ActionSink::fail() or with on_cancelled().
   void on_request(Time now, const Request& request);
   /// The answer of an attempt is being passed on to the client: the request is no longer hedged, nor ended at
   /// its deadline.
   void on_stream_started(Time now, RequestId request, std::uint32_t attempt);
   /// An attempt has ended; once for each send().
   void on_result(Time now, const AttemptResult& result);
-  /// The client has cancelled the request or is gone.
-  void on_withdrawn(Time now, RequestId request);
+  /// The client has cancelled the request or has disconnected.
+  void on_cancelled(Time now, RequestId request);
   /// To be called at next_wakeup(), or later.
   void on_wakeup(Time now);
   /// This router's shares, from now on; what was sent beyond them stays in flight.
   void on_shares(Time now, Shares shares);
-  /// Whether a listed server is ejected, as of when it was last looked at. Throws std::out_of_range for an id
+  /// Whether a listed server is ejected, as of the last event about it. Throws std::out_of_range for an id
   /// that was never listed.
-  [[nodiscard]] bool avoids(ServerId server) const;
+  [[nodiscard]] bool is_ejected(ServerId server) const;
   [[nodiscard]] OriginWork origin_work() const;
   /// When on_wakeup() is to be called next; kNever: nothing to wake for.
   [[nodiscard]] Time next_wakeup() const;
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -107,12 +107,12 @@
   void cancel(RequestId request, std::uint32_t attempt) override {
     wire::write_recall(lines(), request, attempt);
   }
-  void refuse(RequestId request, Time retry_after) override {
+  void reject(RequestId request, Time retry_after) override {
     wire::write_refuse(lines(), request, retry_after);
   }
   void fail(RequestId request) override { wire::write_end_failed(lines(), request); }
   void close_idle(ServerId server) override { wire::write_disconnect(lines(), servers_[server]); }
-  void watch_members() override { wire::write_follow(lines()); }
+  void poll_discovery() override { wire::write_follow(lines()); }
 
  private:
   static constexpr Time kLongestTimer = Time{3600} * 1'000'000;
@@ -183,7 +183,7 @@
         return;
       }
       case wire::Event::withdrawn:
-        current(fields).router(fields).on_withdrawn(now_, fields.hex("RequestId"));
+        current(fields).router(fields).on_cancelled(now_, fields.hex("RequestId"));
         return;
       case wire::Event::timeout_fired: {
         Instance& self = current(fields);
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -208,7 +208,7 @@
     case 0: result.outcome = Outcome::served; break;
     case 2: result.outcome = Outcome::miss; break;
     case 5: result.outcome = Outcome::error; break;
-    case 11: result.outcome = Outcome::full; break;
+    case 11: result.outcome = Outcome::overloaded; break;
     case 104: result.outcome = Outcome::reset; break;
     case 110: result.outcome = Outcome::timeout; break;
     case 111: result.outcome = Outcome::connect_failed; break;
@@ -216,7 +216,7 @@
     case 125: result.outcome = Outcome::cancelled; break;
     default: fields.reject("Result", std::to_string(code));
   }
-  result.took = fields.integer_or("TookUs", 0);
+  result.duration = fields.integer_or("TookUs", 0);
   result.request_over = fields.flag_or_false("NoMore");
   fields.integer_or("Detail", 0);
   check_load(fields, fields.word_or_absent("Usage"));
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -6,7 +6,7 @@
 
 #include "net/log.h"
 
-namespace streampick::node {
+namespace streampick::daemon {
 
 namespace {
 
@@ -20,11 +20,11 @@
 void Host::learn_from(const etcd::Options& options, std::uint64_t seed) {
   etcd_ = std::make_unique<etcd::EtcdRoster>(
       io_, names_, options, seed, sources_->second(), [this] { return sources_->told() == 0; },
-      [](std::string_view text) { log(text); });
+      [](std::string_view text) { net::log(text); });
 }
 #endif
 
-Host::Host(Bare, boost::asio::io_context& io, Clock& clock, const NodeSettings& settings)
+Host::Host(Bare, boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings)
     : io_(io),
       clock_(clock),
       accepted_(settings),
@@ -32,18 +32,19 @@
       ready_timer_(io),
       summary_timer_(io) {}
 
-Host::Host(boost::asio::io_context& io, Clock& clock, const NodeSettings& settings)
+Host::Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings)
     : Host(Bare{}, io, clock, settings) {
-  transports_ = std::make_unique<ServerTransports>(io_, clock_, links_, settings);
+  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, links_, settings);
   begin(settings);
 }
 
 #ifdef STREAMPICK_WITH_OPTIONS
-Host::Host(boost::asio::io_context& io, Clock& clock, const NodeSettings& settings, const Options& options)
+Host::Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings,
+           const platform::Options& options)
     : Host(Bare{}, io, clock, settings) {
-  NodeSettings own = settings;
+  platform::NodeSettings own = settings;
   options_ = options;
-  transports_ = std::make_unique<ServerTransports>(io_, clock_, links_, own, options);
+  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, links_, own, options);
 #ifdef STREAMPICK_WITH_ETCD
   begin(own, options.etcd.on);
   if (options.etcd.on) learn_from(options.etcd, own.settings.seed);
@@ -60,10 +61,10 @@
       engine_->set_routers(routers); },
                             [this] {
       return engine_->routers(); }, [](std::string_view text) {
-      log(text); },
+      net::log(text); },
                             [this] {
       engine_->count_by_tenant(); },
-                            [this]() -> const auto& { return engine_->asked_by_tenant();
+                            [this]() -> const auto& { return engine_->requests_by_tenant();
   }
   , [this] { return engine_->origin_work(); },
       [this](Shares shares) { engine_->set_shares(std::move(shares)); }
@@ -84,23 +85,24 @@
 }
 #endif
 
-void Host::begin(const NodeSettings& settings, [[maybe_unused]] bool two_sources) {
-  descriptors_ = overload::Descriptors(descriptor_limits(settings));
+void Host::begin(const platform::NodeSettings& settings, [[maybe_unused]] bool two_sources) {
+  descriptors_ = overload::Descriptors(platform::descriptor_limits(settings));
   links_.descriptors = &descriptors_;
   links_.most_large = settings.memory_mb * (1024 * 1024 / 4);
   links_.parts_from = settings.overload.whole_answer;
   links_.longest_in_parts = settings.overload.longest_answer;
   links_.whole_wait = settings.overload.whole_wait;
   links_.cancels = overload::CancelRules(settings.overload);
-  links_.dial_time_out = settings.settings.config.dial_time_out;
+  links_.connect_timeout = settings.settings.config.connect_timeout;
   links_.evict_idle_connection = [this] {
     if (engine_->evict_idle_connection()) return;
     // Clients hold what servers would have had: one that can be spared gives way.
     if (http_ && descriptors_.borrows(overload::Descriptors::Side::clients)) http_->give_one_back();
   };
   const Settings& told = settings.settings;
-  engine_ = std::make_unique<Engine>(clock_, EngineSettings{told.config, told.seed, {}, names_.classes},
-                                     *transports_, [](std::string_view text) { log(text); });
+  engine_ = std::make_unique<engine::Engine>(
+      clock_, engine::EngineSettings{told.config, told.seed, {}, names_.classes}, *transports_,
+      [](std::string_view text) { net::log(text); });
   transports_->report_to(*engine_);
   lists_.to = engine_.get();
 #ifdef STREAMPICK_WITH_ETCD
@@ -109,13 +111,15 @@
     lists_.to = &sources_->platform();
   }
 #endif
-  const bool must_ask = told.config.must_ask, passed = settings.passed_socket >= 0;
-  discovery_ = std::make_unique<Discovery>(
-      io_, names_, settings.discovery, passed ? 0 : settings.known.revision, !must_ask, told.seed, lists_);
+  const bool polls_discovery = told.config.polls_discovery, passed = settings.passed_socket >= 0;
+  discovery_ = std::make_unique<discovery::Discovery>(io_, names_, settings.discovery,
+                                                      passed ? 0 : settings.known.revision, !polls_discovery,
+                                                      told.seed, lists_);
   engine_->start(*discovery_, settings.known);
-  admission_ = std::make_unique<Admission>(io_, settings.overload, told.config, settings.cores, spared());
-  http_ = std::make_unique<Clients>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
-                                    settings.overload, *admission_, links_, settings.passed_socket);
+  admission_ =
+      std::make_unique<net::Admission>(io_, settings.overload, told.config, settings.cores, spared());
+  http_ = std::make_unique<http1::Clients>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
+                                           settings.overload, *admission_, links_, settings.passed_socket);
   engine_->add(*http_);
   operators_ = std::make_unique<Operators>(io_, clock_, *engine_, links_, passed ? settings.scratch : "",
                                            [this](bool alone) { share(alone); });
@@ -123,17 +127,17 @@
   if (settings.management) operators_->listen(*settings.management);
   // Beside a process that serves, requests wait at the door until this one can serve them as well.
   if (!passed) http_->open_doors();
-  if (!passed && engine_->hosts().listed > 0) ready();
+  if (!passed && engine_->endpoint_counts().listed > 0) ready();
   ready_timer_.expires_after(kReadyAtLast);
   ready_timer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled && engine_->hosts().listed > 0) ready();
+    if (!cancelled && engine_->endpoint_counts().listed > 0) ready();
   });
-  if (!must_ask) discovery_->watch();
+  if (!polls_discovery) discovery_->watch();
   every_ten_seconds();
 }
 
 // Beside a process that serves, the whole list is asked for: any first line of it will do.
-void Host::Lists::on_endpoint_list(const EndpointList& list) {
+void Host::Lists::on_endpoint_list(const engine::EndpointList& list) {
   to->on_endpoint_list(list);
   host.ready();
 }
@@ -173,7 +177,7 @@
     };
   }
 #endif
-  engine_->drain(std::move(done));
+  engine_->shut_down(std::move(done));
 }
 
 // Two processes of one router may hold together what one may: each has half, and gives back what rests.
@@ -194,39 +198,39 @@
 }
 
 bool Host::reload(const std::string& path) {
-  return reload([&] { return load_settings(path, accepted_); });
+  return reload([&] { return platform::load_settings(path, accepted_); });
 }
 
-bool Host::reload(const NodeSettings& next) {
+bool Host::reload(const platform::NodeSettings& next) {
   return reload([&] { return next; });
 }
 
-bool Host::reload(const std::function<NodeSettings()>& load) {
+bool Host::reload(const std::function<platform::NodeSettings()>& load) {
   bool taken = false;
   try {
     take(load());
     taken = true;
-    log("configuration read again");
+    net::log("configuration read again");
   } catch (const std::exception& wrong) {
-    log(std::string("reload: the old settings stay: ") + wrong.what());
+    net::log(std::string("reload: the old settings stay: ") + wrong.what());
   }
   operators_->reconfigured(taken);
   return taken;
 }
 
 // All that may throw comes before the first change.
-void Host::take(const NodeSettings& next) {
-  NodeSettings own = next;
+void Host::take(const platform::NodeSettings& next) {
+  platform::NodeSettings own = next;
 #ifdef STREAMPICK_WITH_OPTIONS
-  std::optional<Options> options = options_;
+  std::optional<platform::Options> options = options_;
   if (options) {
-    resolve(*options, own);
-    ServerTransports::as_servers_have_it(*options, own.settings);
+    platform::resolve(*options, own);
+    platform::ServerTransports::as_servers_have_it(*options, own.settings);
   }
 #endif
   const Names& told = own.settings.names;
   if (told.zones != names_.zones || told.kinds != names_.kinds || own.listen != accepted_.listen)
-    log("reload: zones, kinds and the address of clients are taken at the next start");
+    net::log("reload: zones, kinds and the address of clients are taken at the next start");
 #ifdef STREAMPICK_WITH_FLEET
   const std::uint32_t constant = own.settings.config.routers;
   const bool silenced = fleet_ && !own.settings.may_talk;
@@ -237,7 +241,7 @@
 #ifdef STREAMPICK_WITH_FLEET
   if (fleet_) fleet_->set_constant(constant);
   if (silenced) {
-    log("fleet: the settings forbid talk between routers now; this one left until its next start");
+    net::log("fleet: the settings forbid talk between routers now; this one left until its next start");
     fleet_->leave(false);
   }
 #endif
@@ -254,7 +258,7 @@
   Config config = own.settings.config;
   config.classes = engine_->classes().rules();
   admission_->set(config, spared());
-  links_.dial_time_out = config.dial_time_out;
+  links_.connect_timeout = config.connect_timeout;
 #ifdef STREAMPICK_WITH_RESP
   if (resp_ && options && options->resp.front) {
     const resp::FrontSettings& front = options->resp.front->settings;
@@ -291,10 +295,10 @@
   summary_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     std::string text = summary();
-    if (text != last_summary_) log(text);
+    if (text != last_summary_) net::log(text);
     last_summary_ = std::move(text);
     every_ten_seconds();
   });
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::daemon
--- a/src/daemon/host.h
+++ b/src/daemon/host.h
@@ -28,15 +28,16 @@
 #include "roster/sources.h"
 #endif
 
-namespace streampick::node {
+namespace streampick::daemon {
 
 class Host final {
  public:
   // Throws boost::system::system_error when an address can't be listened on.
-  Host(boost::asio::io_context& io, Clock& clock, const NodeSettings& settings);
+  Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings);
 #ifdef STREAMPICK_WITH_OPTIONS
   // `options` are resolved.
-  Host(boost::asio::io_context& io, Clock& clock, const NodeSettings& settings, const Options& options);
+  Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings,
+       const platform::Options& options);
 #endif
 #ifdef STREAMPICK_WITH_RESP
   const resp::RespFront* resp() const { return resp_.get(); }
@@ -50,50 +51,50 @@
   // tenants, attempts and what the decisions may do. One that can't be used is logged and turned down whole;
   // returns whether it was taken.
   bool reload(const std::string& path);
-  bool reload(const NodeSettings& next);
+  bool reload(const platform::NodeSettings& next);
   boost::asio::ip::tcp::endpoint address() const { return http_->address(); }
   Operators& operators() { return *operators_; }
-  const Counters& counts() const { return engine_->counts(); }
+  const engine::Counters& counts() const { return engine_->counts(); }
   std::size_t servers() const { return engine_->servers(); }  // the most that were known at a time
-  Links& links() { return links_; }
-  const Admission& admission() const { return *admission_; }
+  net::Links& links() { return links_; }
+  const net::Admission& admission() const { return *admission_; }
   const overload::Descriptors& descriptors() const { return descriptors_; }
   std::string summary() const;
 
  private:
   struct Bare {};
-  Host(Bare, boost::asio::io_context& io, Clock& clock, const NodeSettings& settings);
+  Host(Bare, boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings);
   // Hears the platform's lists first: the first of them makes the router ready.
-  struct Lists final : EndpointListObserver {
+  struct Lists final : engine::EndpointListObserver {
     explicit Lists(Host& owner) : host(owner) {}
-    void on_endpoint_list(const EndpointList& list) override;
+    void on_endpoint_list(const engine::EndpointList& list) override;
     void on_discovery_failed() override { to->on_discovery_failed(); }
     Host& host;
-    EndpointListObserver* to = nullptr;
+    engine::EndpointListObserver* to = nullptr;
   };
-  bool reload(const std::function<NodeSettings()>& load);
-  void take(const NodeSettings& next);
+  bool reload(const std::function<platform::NodeSettings()>& load);
+  void take(const platform::NodeSettings& next);
   void share(bool alone);
   std::vector<bool> spared() const;
   // `two_sources`: the platform's lists are one of two.
-  void begin(const NodeSettings& settings, bool two_sources = false);
+  void begin(const platform::NodeSettings& settings, bool two_sources = false);
   void ready();
   void every_ten_seconds();
 
   boost::asio::io_context& io_;
-  Clock& clock_;
-  NodeSettings accepted_;  // the configuration in use
-  Names names_;            // classes by the engine's numbers
+  net::Clock& clock_;
+  platform::NodeSettings accepted_;  // the configuration in use
+  Names names_;                      // classes by the engine's numbers
 #ifdef STREAMPICK_WITH_OPTIONS
-  std::optional<Options> options_;
+  std::optional<platform::Options> options_;
 #endif
   overload::Descriptors descriptors_;
-  Links links_;
-  std::unique_ptr<ServerTransports> transports_;  // the engine has it
-  std::unique_ptr<Engine> engine_;
-  std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<Admission> admission_;
-  std::unique_ptr<Clients> http_;
+  net::Links links_;
+  std::unique_ptr<platform::ServerTransports> transports_;  // the engine has it
+  std::unique_ptr<engine::Engine> engine_;
+  std::unique_ptr<discovery::Discovery> discovery_;
+  std::unique_ptr<net::Admission> admission_;
+  std::unique_ptr<http1::Clients> http_;
   std::unique_ptr<Operators> operators_;
   Lists lists_{*this};
   bool ready_ = false;
@@ -113,4 +114,4 @@
   std::string last_summary_;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -41,8 +41,8 @@
     try {
       return std::make_unique<Loop>();
     } catch (const boost::system::system_error& error) {
-      if (!node::is_transient(error.code()) || std::chrono::steady_clock::now() >= give_up_at) throw;
-      node::log(std::string("event loop: ") + error.what() + "; trying again");
+      if (!net::is_transient(error.code()) || std::chrono::steady_clock::now() >= give_up_at) throw;
+      net::log(std::string("event loop: ") + error.what() + "; trying again");
     }
     std::this_thread::sleep_for(kLoopBackoff);
   }
@@ -50,7 +50,7 @@
 
 // Takes the configuration anew at each SIGHUP. One that can't be read must not end what serves: it is
 // logged and the settings in use stay.
-void reload_on(boost::asio::signal_set& reloads, const char* path, node::Host& host) {
+void reload_on(boost::asio::signal_set& reloads, const char* path, daemon::Host& host) {
   reloads.async_wait([&reloads, path, &host](const boost::system::error_code& error, int) {
     if (error) return;
     host.reload(path);
@@ -59,31 +59,31 @@
 }
 
 struct Start {
-  node::NodeSettings settings;
+  platform::NodeSettings settings;
   const char* path = nullptr;  // of the platform's configuration
 #ifdef STREAMPICK_WITH_OPTIONS
-  std::optional<node::Options> options;
+  std::optional<platform::Options> options;
 #endif
 };
 
-std::unique_ptr<node::Host> make_host(boost::asio::io_context& io, node::Clock& clock, const Start& start) {
+std::unique_ptr<daemon::Host> make_host(boost::asio::io_context& io, net::Clock& clock, const Start& start) {
 #ifdef STREAMPICK_WITH_OPTIONS
-  if (start.options) return std::make_unique<node::Host>(io, clock, start.settings, *start.options);
+  if (start.options) return std::make_unique<daemon::Host>(io, clock, start.settings, *start.options);
 #endif
-  return std::make_unique<node::Host>(io, clock, start.settings);
+  return std::make_unique<daemon::Host>(io, clock, start.settings);
 }
 
 void serve(Loop& loop, const Start& start) {
   boost::asio::io_context& io = loop.io;
-  node::Clock clock(io);
+  net::Clock clock(io);
   const auto made = make_host(io, clock, start);
-  node::Host& host = *made;
+  daemon::Host& host = *made;
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   reload_on(loop.reloads, start.path, host);
   bool done = false;
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
-    node::log("told to stop");
+    net::log("told to stop");
     host.drain([&] { done = true; });
   });
   while (!done) {
@@ -92,7 +92,7 @@
     clock.next_batch();
     io.run_one();
   }
-  node::log("stopped: " + host.summary());
+  net::log("stopped: " + host.summary());
 }
 
 // The platform's configuration and the operator's options, checked against each other.
@@ -100,12 +100,12 @@
   Start out;
   out.path = std::getenv("NODE_CONFIG");
   if (out.path == nullptr || *out.path == '\0') throw std::runtime_error("NODE_CONFIG is not set");
-  out.settings = node::load_settings(out.path);
-  node::apply(node::Environment::of_process(), out.settings);
+  out.settings = platform::load_settings(out.path);
+  platform::apply(platform::Environment::of_process(), out.settings);
 #ifdef STREAMPICK_WITH_OPTIONS
   if (!options_path.empty()) {
-    out.options = node::load_options(options_path);
-    node::resolve(*out.options, out.settings);
+    out.options = platform::load_options(options_path);
+    platform::resolve(*out.options, out.settings);
 #ifdef STREAMPICK_WITH_FLEET
     fleet::resolve(out.options->fleet, out.settings, options_path);
     fleet::resolve(out.options->shares, out.options->fleet, out.settings, options_path);
@@ -122,11 +122,11 @@
 // itself is looked at.
 void check(const std::string& options_path) {
   const char* config = std::getenv("NODE_CONFIG");
-  node::Options options;
-  if (!options_path.empty()) options = node::load_options(options_path);
+  platform::Options options;
+  if (!options_path.empty()) options = platform::load_options(options_path);
   if (config != nullptr && *config != '\0') {
-    node::NodeSettings settings = node::load_settings(config);
-    if (!options_path.empty()) node::resolve(options, settings);
+    platform::NodeSettings settings = platform::load_settings(config);
+    if (!options_path.empty()) platform::resolve(options, settings);
 #ifdef STREAMPICK_WITH_FLEET
     fleet::resolve(options.fleet, settings, options_path);
     fleet::resolve(options.shares, options.fleet, settings, options_path);
@@ -135,7 +135,7 @@
   } else {
     std::cout << "configuration: not looked at, NODE_CONFIG is not set\n";
   }
-  std::cout << node::describe(options);
+  std::cout << platform::describe(options);
 }
 #endif
 
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -4,7 +4,7 @@
 
 #include "net/log.h"
 
-namespace streampick::node {
+namespace streampick::daemon {
 
 using control::AdminChange;
 using control::AdminOverrides;
@@ -20,7 +20,7 @@
 /// None without a folder: then nothing is shared.
 std::unique_ptr<takeover::SharedFolder> open_folder(const std::string& folder) {
   if (folder.empty()) return nullptr;
-  return std::make_unique<takeover::SharedFolder>(folder, log);
+  return std::make_unique<takeover::SharedFolder>(folder, net::log);
 }
 
 /// The answer to a change that holds in this process.
@@ -33,13 +33,13 @@
 
 }  // namespace
 
-Operators::Operators(boost::asio::io_context& io, Clock& clock, Engine& engine, Links& links,
-                     const std::string& folder, std::function<void(bool alone)> alone)
+Operators::Operators(boost::asio::io_context& io, net::Clock& clock, engine::Engine& engine,
+                     net::Links& links, const std::string& folder, std::function<void(bool alone)> alone)
     : io_(io),
       clock_(clock),
       engine_(engine),
       links_(links),
-      store_(io, open_folder(folder), log, [this](const AdminOverrides& next) { apply(next); }),
+      store_(io, open_folder(folder), net::log, [this](const AdminOverrides& next) { apply(next); }),
       alone_(std::move(alone)),
       poll_timer_(io) {
   if (folder.empty()) return;
@@ -73,14 +73,14 @@
   for (const auto& [id, endpoint] : applied_.endpoints()) {
     const auto found = before.endpoints().find(id);
     if (found != before.endpoints().end() && found->second == endpoint) continue;
-    log("cache server " + id + (endpoint.is_disabled ? " is left out by hand" : " is called back"));
+    net::log("cache server " + id + (endpoint.is_disabled ? " is left out by hand" : " is called back"));
     engine_.set_override(id, endpoint.is_disabled, endpoint.is_disabled ? 0 : endpoint.changed_at);
   }
   for (const auto& [id, endpoint] : before.endpoints())
     if (!applied_.endpoints().contains(id)) engine_.set_override(id, false, 0);
   if (before.is_draining() != applied_.is_draining())
-    log(applied_.is_draining() ? "clients are sent away" : "clients are taken again");
-  engine_.send_clients_away(applied_.is_draining());
+    net::log(applied_.is_draining() ? "clients are sent away" : "clients are taken again");
+  engine_.set_draining(applied_.is_draining());
 }
 
 void Operators::note_first_seen(const AdminOverrides& before) {
@@ -102,7 +102,7 @@
 void Operators::disable(const std::string& id, const Respond& respond) {
   if (engine_.is_origin(id))
     return respond("NAK " + id + " is the origin, without which nothing is answered\n");
-  if (!engine_.knows(id) && !applied_.is_disabled(id)) return respond(unknown_endpoint(id));
+  if (!engine_.lists_cache(id) && !applied_.is_disabled(id)) return respond(unknown_endpoint(id));
   store_.submit({AdminChange::Kind::disable_endpoint, id, clock_.wall_time(), long_known()},
                 [id, respond](const Outcome& outcome) {
                   if (outcome.result == ApplyResult::too_many)
@@ -112,7 +112,7 @@
 }
 
 void Operators::enable(const std::string& id, const Respond& respond) {
-  const bool is_listed = engine_.knows(id) && !engine_.is_origin(id);
+  const bool is_listed = engine_.lists_cache(id) && !engine_.is_origin(id);
   if (!is_listed && !applied_.is_disabled(id)) return respond(unknown_endpoint(id));
   store_.submit({AdminChange::Kind::enable_endpoint, id, clock_.wall_time()},
                 [id, is_listed, respond](const Outcome& outcome) {
@@ -139,12 +139,12 @@
 
 management::Metrics Operators::dump() const {
   management::Metrics metrics;
-  metrics.classes = engine_.figures().classes();
-  metrics.inflight = engine_.figures().in_flight();
+  metrics.classes = engine_.metrics().classes();
+  metrics.inflight = engine_.metrics().in_flight();
   metrics.backend_calls = links_.written_whole;
-  const EndpointRegistry::Counts hosts = engine_.hosts();
-  metrics.hosts_listed = hosts.listed;
-  metrics.hosts_down = hosts.down;
+  const engine::EndpointRegistry::Counts counts = engine_.endpoint_counts();
+  metrics.hosts_listed = counts.listed;
+  metrics.hosts_down = counts.down;
   metrics.reconfig_ok = reconfig_ok_;
   metrics.reconfig_failed = reconfig_failed_;
   if (fleet_reports_.brief) metrics.fleet = fleet_reports_.brief();
@@ -176,4 +176,4 @@
   }
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::daemon
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -20,13 +20,13 @@
 #include "takeover/override_store.h"
 #include "takeover/process_presence.h"
 
-namespace streampick::node {
+namespace streampick::daemon {
 
 class Operators final {
  public:
   /// `folder`: shared with the processes before and after this one; empty where there are none.
   /// `alone`: told several times a second whether no other process of this router runs.
-  Operators(boost::asio::io_context& io, Clock& clock, Engine& engine, Links& links,
+  Operators(boost::asio::io_context& io, net::Clock& clock, engine::Engine& engine, net::Links& links,
             const std::string& folder, std::function<void(bool alone)> alone);
 
   /// Throws boost::system::system_error when the address can't be listened on.
@@ -69,9 +69,9 @@
   void set_draining(bool draining, const Respond& respond);
 
   boost::asio::io_context& io_;
-  Clock& clock_;
-  Engine& engine_;
-  Links& links_;
+  net::Clock& clock_;
+  engine::Engine& engine_;
+  net::Links& links_;
   control::AdminOverrides applied_;         ///< what the engine has been told
   std::map<std::string, Time> first_seen_;  ///< monotonic time since which each override stands as it is
   takeover::OverrideStore store_;
@@ -87,4 +87,4 @@
   std::uint64_t reconfig_failed_ = 0;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::daemon
--- a/src/engine/body_stream.cpp
+++ b/src/engine/body_stream.cpp
@@ -2,38 +2,38 @@
 
 namespace streampick::engine {
 
-bool BodyStream::put(std::string_view bytes) {
-  if (!wanted_ || state_ != State::open) return false;
-  passed_ += bytes.size();
-  waits_ += bytes;
-  stopped_ = waits_.size() >= most_;
-  if (!bytes.empty() && came) came();
-  // The reader may have taken it all, or gone, meanwhile.
-  return wanted_ && !stopped_;
+bool BodyStream::write(std::string_view bytes) {
+  if (!reader_open_ || state_ != State::open) return false;
+  bytes_written_ += bytes.size();
+  buffer_ += bytes;
+  writer_paused_ = buffer_.size() >= capacity_;
+  if (!bytes.empty() && on_readable) on_readable();
+  // The reader may have read everything, or closed, meanwhile.
+  return reader_open_ && !writer_paused_;
 }
 
-void BodyStream::end(State how) {
+void BodyStream::end(State state) {
   if (state_ != State::open) return;
-  // A writer that ends short of what it had announced has cut it, whatever it thinks.
-  state_ = how == State::whole && length_ && passed_ != *length_ ? State::cut : how;
-  if (state_ == State::cut) std::string().swap(waits_);
-  if (wanted_ && came) came();
+  const bool length_differs = length_ && bytes_written_ != *length_;
+  state_ = state == State::complete && length_differs ? State::truncated : state;
+  if (state_ == State::truncated) std::string().swap(buffer_);
+  if (reader_open_ && on_readable) on_readable();
 }
 
-bool BodyStream::take(std::string& out) {
-  out.clear();
-  if (waits_.empty()) return false;
-  out.swap(waits_);
-  taken_ += out.size();
-  if (std::exchange(stopped_, false) && room) room();
+bool BodyStream::read(std::string& bytes) {
+  bytes.clear();
+  if (buffer_.empty()) return false;
+  bytes.swap(buffer_);
+  bytes_read_ += bytes.size();
+  if (std::exchange(writer_paused_, false) && on_writable) on_writable();
   return true;
 }
 
-void BodyStream::leave() {
-  if (!std::exchange(wanted_, false)) return;
-  std::string().swap(waits_);
-  came = nullptr;
-  if (state_ == State::open && unwanted) unwanted();
+void BodyStream::close_reader() {
+  if (!std::exchange(reader_open_, false)) return;
+  std::string().swap(buffer_);
+  on_readable = nullptr;
+  if (state_ == State::open && on_reader_closed) on_reader_closed();
 }
 
 }  // namespace streampick::engine
--- a/src/engine/body_stream.h
+++ b/src/engine/body_stream.h
@@ -1,11 +1,12 @@
-// A body that is passed on as it comes: of an answer, what a transport reads goes in and what a front has
-// room for goes out; of a long request, the other way round. A bounded part waits between them. No I/O; for
-// one thread.
-//
-// Either side may be the slower one. A writer that is told to stop reads no more from its server until `room`
-// calls it; a reader that has taken all waits until `came` calls it. `came` is called from within the
-// writer's calls, `room` and `unwanted` from within the reader's, which may be within the engine's: a writer
-// posts what it does then.
+/// \file
+/// A bounded buffer between the writer and the reader of a body that is forwarded while it arrives: from an
+/// upstream to a downstream for a response, the other way round for an upload. No I/O; single-threaded.
+///
+/// Flow control: write() returns false when the buffer is full, and `on_writable` is called when there is
+/// space again. A reader that found nothing is called by `on_readable`.
+///
+/// `on_readable` is called from within the writer's calls, `on_writable` and `on_reader_closed` from within
+/// the reader's, which may be within a call of the engine: a writer must post its reaction to the event loop.
 #pragma once
 
 #include <cstddef>
@@ -17,46 +18,58 @@
 #include <string_view>
 #include <utility>
 
-#include "engine/node_names.h"
-
 namespace streampick::engine {
 
 class BodyStream {
  public:
-  enum class State : std::uint8_t { open, whole, cut };
+  enum class State : std::uint8_t {
+    open,
+    complete,   ///< all bytes were written
+    truncated,  ///< the body ended early, or its length is not the announced one
+  };
+
+  /// `length`: bytes in all; none: known only at the end. `capacity`: bytes that may be buffered.
+  BodyStream(std::optional<std::uint64_t> length, std::size_t capacity)
+      : length_(length), capacity_(capacity) {}
 
-  // `length`: bytes in all, none: known only at its end. `most`: bytes that may wait.
-  BodyStream(std::optional<std::uint64_t> length, std::size_t most) : length_(length), most_(most) {}
+  // ---- The writer's side
 
-  // ---- The writer's side. `room`: there is room again. `unwanted`: the reader has gone; nothing may be put
-  // any more.
-  std::function<void()> room, unwanted;
-  // Returns whether there is room for more; false: to be asked again after `room`.
-  bool put(std::string_view bytes);
-  void end(State how);  // whole or cut; nothing is put after it
+  std::function<void()> on_writable;
+  /// The reader is gone: nothing may be written any more.
+  std::function<void()> on_reader_closed;
+  /// Returns whether there is space for more; if not, the writer waits for `on_writable`.
+  bool write(std::string_view bytes);
+  /// Ends the body as complete or truncated. Nothing is written after it.
+  void end(State state);
 
-  // ---- The reader's side. `came`: there is something to take, or the end.
-  std::function<void()> came;
-  const std::optional<std::uint64_t>& length() const { return length_; }
-  // All that waits, in `out`, whose memory is used again; false: nothing waits.
-  bool take(std::string& out);
-  // open: more may come. The end shows only once all that waited was taken, or at once where it was cut.
-  State state() const { return state_ == State::whole && !waits_.empty() ? State::open : state_; }
-  void leave();
+  // ---- The reader's side
+
+  /// There are bytes to read, or the body has ended.
+  std::function<void()> on_readable;
+  [[nodiscard]] const std::optional<std::uint64_t>& length() const { return length_; }
+  /// Moves all buffered bytes into `bytes`, whose memory is reused. Returns false if there were none.
+  bool read(std::string& bytes);
+  /// `complete` shows only once all bytes were read, `truncated` at once.
+  [[nodiscard]] State state() const {
+    return state_ == State::complete && !buffer_.empty() ? State::open : state_;
+  }
+  void close_reader();
 
-  std::uint64_t passed() const { return passed_; }  // bytes put so far
-  std::uint64_t taken() const { return taken_; }    // ... and taken
+  [[nodiscard]] std::uint64_t bytes_written() const { return bytes_written_; }
+  [[nodiscard]] std::uint64_t bytes_read() const { return bytes_read_; }
 
  private:
   std::optional<std::uint64_t> length_;
-  std::size_t most_;
-  std::uint64_t passed_ = 0, taken_ = 0;
-  std::string waits_;
+  std::size_t capacity_;
+  std::uint64_t bytes_written_ = 0;
+  std::uint64_t bytes_read_ = 0;
+  std::string buffer_;
   State state_ = State::open;
-  bool stopped_ = false, wanted_ = true;
+  bool writer_paused_ = false;
+  bool reader_open_ = true;
 };
 
-// The reader's hold of a stream: a reader that goes, wherever that is, lets the writer know.
+/// The reader's ownership of a stream: closes the reader's side on destruction.
 class BodyReader {
  public:
   BodyReader() = default;
@@ -73,7 +86,7 @@
   explicit operator bool() const { return stream_ != nullptr; }
   BodyStream* operator->() const { return stream_.get(); }
   void reset() {
-    if (const auto stream = std::exchange(stream_, nullptr)) stream->leave();
+    if (const auto stream = std::exchange(stream_, nullptr)) stream->close_reader();
   }
 
  private:
--- a/src/engine/cache_fill_guard.h
+++ b/src/engine/cache_fill_guard.h
@@ -8,7 +8,6 @@
 #include <cstdint>
 #include <memory>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
--- a/src/engine/class_table.cpp
+++ b/src/engine/class_table.cpp
@@ -5,58 +5,75 @@
 
 namespace streampick::engine {
 namespace {
-const std::string kNobody = "\n";
+
+// The name of a number that no settings name: no request can contain a line feed in its class.
+const std::string kUnnamed = "\n";
+
+bool is_first_of_its_name(const std::vector<std::string>& names, std::size_t index) {
+  return std::find(names.begin(), names.end(), names[index]) - names.begin() ==
+         static_cast<std::ptrdiff_t>(index);
 }
 
+}  // namespace
+
 ClassTable::ClassTable(std::vector<RequestClass> rules, std::vector<std::string> names)
-    : rules_(std::move(rules)), names_(std::move(names)), open_(rules_.size(), 0) {
-  names_.resize(rules_.size(), kNobody);
+    : rules_(std::move(rules)), names_(std::move(names)), open_requests_(rules_.size(), 0) {
+  names_.resize(rules_.size(), kUnnamed);
 }
 
 void ClassTable::change(const std::vector<RequestClass>& rules, const std::vector<std::string>& names) {
-  const std::vector<std::string> before = std::exchange(names_, std::vector(names_.size(), kNobody));
-  // Those that stay keep their numbers, before the others look for one.
-  std::vector<std::size_t> left;
+  const std::vector<std::string> before = std::exchange(names_, std::vector(names_.size(), kUnnamed));
+  const auto former_number = [&](const std::string& name) {
+    return static_cast<std::size_t>(std::find(before.begin(), before.end(), name) - before.begin());
+  };
+  // Unchanged classes keep their numbers before changed ones look for a free number.
+  std::vector<std::size_t> changed;
   for (std::size_t i = 0; i < rules.size() && i < names.size(); ++i) {
-    if (std::find(names.begin(), names.begin() + static_cast<std::ptrdiff_t>(i), names[i]) !=
-        names.begin() + static_cast<std::ptrdiff_t>(i))
-      continue;
-    const auto was = std::find(before.begin(), before.end(), names[i]);
-    const auto number = static_cast<std::size_t>(was - before.begin());
+    if (!is_first_of_its_name(names, i)) continue;
+    const std::size_t number = former_number(names[i]);
+    const bool existed = number < before.size();
     RequestClass same = rules[i];
-    if (was != before.end()) same.like = rules_[number].like;
-    if (was != before.end() && same == rules_[number]) {
+    if (existed) same.similar_class = rules_[number].similar_class;
+    if (existed && same == rules_[number]) {
       names_[number] = names[i];
     } else {
-      left.push_back(i);
+      changed.push_back(i);
     }
   }
-  for (const std::size_t i : left) {
-    std::size_t number = 0;
-    while (number < rules_.size() && (names_[number] != kNobody || open_[number] > 0)) ++number;
+  for (const std::size_t i : changed) {
     RequestClass next = rules[i];
-    // What is known of the class under its old rules is where its new ones begin.
-    const auto was = std::find(before.begin(), before.end(), names[i]);
-    if (was != before.end()) next.like = static_cast<std::uint32_t>(was - before.begin());
-    if (number == rules_.size()) {
-      rules_.emplace_back();
-      names_.emplace_back();
-      open_.push_back(0);
-    }
-    rules_[number] = next;
-    names_[number] = names[i];
+    // The usual latency under the former rules is the starting point under the new ones.
+    const std::size_t former = former_number(names[i]);
+    if (former < before.size()) next.similar_class = static_cast<std::uint32_t>(former);
+    set(free_number(), next, names[i]);
+  }
+}
+
+std::size_t ClassTable::free_number() const {
+  std::size_t number = 0;
+  while (number < rules_.size() && (names_[number] != kUnnamed || open_requests_[number] > 0)) ++number;
+  return number;
+}
+
+void ClassTable::set(std::size_t number, const RequestClass& rules, const std::string& name) {
+  if (number == rules_.size()) {
+    rules_.emplace_back();
+    names_.emplace_back();
+    open_requests_.push_back(0);
   }
+  rules_[number] = rules;
+  names_[number] = name;
 }
 
 Time ClassTable::longest_deadline() const {
-  const bool named =
-      std::any_of(names_.begin(), names_.end(), [](const auto& name) { return name != kNobody; });
-  Time out = 0;
+  const bool any_named =
+      std::any_of(names_.begin(), names_.end(), [](const auto& name) { return name != kUnnamed; });
+  Time longest = 0;
   for (std::size_t i = 0; i < rules_.size(); ++i) {
-    if (named && names_[i] == kNobody && open_[i] == 0) continue;
-    out = std::max(out, rules_[i].deadline > 0 ? rules_[i].deadline : kNever);
+    if (any_named && names_[i] == kUnnamed && open_requests_[i] == 0) continue;
+    longest = std::max(longest, rules_[i].deadline > 0 ? rules_[i].deadline : kNever);
   }
-  return out;
+  return longest;
 }
 
 }  // namespace streampick::engine
--- a/src/engine/class_table.h
+++ b/src/engine/class_table.h
@@ -1,41 +1,45 @@
-// Request classes under numbers that stay while settings change. No I/O.
-//
-//   - A class that stays as it is keeps its number; one whose rules differ gets another under the same name.
-//   - What a request was taken under holds for it to its end: a number is used again only once no settings
-//     name it and no request is open under it.
+/// \file
+/// Request classes by number, while settings change. No I/O.
+///
+/// A class that does not change keeps its number; one whose rules change gets another number under the same
+/// name. A request keeps the rules that it arrived under, so a number is reused only once no settings name it
+/// and no request of it is open.
 #pragma once
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
 
 class ClassTable {
  public:
+  /// `names` may be shorter than `rules`: the classes beyond it have no name.
   ClassTable(std::vector<RequestClass> rules, std::vector<std::string> names);
 
-  void opened(std::uint32_t number) { ++open_.at(number); }
-  void ended(std::uint32_t number) { --open_.at(number); }
+  void request_opened(std::uint32_t number) { ++open_requests_.at(number); }
+  void request_closed(std::uint32_t number) { --open_requests_.at(number); }
 
-  // Takes the classes of new settings. Of two of one name the first counts, as it does when names are looked
-  // up.
+  /// Applies the classes of new settings. Of two with one name the first counts, as in look-ups by name.
   void change(const std::vector<RequestClass>& rules, const std::vector<std::string>& names);
 
-  // By number. A name that no settings name any more can't be asked for: no request can say it.
-  const std::vector<RequestClass>& rules() const { return rules_; }
-  const std::vector<std::string>& names() const { return names_; }
-  std::size_t open(std::uint32_t number) const { return open_.at(number); }
-  // Of those that a request may have, or can still be asked for; kNever where one has none.
-  Time longest_deadline() const;
+  /// By number, including numbers that no settings name any more.
+  [[nodiscard]] const std::vector<RequestClass>& rules() const { return rules_; }
+  /// By number. A number without a class has a name that no request can contain.
+  [[nodiscard]] const std::vector<std::string>& names() const { return names_; }
+  [[nodiscard]] std::size_t open_requests(std::uint32_t number) const { return open_requests_.at(number); }
+  /// Of classes that are named or have open requests; kNever if one of them has no deadline.
+  [[nodiscard]] Time longest_deadline() const;
 
  private:
+  [[nodiscard]] std::size_t free_number() const;
+  void set(std::size_t number, const RequestClass& rules, const std::string& name);
+
   std::vector<RequestClass> rules_;
-  std::vector<std::string> names_;  // "\n": none
-  std::vector<std::size_t> open_;
+  std::vector<std::string> names_;
+  std::vector<std::size_t> open_requests_;
 };
 
 }  // namespace streampick::engine
--- a/src/engine/counters.h
+++ b/src/engine/counters.h
@@ -7,12 +7,11 @@
 #include <cstdint>
 #include <string>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
 
-inline constexpr std::size_t kOutcomes = static_cast<std::size_t>(Outcome::rejected) + 1;
+inline constexpr std::size_t kOutcomes = static_cast<std::size_t>(Outcome::invalid_request) + 1;
 
 /// Counts of requests and attempts, for the log line and for tests.
 struct Counters {
--- a/src/engine/deadline_queue.h
+++ b/src/engine/deadline_queue.h
@@ -7,7 +7,6 @@
 #include <optional>
 #include <vector>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
--- a/src/engine/endpoint_overrides.h
+++ b/src/engine/endpoint_overrides.h
@@ -5,7 +5,6 @@
 #include <string>
 #include <unordered_map>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
--- a/src/engine/endpoint_registry.cpp
+++ b/src/engine/endpoint_registry.cpp
@@ -24,7 +24,7 @@
   if (update == Update::changes) return change;
   for (ServerId id = 0; id < named.size(); ++id) {
     Endpoint& endpoint = endpoints_[id];
-    if (named[id] || !endpoint.transport) continue;
+    if (named[id] || !endpoint.upstream) continue;
     stop_sending(endpoint, now);
     endpoint.listed = false;
     change.departed.push_back(id);
@@ -37,11 +37,11 @@
   endpoint.listed_as = listed.member;
   endpoint.listed_as.id = id;
   endpoint.listed_as.started = starts_.start_of(listed.id);
-  endpoint.transport->set_address(listed.address);
+  endpoint.upstream->set_address(listed.address);
   const Member member = overrides_.apply(endpoint.name, endpoint.listed_as);
   endpoint.listed = member.phase != Phase::gone;
   if (member.phase == Phase::ready) {
-    endpoint.transport->send_nothing_from(kNever);
+    endpoint.upstream->stop_sending_at(kNever);
   } else {
     stop_sending(endpoint, now);
   }
@@ -60,15 +60,15 @@
   Endpoint& endpoint = endpoints_[entry->second];
   endpoint.name = listed.id;
   endpoint.is_origin = origin_kind_ != kNone && listed.member.kind == origin_kind_;
-  endpoint.transport = transports_.make(listed.id, listed.member.kind);
-  any_wants_values_ = any_wants_values_ || endpoint.transport->wants_values();
+  endpoint.upstream = upstream_factory_.make(listed.id, listed.member.kind);
+  any_wants_cache_fills_ = any_wants_cache_fills_ || endpoint.upstream->wants_cache_fills();
   return entry->second;
 }
 
 void EndpointRegistry::stop_sending(Endpoint& endpoint, Time now) {
-  if (endpoint.transport->nothing_from() > now) endpoint.transport->send_nothing_from(now);
+  if (endpoint.upstream->sending_stops_at() > now) endpoint.upstream->stop_sending_at(now);
   // What it holds open is of no use to either side.
-  endpoint.transport->close_idle(kNever);
+  endpoint.upstream->close_idle(kNever);
 }
 
 std::optional<Member> EndpointRegistry::set_override(const std::string& name, EndpointOverride value,
@@ -82,18 +82,18 @@
   if (value.disabled) {
     stop_sending(endpoint, now);
   } else if (member.phase == Phase::ready) {
-    endpoint.transport->send_nothing_from(kNever);
+    endpoint.upstream->stop_sending_at(kNever);
   }
   return member;
 }
 
 Endpoint* EndpointRegistry::find(ServerId id) {
-  if (id >= endpoints_.size() || !endpoints_[id].transport) return nullptr;
+  if (id >= endpoints_.size() || !endpoints_[id].upstream) return nullptr;
   return &endpoints_[id];
 }
 
 const Endpoint* EndpointRegistry::find(ServerId id) const {
-  if (id >= endpoints_.size() || !endpoints_[id].transport) return nullptr;
+  if (id >= endpoints_.size() || !endpoints_[id].upstream) return nullptr;
   return &endpoints_[id];
 }
 
@@ -111,7 +111,7 @@
 void EndpointRegistry::forget_if_unused(ServerId id) {
   Endpoint* const endpoint = find(id);
   if (endpoint == nullptr || endpoint->listed || endpoint->open_attempts > 0) return;
-  if (endpoint->transport->at_work()) return;
+  if (endpoint->upstream->has_streaming_response()) return;
   ids_.erase(endpoint->name);
   *endpoint = {};
   free_ids_.push_back(id);
@@ -135,7 +135,7 @@
   Counts counts;
   for (ServerId id = 0; id < endpoints_.size(); ++id) {
     const Endpoint& endpoint = endpoints_[id];
-    if (!endpoint.transport || !endpoint.listed || endpoint.is_origin) continue;
+    if (!endpoint.upstream || !endpoint.listed || endpoint.is_origin) continue;
     ++counts.listed;
     if (overrides_.is_disabled(endpoint.name) || is_avoided(id)) ++counts.down;
   }
@@ -144,19 +144,19 @@
 
 void EndpointRegistry::close_idle(Time unused_since) {
   for (const Endpoint& endpoint : endpoints_)
-    if (endpoint.transport) endpoint.transport->close_idle(unused_since);
+    if (endpoint.upstream) endpoint.upstream->close_idle(unused_since);
 }
 
 bool EndpointRegistry::evict_idle_connection() {
   return std::any_of(endpoints_.begin(), endpoints_.end(), [](const Endpoint& endpoint) {
-    return endpoint.transport && endpoint.transport->close_oldest_idle();
+    return endpoint.upstream && endpoint.upstream->close_oldest_idle();
   });
 }
 
 void EndpointRegistry::invalidate(const std::string& key) {
   for (const Endpoint& endpoint : endpoints_)
-    if (endpoint.listed && endpoint.transport && endpoint.transport->wants_values())
-      endpoint.transport->void_copy(key);
+    if (endpoint.listed && endpoint.upstream && endpoint.upstream->wants_cache_fills())
+      endpoint.upstream->invalidate(key);
 }
 
 }  // namespace streampick::engine
--- a/src/engine/endpoint_registry.h
+++ b/src/engine/endpoint_registry.h
@@ -12,10 +12,9 @@
 
 #include "engine/endpoint_discovery.h"
 #include "engine/endpoint_overrides.h"
-#include "engine/node_names.h"
 #include "engine/server_starts.h"
 #include "engine/time.h"
-#include "engine/transport.h"
+#include "engine/upstream.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
@@ -23,7 +22,7 @@
 /// A server that is known. One that is off the list stays until its last attempt has ended.
 struct Endpoint {
   std::string name;
-  std::unique_ptr<Transport> transport;  ///< none: the number is free
+  std::unique_ptr<Upstream> upstream;  ///< none: the number is free
   std::size_t open_attempts = 0;
   bool listed = false;
   bool is_origin = false;
@@ -40,8 +39,8 @@
   /// \param time dates the servers' starts; outlives the registry.
   /// \param transports makes the transport of each new endpoint; outlives the registry.
   /// \param origin_kind the kind of the origin in look-aside fleets; kNone elsewhere.
-  EndpointRegistry(TimeSource& time, Transports& transports, std::uint32_t origin_kind)
-      : transports_(transports), origin_kind_(origin_kind), starts_(time) {}
+  EndpointRegistry(TimeSource& time, UpstreamFactory& upstream_factory, std::uint32_t origin_kind)
+      : upstream_factory_(upstream_factory), origin_kind_(origin_kind), starts_(time) {}
 
   struct ListChange {
     std::vector<Member> members;     ///< what the module is to be told
@@ -81,7 +80,7 @@
   bool evict_idle_connection();
 
   /// Whether some transport has to be given what its server missed.
-  [[nodiscard]] bool any_wants_values() const { return any_wants_values_; }
+  [[nodiscard]] bool any_wants_cache_fills() const { return any_wants_cache_fills_; }
   /// Tells each listed server that wants values that its copy of `key` may be old.
   void invalidate(const std::string& key);
 
@@ -96,14 +95,14 @@
   /// silent.
   void stop_sending(Endpoint& endpoint, Time now);
 
-  Transports& transports_;
+  UpstreamFactory& upstream_factory_;
   std::uint32_t origin_kind_;
   std::vector<Endpoint> endpoints_;  // by ServerId
   std::vector<ServerId> free_ids_;
   std::unordered_map<std::string, ServerId> ids_;
   EndpointOverrides overrides_;
   ServerStarts starts_;
-  bool any_wants_values_ = false;
+  bool any_wants_cache_fills_ = false;
 };
 
 }  // namespace streampick::engine
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,5 +1,5 @@
 /// \file
-/// The engine: the one way of a request through the decision module, for every protocol.
+/// The engine: takes each request, of any protocol, through the decision module.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,14 @@
 #include "engine/class_table.h"
 #include "engine/counters.h"
 #include "engine/deadline_queue.h"
+#include "engine/downstream.h"
 #include "engine/endpoint_discovery.h"
 #include "engine/endpoint_registry.h"
-#include "engine/front.h"
-#include "engine/node_names.h"
 #include "engine/open_request.h"
 #include "engine/shutdown.h"
 #include "engine/time.h"
 #include "engine/transaction_ids.h"
-#include "engine/transport.h"
+#include "engine/upstream.h"
 #include "engine/wakeup_scheduler.h"
 #include "streampick/router.h"
 
@@ -34,41 +33,45 @@
 struct EngineSettings {
   Config config;
   std::uint64_t seed = 0;
-  /// Set: where nothing is open, and it says that no connection is either, nobody is woken. What fell due
-  /// meanwhile is made up for with the next request.
-  std::function<bool()> rests = {};
-  /// Names of the classes, for the figures; none: not told, and counted under no name.
+  /// Whether no connection is open. If set, an engine without open requests whose connections are closed too
+  /// schedules no wake-ups; missed timer ticks are run with the next event. Empty: timers always run.
+  std::function<bool()> is_idle = {};
+  /// Names of the classes, for the metrics. Empty: requests are counted under the name "".
   std::vector<std::string> classes = {};
 };
 
-/// Owns the Router and the open requests: turns what fronts, transports and discovery tell into the module's
-/// events, and the module's actions into what they are told. It decides nothing and does no I/O: the time
-/// comes from a TimeSource, requests from fronts, servers' answers from transports, lists from discovery.
+/// Owns the Router and the open requests. Events of downstreams, upstreams and discovery become events of the
+/// Router; the Router's actions become calls to them. The engine decides nothing and does no I/O: time comes
+/// from a TimeSource.
 ///
-/// Single-threaded. The module is never called from within its own calls: what its actions end is queued and
-/// told by settle().
-class Engine final : public ActionSink, public Requests, public EndpointListObserver, public AttemptObserver {
+/// Single-threaded. The Router is never called from within its own actions: attempts that end meanwhile are
+/// queued and reported by settle().
+class Engine final : public ActionSink,
+                     public RequestHandler,
+                     public EndpointListObserver,
+                     public AttemptObserver {
  public:
   using Log = std::function<void(std::string_view)>;
 
-  /// `transports` and `time` outlive the engine.
-  Engine(TimeSource& time, const EngineSettings& settings, Transports& transports, Log log);
+  /// `upstream_factory` and `time` must outlive the engine.
+  Engine(TimeSource& time, const EngineSettings& settings, UpstreamFactory& upstream_factory, Log log);
   ~Engine() override;
 
-  /// Takes the list known before the start, and from here on asks `roster` for news.
-  void start(EndpointDiscovery& roster, const EndpointList& known);
-  /// Fronts outlive the engine's last event.
-  void add(Front& front);
+  /// Applies the endpoint list known before the start and uses `discovery` from now on.
+  void start(EndpointDiscovery& discovery, const EndpointList& known);
+  /// Adds a downstream, which must outlive the engine's last event.
+  void add(Downstream& downstream);
 
   // ---- Settings
 
-  /// New settings: classes, tenants, attempts and what the module may do. Requests that are open keep the
-  /// rules that they were taken under. Throws std::invalid_argument, and then nothing has changed.
+  /// Applies new settings. Open requests keep the rules that they arrived under. Throws
+  /// std::invalid_argument, and then nothing has changed. Cache-aside mode, the origin's kind, the way lists
+  /// are obtained and the own zone stay as they were at the start.
   void reconfigure(Config config, const std::vector<std::string>& class_names);
-  /// Totals that all routers share are divided by so many from now on.
+  /// Sets the number of routers that fleet-wide totals are divided by.
   void set_routers(std::uint32_t routers);
   [[nodiscard]] std::uint32_t routers() const { return config_.routers; }
-  /// What this router may use of totals that all share, from now on; and what it has had use for.
+  /// Sets this router's part of fleet-wide limits that are divided by demand; origin_work() is its demand.
   void set_shares(Shares shares);
   [[nodiscard]] OriginWork origin_work() const { return router_->origin_work(); }
   [[nodiscard]] const std::vector<Tenant>& tenants() const { return config_.tenants; }
@@ -76,65 +79,65 @@
 
   // ---- Operators
 
-  /// Disables a cache server, from now on and whatever lists say, or enables it again; then it counts as
-  /// started at `started`, a Unix time, unless a list tells of a later start. 0: as listed.
-  void set_override(const std::string& name, bool out, Time started);
-  /// Whether a list names it, and it is no origin.
-  [[nodiscard]] bool knows(const std::string& name) const { return endpoints_.lists_cache(name); }
+  /// Disables a cache server, whatever endpoint lists say, or enables it again. An enabled server counts as
+  /// started at `started` (Unix time in microseconds) unless a list has a later start; 0: as listed.
+  void set_override(const std::string& name, bool is_disabled, Time started);
+  /// Whether the endpoint list contains a cache server of this name.
+  [[nodiscard]] bool lists_cache(const std::string& name) const { return endpoints_.lists_cache(name); }
   [[nodiscard]] bool is_origin(const std::string& name) const { return endpoints_.is_origin(name); }
-  [[nodiscard]] EndpointRegistry::Counts hosts() const;
-  /// Sends clients away, or takes them again; the router goes on serving.
-  void send_clients_away(bool away);
+  [[nodiscard]] EndpointRegistry::Counts endpoint_counts() const;
+  /// Starts or ends draining: while draining, each response closes its client connection.
+  void set_draining(bool draining);
 
-  // ---- Figures
+  // ---- Metrics
 
   [[nodiscard]] const Counters& counts() const { return counters_; }
-  [[nodiscard]] const Figures& figures() const { return figures_; }
-  /// Requests by tenant since count_by_tenant(); none before it, so that nobody pays for what nobody reads.
+  [[nodiscard]] const RequestMetrics& metrics() const { return metrics_; }
+  /// Requests by tenant since count_by_tenant(), which is called only if somebody reads them.
   void count_by_tenant() { requests_by_tenant_.assign(config_.tenants.size(), 0); }
-  [[nodiscard]] const std::vector<std::uint64_t>& asked_by_tenant() const { return requests_by_tenant_; }
-  /// The most servers that were known at a time.
+  [[nodiscard]] const std::vector<std::uint64_t>& requests_by_tenant() const { return requests_by_tenant_; }
+  /// The greatest number of servers that were listed at a time.
   [[nodiscard]] std::size_t servers() const { return endpoints_.size(); }
   /// The counts in one line, with `more` in their midst.
   [[nodiscard]] std::string summary(const std::string& more) const { return counters_.summary(more); }
 
   // ---- The process
 
-  /// Goes on accepting for a little, finishes what was taken, then calls `done`.
-  void drain(std::function<void()> done);
-  /// The process was suspended for `length` microseconds: clients' deadlines, which are real, are that much
-  /// nearer, and what their time is up for ends now. Connections may have died unseen: no idle one is used
-  /// again.
+  /// Starts a graceful shutdown (see Shutdown) and calls `done` at its end.
+  void shut_down(std::function<void()> done);
+  /// The process was suspended for `length` microseconds of real time: clients' deadlines are that much
+  /// nearer, and requests past theirs fail now. Idle connections are closed, since they may have been lost
+  /// unnoticed.
   void process_suspended(Time length);
-  /// Closes the connection that has been idle for longest at some server; false: there was none.
+  /// Closes an idle upstream connection. Returns whether there was one.
   bool evict_idle_connection() { return endpoints_.evict_idle_connection(); }
 
-  // ActionSink: called by the module, from within its events only.
+  // ActionSink: called by the Router, only from within its events.
   void send(RequestId request, ServerId server, Time time_out) override;
   void cancel(RequestId request, std::uint32_t attempt) override;
-  void refuse(RequestId request, Time retry_after) override;
+  void reject(RequestId request, Time retry_after) override;
   void fail(RequestId request) override;
   void close_idle(ServerId server) override;
-  void watch_members() override;
+  void poll_discovery() override;
 
-  // Requests: called by fronts.
-  RequestId asked(const std::shared_ptr<ResponseSink>& asker, IncomingRequest incoming) override;
-  void withdrawn(RequestId request) override;
+  // RequestHandler: called by downstreams.
+  RequestId on_request(const std::shared_ptr<ResponseSink>& response_sink, IncomingRequest incoming) override;
+  void on_client_cancelled(RequestId request) override;
   void on_body_complete(RequestId request) override;
-  void turned_away(std::uint32_t request_class) override;
+  void on_rejected_unread(std::uint32_t request_class) override;
 
   // EndpointListObserver: called by discovery.
   void on_endpoint_list(const EndpointList& list) override;
   void on_discovery_failed() override;
 
-  // AttemptObserver: called by transports.
+  // AttemptObserver: called by upstreams.
   void on_attempt_ended(AttemptId attempt, Outcome outcome, Answer answer) override;
   std::optional<Time> may_write(AttemptId attempt) override;
 
  private:
-  /// Something to tell the module once it is not in a call: an attempt that ended, or, with the number kNone,
-  /// a request that may be forgotten.
-  struct Ended {
+  /// An event for the Router that waits until the Router is not in a call: an ended attempt or, with the
+  /// number kNone, a request that may be removed.
+  struct EndedAttempt {
     AttemptId attempt;
     Outcome outcome;
   };
@@ -144,21 +147,21 @@
   AttemptRecord* find(AttemptId attempt);
 
   // Requests
-  OpenRequest& open(RequestId id, const std::shared_ptr<ResponseSink>& asker, IncomingRequest& incoming);
-  void tell_module_of(RequestId id, const OpenRequest& open, const IncomingRequest& incoming);
-  void answer(RequestId request, Reply reply);
+  OpenRequest& open(RequestId id, const std::shared_ptr<ResponseSink>& response_sink,
+                    IncomingRequest& incoming);
+  void pass_to_router(RequestId id, const OpenRequest& open, const IncomingRequest& incoming);
+  void answer(RequestId request, Response reply);
   void fail_late(RequestId request);
-  void forget_if_done(RequestId request);
-  void withdraw_gone();
+  void remove_if_done(RequestId request);
+  void cancel_disconnected();
   static void end_upload(const OpenRequest& open);
   void cancel_unsent(RequestId request, const OpenRequest& open);
 
   // Attempts
   bool may_send(AttemptId id, const OpenRequest& open, Time begin_by);
-  Time deadline_to_tell(const OpenRequest& open, const AttemptRecord& attempt);
+  Time deadline_for_server(const OpenRequest& open, const AttemptRecord& attempt);
   void report(AttemptId attempt, Outcome outcome);
-  void tell_module_of_end(AttemptId id, const OpenRequest& open, const AttemptRecord& attempt,
-                          Outcome outcome);
+  void report_to_router(AttemptId id, const OpenRequest& open, const AttemptRecord& attempt, Outcome outcome);
   void fill_caches(const OpenRequest& open, const Answer& answer);
 
   // Endpoints
@@ -174,8 +177,8 @@
   void every_second();
 
   // Settings and shutdown
-  void name_figures();
-  void drain_fronts();
+  void bind_class_metrics();
+  void notify_drain_started();
   [[nodiscard]] std::size_t unanswered() const;
   void end_shutdown_phase();
   void fail_all_open();
@@ -183,15 +186,15 @@
 
   TimeSource& time_;
   Log log_;
-  EndpointDiscovery* roster_ = nullptr;
-  bool discovery_lost_ = false;  // the source ended since its last list
-  std::vector<Front*> fronts_;
-  bool clients_away_ = false;
+  EndpointDiscovery* discovery_ = nullptr;
+  bool discovery_lost_ = false;  // no list has come since the last failure
+  std::vector<Downstream*> downstreams_;
+  bool draining_ = false;
 
   Config config_;
   ClassTable classes_;
   bool has_origin_;
-  std::function<bool()> rests_;
+  std::function<bool()> is_idle_;
   std::optional<Router> router_;
   EndpointRegistry endpoints_;
 
@@ -199,8 +202,9 @@
   std::pmr::unordered_map<RequestId, OpenRequest> requests_{&pool_};
   TransactionIds transactions_{&pool_};
   RequestId last_request_ = 0;
-  std::deque<Ended> ended_;
-  std::vector<RequestId> gone_;  // whose clients were seen to have gone, and that are not withdrawn yet
+  std::deque<EndedAttempt> ended_attempts_;
+  std::vector<RequestId>
+      disconnected_requests_;  // whose clients were seen to have gone, and that are not withdrawn yet
   bool settling_ = false;
   CacheFillGuard cache_fill_guard_;
 
@@ -213,8 +217,8 @@
   std::function<void()> done_;
 
   Counters counters_;
-  Figures figures_;
-  std::vector<Figures::Ends*> figures_by_class_;
+  RequestMetrics metrics_;
+  std::vector<RequestMetrics::ClassCounts*> metrics_by_class_;
   std::vector<std::uint64_t> requests_by_tenant_;
 };
 
--- a/src/engine/engine_control.cpp
+++ b/src/engine/engine_control.cpp
@@ -1,4 +1,4 @@
-// What goes on beside requests: settings, endpoint lists, operators, time, suspension and shutdown.
+// Everything but requests and attempts: settings, endpoint lists, operators, time, suspension and shutdown.
 #include <algorithm>
 #include <utility>
 
@@ -13,14 +13,14 @@
 
 // ---- Settings
 
-void Engine::name_figures() {
-  figures_by_class_.resize(classes_.names().size());
-  for (std::size_t number = 0; number < figures_by_class_.size(); ++number) {
-    // Where no settings name a number any more, its figures are those of the class that it last had.
+void Engine::bind_class_metrics() {
+  metrics_by_class_.resize(classes_.names().size());
+  for (std::size_t number = 0; number < metrics_by_class_.size(); ++number) {
+    // A number that no settings name any more keeps the counts of its last class.
     const std::string& name = classes_.names()[number];
     const bool unnamed = name == "\n";
-    if (unnamed && figures_by_class_[number] != nullptr) continue;
-    figures_by_class_[number] = figures_.of(unnamed ? "" : name);
+    if (unnamed && metrics_by_class_[number] != nullptr) continue;
+    metrics_by_class_[number] = metrics_.class_counts(unnamed ? "" : name);
   }
 }
 
@@ -30,15 +30,15 @@
   ClassTable next = classes_;
   next.change(config.classes, class_names);
   config.classes = next.rules();
-  // These stay as they were at the start.
-  config.aside = config_.aside;
+  // These cannot change at run time.
+  config.cache_aside = config_.cache_aside;
   config.origin_kind = config_.origin_kind;
-  config.must_ask = config_.must_ask;
+  config.polls_discovery = config_.polls_discovery;
   config.zone = config_.zone;
   router_->on_config(time_.now(), config);
   classes_ = std::move(next);
   config_ = std::move(config);
-  name_figures();
+  bind_class_metrics();
   settle();
 }
 
@@ -82,51 +82,51 @@
   settle();
 }
 
-void Engine::watch_members() {
-  if (roster_ != nullptr) roster_->watch();
+void Engine::poll_discovery() {
+  if (discovery_ != nullptr) discovery_->watch();
 }
 
 // ---- Operators
 
-void Engine::set_override(const std::string& name, bool out, Time started) {
+void Engine::set_override(const std::string& name, bool is_disabled, Time started) {
   run_missed_ticks();
-  const std::optional<Member> member = endpoints_.set_override(name, {out, started}, time_.now());
+  const std::optional<Member> member = endpoints_.set_override(name, {is_disabled, started}, time_.now());
   if (!member) return;
   router_->on_members(time_.now(), Update::changes, {&*member, 1});
-  // This was no news from the source: where it has to be asked, that goes on.
+  // The override is no answer from discovery: a failed poll is still to be retried.
   if (discovery_lost_) router_->on_members(time_.now(), Update::failed, {});
   settle();
 }
 
-EndpointRegistry::Counts Engine::hosts() const {
-  return endpoints_.counts([this](ServerId id) { return router_->avoids(id); });
+EndpointRegistry::Counts Engine::endpoint_counts() const {
+  return endpoints_.counts([this](ServerId id) { return router_->is_ejected(id); });
 }
 
-void Engine::send_clients_away(bool away) {
-  const bool changes = std::exchange(clients_away_, away) != away;
+void Engine::set_draining(bool draining) {
+  const bool changes = std::exchange(draining_, draining) != draining;
   if (!changes || shutdown_.started()) return;
-  for (Front* const front : fronts_) {
-    if (away) {
-      front->drain();
+  for (Downstream* const downstream : downstreams_) {
+    if (draining) {
+      downstream->on_drain_started();
     } else {
-      front->end_drain();
+      downstream->on_drain_ended();
     }
   }
 }
 
 // ---- Time
 
-// The module is not to be called from within its own calls: what its actions ended is told here.
+// Reports what ended during the Router's actions, once the Router is not in a call.
 void Engine::settle() {
   if (settling_) return;
   settling_ = true;
-  while (!ended_.empty() || !gone_.empty()) {
-    if (!gone_.empty()) {
-      withdraw_gone();
+  while (!ended_attempts_.empty() || !disconnected_requests_.empty()) {
+    if (!disconnected_requests_.empty()) {
+      cancel_disconnected();
       continue;
     }
-    const Ended next = ended_.front();
-    ended_.pop_front();
+    const EndedAttempt next = ended_attempts_.front();
+    ended_attempts_.pop_front();
     report(next.attempt, next.outcome);
   }
   settling_ = false;
@@ -135,7 +135,7 @@
 }
 
 void Engine::arm() {
-  if (rests_ && requests_.empty()) {
+  if (is_idle_ && requests_.empty()) {
     wakeups_.rest();
     return;
   }
@@ -143,7 +143,7 @@
 }
 
 void Engine::run_missed_ticks() {
-  if (!rests_ || !wakeups_.resting()) return;
+  if (!is_idle_ || !wakeups_.resting()) return;
   engine::run_missed_ticks(*router_, time_.now());
   if (!second_armed_) every_second();
 }
@@ -151,7 +151,7 @@
 bool Engine::is_pending(const Deadline& deadline) const {
   const OpenRequest* const open = find(deadline.request);
   if (open == nullptr) return false;
-  if (!deadline.attempt) return !open->over;
+  if (!deadline.attempt) return !open->finished;
   return *deadline.attempt < open->attempts.size() && open->attempts[*deadline.attempt].live;
 }
 
@@ -164,25 +164,25 @@
       continue;
     }
     const AttemptId id{due->request, *due->attempt};
-    endpoints_.find(find(id)->server)->transport->forget(id, Transport::Forget::overdue);
-    ended_.push_back({id, Outcome::timeout});
+    endpoints_.find(find(id)->server)->upstream->cancel(id, CancelReason::timed_out);
+    ended_attempts_.push_back({id, Outcome::timeout});
   }
   settle();
   if (router_->next_wakeup() <= now) router_->on_wakeup(now);
   settle();
-  // Last: after a stall both may be due at once, and then the answer is still the module's to give.
+  // Last: after a stall both may be due at once, and the Router's answer takes precedence.
   for (const RequestId request : to_guard) guard_deadline(request);
   settle();
 }
 
-// The module owes an answer by the deadline it was told. Should it ever fail to, the client gets one all the
-// same, and the log says so: this is a fault of the module, not a way of ending requests.
+// The Router must finish each request by its deadline. If it does not, which is a fault of the Router, the
+// client gets a response all the same and the fault is logged.
 void Engine::guard_deadline(RequestId request) {
   const OpenRequest* const open = find(request);
-  if (open == nullptr || open->over) return;
+  if (open == nullptr || open->finished) return;
   ++counters_.deadline_guards;
   if (!shutdown_.started() && !open->deadline_moved)
-    log_("GUARD: the module left request " + open->message->txn + " unanswered");
+    log_("GUARD: the module left request " + open->message->transaction_id + " unanswered");
   fail_late(request);
 }
 
@@ -191,10 +191,10 @@
   std::vector<RequestId> late;
   for (auto& [id, open] : requests_) {
     open.deadline -= length;
-    open.guard -= length;
+    open.guard_at -= length;
     open.deadline_moved = true;
     for (AttemptRecord& attempt : open.attempts) attempt.expires -= length;
-    if (!open.over && open.deadline <= now) late.push_back(id);
+    if (!open.finished && open.deadline <= now) late.push_back(id);
   }
   deadlines_.advance_all(length);
   for (const RequestId id : late) fail_late(id);
@@ -206,33 +206,33 @@
 void Engine::every_second() {
   const Time now = time_.now();
   const Time keep_alive = config_.keep_alive;
-  // Closed a little before the server would: a request that crosses the server's close is lost.
+  // Closed shortly before the server would: a request that crosses the server's close is lost.
   if (keep_alive > 0) endpoints_.close_idle(now - std::max(keep_alive - 2 * kSecond, keep_alive * 8 / 10));
-  endpoints_.forget_unused();  // of those that went, the last answer may be through
+  endpoints_.forget_unused();  // the last streamed response of a departed server may be complete
   transactions_.forget_old(now);
-  second_armed_ = !rests_ || !requests_.empty() || !rests_();
+  second_armed_ = !is_idle_ || !requests_.empty() || !is_idle_();
   if (second_armed_) second_timer_->set(now + kSecond);
   settle();
 }
 
 // ---- Shutdown
 
-void Engine::drain_fronts() {
-  for (Front* const front : fronts_) front->drain();
+void Engine::notify_drain_started() {
+  for (Downstream* const downstream : downstreams_) downstream->on_drain_started();
 }
 
 std::size_t Engine::unanswered() const {
   std::size_t all = 0;
-  for (const Front* const front : fronts_) all += front->unanswered();
+  for (const Downstream* const downstream : downstreams_) all += downstream->unanswered();
   return all;
 }
 
-void Engine::drain(std::function<void()> done) {
+void Engine::shut_down(std::function<void()> done) {
   if (shutdown_.started()) return;
   done_ = std::move(done);
   shutdown_.start(time_.now(), classes_.longest_deadline());
-  for (Front* const front : fronts_) front->stopping();
-  drain_fronts();
+  for (Downstream* const downstream : downstreams_) downstream->on_shutdown_started();
+  notify_drain_started();
   shutdown_timer_->set(shutdown_.phase_end());
 }
 
@@ -242,19 +242,19 @@
     case ShutdownPhase::running:
     case ShutdownPhase::accepting: break;
     case ShutdownPhase::answering:
-      for (Front* const front : fronts_) front->stop_accepting();
-      drain_fronts();
+      for (Downstream* const downstream : downstreams_) downstream->stop_accepting();
+      notify_drain_started();
       shutdown_timer_->set(shutdown_.phase_end());
       finish_if_drained();
       break;
     case ShutdownPhase::last_writes:
       fail_all_open();
-      for (Front* const front : fronts_) front->stop_reading();
+      for (Downstream* const downstream : downstreams_) downstream->stop_reading();
       shutdown_timer_->set(shutdown_.phase_end());
       settle();
       break;
     case ShutdownPhase::over:
-      // A client that does not take its answer is not waited for any longer.
+      // Clients that do not read their responses are not waited for any longer.
       if (done_) std::exchange(done_, nullptr)();
       break;
   }
@@ -263,7 +263,7 @@
 void Engine::fail_all_open() {
   std::vector<RequestId> open;
   for (const auto& [id, request] : requests_)
-    if (!request.over) open.push_back(id);
+    if (!request.finished) open.push_back(id);
   for (const RequestId id : open) guard_deadline(id);
 }
 
--- a/src/engine/keys.h
+++ b/src/engine/keys.h
@@ -8,7 +8,6 @@
 #include <string>
 #include <string_view>
 
-#include "engine/node_names.h"
 #include "settings/settings.h"
 
 namespace streampick::engine {
--- a/src/engine/message.h
+++ b/src/engine/message.h
@@ -1,4 +1,5 @@
-// What passes between those who ask and those who serve, in no protocol's words.
+/// \file
+/// Requests and answers as they pass between downstreams and upstreams, independent of any protocol.
 #pragma once
 
 #include <cstddef>
@@ -9,77 +10,84 @@
 #include <vector>
 
 #include "engine/body_stream.h"
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
 
-// What is asked for. A read of a key's value and a write of it can be carried to any server; the others are
-// words that only a server of the client's own protocol can read. A transport rejects what it has no form
-// for.
+/// Reads and writes of a key's value can be sent to any server. The other two are commands of the client's
+/// own protocol; an upstream of another protocol rejects them.
 enum class Operation : std::uint8_t { read, write, other_read, other_write };
 
 constexpr bool is_write(Operation operation) {
   return operation == Operation::write || operation == Operation::other_write;
 }
 
-// A part of the memory set aside for large bodies, given back when its holder goes.
-class Lease {
+/// A reservation in a memory budget; released on destruction.
+class MemoryReservation {
  public:
-  Lease() = default;
-  Lease(std::shared_ptr<std::size_t> held, std::size_t bytes) : held_(std::move(held)), bytes_(bytes) {
-    *held_ += bytes_;
+  MemoryReservation() = default;
+  /// Adds `bytes` to `reserved`, the sum of all reservations.
+  MemoryReservation(std::shared_ptr<std::size_t> reserved, std::size_t bytes)
+      : reserved_(std::move(reserved)), bytes_(bytes) {
+    *reserved_ += bytes_;
   }
-  Lease(Lease&& other) noexcept : held_(std::move(other.held_)), bytes_(other.bytes_) {}
-  Lease& operator=(Lease&& other) noexcept {
-    std::swap(held_, other.held_);
+  MemoryReservation(MemoryReservation&& other) noexcept
+      : reserved_(std::move(other.reserved_)), bytes_(other.bytes_) {}
+  MemoryReservation& operator=(MemoryReservation&& other) noexcept {
+    std::swap(reserved_, other.reserved_);
     std::swap(bytes_, other.bytes_);
     return *this;
   }
-  explicit operator bool() const { return held_ != nullptr; }
-  ~Lease() {
-    if (held_) *held_ -= bytes_;
+  explicit operator bool() const { return reserved_ != nullptr; }
+  ~MemoryReservation() {
+    if (reserved_) *reserved_ -= bytes_;
   }
 
  private:
-  std::shared_ptr<std::size_t> held_;
+  std::shared_ptr<std::size_t> reserved_;
   std::size_t bytes_ = 0;
 };
 
-// The part of a request that goes on to a server, unchanged.
+/// The part of a request that is forwarded to a server unchanged.
 struct Message {
   Operation operation = Operation::read;
-  std::string target;           // the whole of what the client named, as it named it
-  std::string txn;              // the request's id: 16 hex digits
-  std::string idempotency_key;  // empty: none
-  std::string content_type;     // of the body; empty: not told
-  std::string body;             // of a write, where it is kept
-  Lease lease = {};             // ... and is over the usual size
-  // The body of a write that is too long to be kept: it goes on as it comes. Nothing of it can be had twice:
-  // once some was taken, the request can't be sent again.
+  std::string target;             ///< the whole request target, as the client sent it
+  std::string transaction_id;     ///< 16 hexadecimal digits
+  std::string idempotency_key;    ///< empty: none
+  std::string content_type;       ///< of the body; empty: not given
+  std::string body;               ///< of a write, unless it is streamed
+  MemoryReservation memory = {};  ///< for a body over the usual size
+  /// The body of a write that is too long to be buffered. Once a part of it was read, the request cannot be
+  /// sent again.
   std::shared_ptr<BodyStream> upload = {};
-  std::string key;  // the part of the target that names the object
-  // The command word by word, where a key and a body don't say all of it. A server that can't read it may
-  // still answer a plain read with the value.
+  std::string key;  ///< the part of the target that names the object
+  /// The command's words, where key and body do not say all of it. A server of another protocol can still
+  /// answer a plain read with the value.
   std::vector<std::string> words;
-  // Who asked can pass an answer's body on while it still comes.
-  bool in_parts = false;
-  bool repeatable = false;  // it may be sent again whatever came of it
+  bool accepts_streaming = false;  ///< the client can receive an answer's body while it still arrives
+  bool repeatable = false;         ///< may be sent again, whatever became of earlier attempts
 
-  bool spent() const { return upload && upload->taken() > 0; }
+  [[nodiscard]] bool body_consumed() const { return upload && upload->bytes_read() > 0; }
 };
 
-// What a server answered. `form` tells a value from the answers that hold none.
+/// What a server answered.
 struct Answer {
-  // old_value: what a write replaced.
-  enum class Form : std::uint8_t { value, old_value, nothing, count, done };
-  std::string content_type, body;
-  Lease lease = {};  // of a body over the usual size
+  enum class Form : std::uint8_t {
+    value,
+    old_value,  ///< the value that a write replaced
+    nothing,
+    count,
+    done,
+  };
+  std::string content_type;
+  std::string body;
+  MemoryReservation memory = {};  ///< for a body over the usual size
   Form form = Form::value;
-  std::int64_t count = 0;  // of Form::count
-  BodyReader stream = {};  // the body, where it comes in parts; `body` is empty then
+  std::int64_t count = 0;  ///< of Form::count
+  BodyReader stream = {};  ///< the body, if it is streamed; `body` is empty then
 };
 
+/// Names an attempt: the request and the attempt's number in it, from 0.
 struct AttemptId {
   RequestId request = 0;
   std::uint32_t number = 0;
--- a/src/engine/message_pool.h
+++ b/src/engine/message_pool.h
@@ -8,7 +8,6 @@
 #include <vector>
 
 #include "engine/message.h"
-#include "engine/node_names.h"
 
 namespace streampick::engine {
 
@@ -55,11 +54,11 @@
       std::unique_ptr<Message> message(used);
       if (store->free.size() >= kMostFree) return;
       message->operation = Operation::read;
-      message->in_parts = false;
-      message->lease = {};
+      message->accepts_streaming = false;
+      message->memory = {};
       message->upload.reset();
       message->words.clear();
-      for (std::string* text : {&message->target, &message->txn, &message->idempotency_key,
+      for (std::string* text : {&message->target, &message->transaction_id, &message->idempotency_key,
                                 &message->content_type, &message->body, &message->key}) {
         // What one client alone has made large is not kept for the others.
         if (text->capacity() > kLongestKept) std::string().swap(*text);
--- a/src/engine/open_request.cpp
+++ b/src/engine/open_request.cpp
@@ -17,15 +17,15 @@
 }
 
 void OpenRequest::set_deadline(Time gives_up) {
-  deadline = gives_up - answer_margin(patience);
-  guard = gives_up - std::min(kMaxGuardMargin, patience / 25);
+  deadline = gives_up - answer_margin(client_timeout);
+  guard_at = gives_up - std::min(kMaxGuardMargin, client_timeout / 25);
 }
 
-Time answer_margin(Time patience) { return std::min(kMaxAnswerMargin, patience / 10); }
+Time answer_margin(Time client_timeout) { return std::min(kMaxAnswerMargin, client_timeout / 10); }
 
 bool certainly_never_ran(Outcome outcome) {
   switch (outcome) {
-    case Outcome::full:
+    case Outcome::overloaded:
     case Outcome::connect_failed:
     case Outcome::not_sent:
     case Outcome::miss: return true;
@@ -40,7 +40,7 @@
     const AttemptRecord& earlier = request.attempts[i];
     if (earlier.never_ran) continue;
     if (rules.effect == Effect::unsafe) return earlier.sent;
-    latest = std::min(latest, earlier.sent + rules.window * 9 / 10);
+    latest = std::min(latest, earlier.sent + rules.idempotency_window * 9 / 10);
   }
   return latest;
 }
--- a/src/engine/open_request.h
+++ b/src/engine/open_request.h
@@ -7,10 +7,9 @@
 #include <memory>
 #include <string>
 
-#include "engine/figures.h"
-#include "engine/front.h"
+#include "engine/downstream.h"
 #include "engine/message.h"
-#include "engine/node_names.h"
+#include "engine/request_metrics.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
@@ -27,22 +26,22 @@
 
 /// A request from its arrival until its answer was given and its last attempt has ended.
 struct OpenRequest {
-  std::shared_ptr<ResponseSink> asker;  ///< none once it has its final answer or its client has gone
+  std::shared_ptr<ResponseSink> response_sink;  ///< none once it has its final answer or its client has gone
   std::shared_ptr<const Message> message;
   std::uint64_t tag = 0;  ///< the front's own
   std::uint64_t transaction = 0;
   std::uint64_t key = 0;
   std::uint32_t request_class = 0;
-  Time patience = 0;  ///< how long its client waits, from its last byte on
+  Time client_timeout = 0;  ///< how long its client waits, from its last byte on
   Time arrived = 0;
-  Time deadline = 0;  ///< attempts end by then, so that the answer reaches the client in time
-  Time guard = 0;     ///< the deadline guard answers then
-  std::string why;    ///< a server's own words for what is wrong with the request
-  Figures::Ticket ticket;
+  Time deadline = 0;          ///< attempts end by then, so that the answer reaches the client in time
+  Time guard_at = 0;          ///< the deadline guard answers then
+  std::string error_message;  ///< a server's own words for what is wrong with the request
+  RequestMetrics::InFlight in_flight;
   boost::container::small_vector<AttemptRecord, 4> attempts;
-  bool over = false;  ///< it has its final answer, or its client has gone
+  bool finished = false;  ///< it has its final answer, or its client has gone
   bool may_have_run = false;
-  bool absent = false;          ///< what is asked for does not exist
+  bool not_found = false;       ///< what is asked for does not exist
   bool deadline_moved = false;  ///< its deadline is not the one that the module was told
   bool client_gone = false;     ///< seen before a write; it is withdrawn once the module is not in a call
 
@@ -55,7 +54,7 @@
 };
 
 /// Of a client's patience, what the last steps of an answer may take.
-Time answer_margin(Time patience);
+Time answer_margin(Time client_timeout);
 
 /// Whether an attempt that ended so certainly had no effect. Transports tell these outcomes only where the
 /// last byte of the request never left, or the server itself says that it did nothing.
--- a/src/engine/server_starts.h
+++ b/src/engine/server_starts.h
@@ -25,7 +25,6 @@
 #include <unordered_map>
 
 #include "engine/endpoint_discovery.h"
-#include "engine/node_names.h"
 #include "engine/time.h"
 #include "engine/wall_clock_history.h"
 
--- a/src/engine/shutdown.h
+++ b/src/engine/shutdown.h
@@ -4,7 +4,6 @@
 
 #include <cstdint>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
--- a/src/engine/time.h
+++ b/src/engine/time.h
@@ -9,7 +9,6 @@
 #include <functional>
 #include <memory>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
--- a/src/engine/transaction_ids.h
+++ b/src/engine/transaction_ids.h
@@ -7,7 +7,6 @@
 #include <memory_resource>
 #include <unordered_set>
 
-#include "engine/node_names.h"
 #include "streampick/router.h"
 
 namespace streampick::engine {
--- a/src/engine/wakeup_scheduler.h
+++ b/src/engine/wakeup_scheduler.h
@@ -5,7 +5,6 @@
 #include <functional>
 #include <memory>
 
-#include "engine/node_names.h"
 #include "engine/time.h"
 #include "streampick/router.h"
 
--- a/src/engine/wall_clock_history.h
+++ b/src/engine/wall_clock_history.h
@@ -10,7 +10,6 @@
 #include <optional>
 #include <vector>
 
-#include "engine/node_names.h"
 #include "engine/time.h"
 
 namespace streampick::engine {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-Fleet::Fleet(boost::asio::io_context& io, node::TimeSource& time, const Options& options, std::uint64_t seed,
-             std::uint32_t constant, Hooks hooks)
+Fleet::Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options,
+             std::uint64_t seed, std::uint32_t constant, Hooks hooks)
     : time_(time),
       options_(options),
       hooks_(std::move(hooks)),
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -36,7 +36,7 @@
     std::vector<Tenant> all;
   };
   // `constant`: the number of routers in the platform's settings.
-  Fleet(boost::asio::io_context& io, node::TimeSource& time, const Options& options, std::uint64_t seed,
+  Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options, std::uint64_t seed,
         std::uint32_t constant, Hooks hooks);
   // Limits that are shared, from now on.
   void share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
@@ -67,7 +67,7 @@
   void look_at_roster();
   membership::Facts facts(bool draining) const;
 
-  node::TimeSource& time_;
+  engine::TimeSource& time_;
   Options options_;
   Hooks hooks_;
   RouterCount count_;
--- a/src/fleet/limits.cpp
+++ b/src/fleet/limits.cpp
@@ -24,13 +24,13 @@
 const shares::LimitId kOriginId = limit_id(kOriginPlaces);
 
 bool same(const Shares& one, const Shares& other) {
-  return one.quotas == other.quotas && one.origin_floor == other.origin_floor &&
-         one.origin_leased == other.origin_leased && one.origin_until == other.origin_until;
+  return one.quotas == other.quotas && one.origin_reserved == other.origin_reserved &&
+         one.origin_leased == other.origin_leased && one.origin_lease_end == other.origin_lease_end;
 }
 
 }  // namespace
 
-Limits::Limits(node::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
+Limits::Limits(engine::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
                const std::vector<Tenant>& tenants, shares::Boot boot, std::uint64_t seed, Hooks hooks)
     : time_(time),
       options_(options),
@@ -123,10 +123,10 @@
 void Limits::look_at_use(Time now) {
   if (options_.origin_places <= 0) return;
   const OriginWork work = hooks_.origin();
-  origin_most_ = std::max(origin_most_, work.out + static_cast<double>(work.waiting));
+  origin_most_ = std::max(origin_most_, work.in_flight + static_cast<double>(work.queued));
   double most = origin_most_;
   for (const Sample& one : samples_) most = std::max(most, one.origin);
-  core_.demand(now, kOriginId, most, work.out);
+  core_.demand(now, kOriginId, most, work.in_flight);
 }
 
 void Limits::after(Time now) {
@@ -138,9 +138,9 @@
                                                 : quota.total / core_.routers());
   if (options_.origin_places > 0) {
     const Part part = core_.part(kOriginId);
-    own.origin_floor = part.floor;
+    own.origin_reserved = part.floor;
     own.origin_leased = part.amount;
-    own.origin_until = part.until;
+    own.origin_lease_end = part.until;
   }
   if (!told_once_ || !same(own, last_)) {
     told_once_ = true;
@@ -179,7 +179,7 @@
     one["for_ms"] = std::max<Time>(0, part.until - now) / 1'000;
     one["usable"] = part.usable(now);
     one["wanted"] = core_.wanted(limit.id);
-    if (limit.name == kOriginPlaces) one["out"] = hooks_.origin().out;
+    if (limit.name == kOriginPlaces) one["out"] = hooks_.origin().in_flight;
     if (const shares::Ledger* ledger = core_.ledger(limit.id))
       one["at_home"] = {
           {"out", ledger->out(now)}, {"wanted", ledger->wanted()}, {"holders", ledger->holders()}};
--- a/src/fleet/limits.h
+++ b/src/fleet/limits.h
@@ -30,7 +30,7 @@
     std::function<void(std::string_view)> log;
   };
   // `boot`: a random number of this process, not 0.
-  Limits(node::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
+  Limits(engine::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
          const std::vector<Tenant>& tenants, shares::Boot boot, std::uint64_t seed, Hooks hooks);
 
   void begin();  // messages get through from now on
@@ -61,7 +61,7 @@
   double rate(std::size_t tenant, std::size_t samples) const;
   const Sample& back(std::size_t count) const { return samples_[(at_ + kSamples - count) % kSamples]; }
 
-  node::TimeSource& time_;
+  engine::TimeSource& time_;
   ShareOptions options_;
   struct Quota {
     shares::LimitId id = 0;
@@ -70,7 +70,7 @@
   std::vector<Quota> quotas_;  // by tenant
   Hooks hooks_;
   shares::Core core_;
-  std::unique_ptr<node::Timer> timer_;
+  std::unique_ptr<engine::Timer> timer_;
   std::array<Sample, kSamples> samples_;  // a ring; at_ is the last one
   std::size_t at_ = 0, sampled_ = 0;
   std::size_t until_view_ = 0;  // samples
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -16,7 +16,7 @@
 using membership::udp;
 
 Address parse_address(const std::string& text) {
-  const auto endpoint = node::parse_endpoint(text);
+  const auto endpoint = net::parse_endpoint(text);
   if (!endpoint || endpoint->port() == 0) return 0;
   return membership::address_of(udp::endpoint(endpoint->address(), endpoint->port()));
 }
@@ -84,12 +84,12 @@
 namespace {
 
 udp::endpoint to_udp(const std::string& text) {
-  const auto endpoint = node::parse_endpoint(text);
+  const auto endpoint = net::parse_endpoint(text);
   return {endpoint->address(), endpoint->port()};
 }
 
 // The platform's way: `peer_listen`, and `peers` by number.
-void take_peers(Options& options, const node::NodeSettings& settings, const JsonValue& config,
+void take_peers(Options& options, const platform::NodeSettings& settings, const JsonValue& config,
                 const std::string& file) {
   const char* const expected = "an address and a port, as 10.0.0.4:7946";
   const auto endpoint = [&](const JsonValue& value) {
@@ -116,7 +116,7 @@
 
 }  // namespace
 
-void resolve(Options& options, const node::NodeSettings& settings, const std::string& file) {
+void resolve(Options& options, const platform::NodeSettings& settings, const std::string& file) {
   if (!options.on) return;
   if (!settings.settings.may_talk)
     throw options::Error(
--- a/src/fleet/options.h
+++ b/src/fleet/options.h
@@ -8,7 +8,7 @@
 #include "membership/settings.h"
 #include "options/table.h"
 
-namespace streampick::node {
+namespace streampick::platform {
 struct NodeSettings;
 }
 
@@ -27,7 +27,7 @@
 
 // Both throw options::Error. `file`: the options file's name.
 Options read_options(options::Table table);
-void resolve(Options& options, const node::NodeSettings& settings, const std::string& file);
+void resolve(Options& options, const platform::NodeSettings& settings, const std::string& file);
 std::string describe(const Options& options);
 
 // "10.0.0.4:7946"; 0: it is no such thing.
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -29,7 +29,7 @@
 }
 
 // What is out at the origin ends with its request's time.
-Time longest_work(const node::NodeSettings& settings) {
+Time longest_work(const platform::NodeSettings& settings) {
   Time out = 0;
   for (const RequestClass& kind : settings.settings.config.classes) out = std::max(out, kind.deadline);
   return out;
@@ -66,7 +66,7 @@
   return out;
 }
 
-void resolve(ShareOptions& options, const Options& fleet, const node::NodeSettings& settings,
+void resolve(ShareOptions& options, const Options& fleet, const platform::NodeSettings& settings,
              const std::string& file) {
   if (!options.on) return;
   const auto wrong = [&](const std::string& what) { throw options::Error(file + ": shares" + what); };
@@ -100,7 +100,8 @@
     if (!ids.insert(limit.id).second) wrong(": two limits have one number; rename tenant of " + limit.name);
 }
 
-void check_work(const ShareOptions& options, const node::NodeSettings& settings, const std::string& file) {
+void check_work(const ShareOptions& options, const platform::NodeSettings& settings,
+                const std::string& file) {
   const Time longest = longest_work(settings);
   if (options.on && options.core.work < longest)
     throw options::Error(
--- a/src/fleet/share_options.h
+++ b/src/fleet/share_options.h
@@ -20,11 +20,11 @@
 
 // Both throw options::Error. `file`: the options file's name. `fleet` is resolved.
 ShareOptions read_share_options(options::Table table);
-void resolve(ShareOptions& options, const Options& fleet, const node::NodeSettings& settings,
+void resolve(ShareOptions& options, const Options& fleet, const platform::NodeSettings& settings,
              const std::string& file);
 // Whether what a router sends to the origin under these settings has ended within the time that homes reckon
 // with. Throws options::Error: it has not.
-void check_work(const ShareOptions& options, const node::NodeSettings& settings, const std::string& file);
+void check_work(const ShareOptions& options, const platform::NodeSettings& settings, const std::string& file);
 std::string describe(const ShareOptions& options);
 
 // What is shared where the platform's settings have these tenants.
--- a/src/http1/front.cpp
+++ b/src/http1/front.cpp
@@ -15,7 +15,7 @@
 #include "http1/reader.h"
 #include "net/log.h"
 
-namespace streampick::node {
+namespace streampick::http1 {
 
 namespace {
 
@@ -57,24 +57,26 @@
   unsigned status = 200;
   std::string content_type, body;
   Time retry_after = 0;  // 0: no advice
-  Lease lease = {};
-  BodyReader stream = {};  // the body, where it comes in parts
-  Figures::Ticket ticket = {};
+  engine::MemoryReservation reservation = {};
+  engine::BodyReader stream = {};  // the body, where it comes in parts
+  engine::RequestMetrics::InFlight in_flight = {};
 };
 
-Response response_for(Reply reply) {
+Response response_for(engine::Response reply) {
   Response out;
   switch (reply.kind) {
-    case Reply::Kind::served:
+    case engine::Response::Kind::served:
       out = {200, std::move(reply.answer.content_type), std::move(reply.answer.body),
-             0,   std::move(reply.answer.lease),        std::move(reply.answer.stream)};
+             0,   std::move(reply.answer.memory),       std::move(reply.answer.stream)};
       break;
-    case Reply::Kind::refused:
+    case engine::Response::Kind::rejected:
       out = {503, "text/plain", "refused; it is safe to try again\n", reply.retry_after, {}};
       break;
-    case Reply::Kind::failed: out = {reply.late ? 504U : 502U, "text/plain", "failed\n", 0, {}}; break;
+    case engine::Response::Kind::failed:
+      out = {reply.late ? 504U : 502U, "text/plain", "failed\n", 0, {}};
+      break;
   }
-  out.ticket = std::move(reply.ticket);
+  out.in_flight = std::move(reply.in_flight);
   return out;
 }
 
@@ -84,13 +86,14 @@
 
 // A header that says two things says nothing; trailers count too.
 bool says_twice(const RequestHead& head) {
-  return std::max({head.txn.times, head.lane.times, head.remaining.times, head.org.times, head.estimate.times,
-                   head.idempotency_key.times}) > 1;
+  return std::max({head.transaction_id.times, head.lane.times, head.remaining.times, head.org.times,
+                   head.estimate.times, head.idempotency_key.times}) > 1;
 }
 
 // What the message asks for, or the answer that says what is wrong with it.
-std::variant<IncomingRequest, Response> read_request(const RequestHead& head, std::string& body,
-                                                     const Names& names, MessagePool& messages) {
+std::variant<engine::IncomingRequest, Response> read_request(const RequestHead& head, std::string& body,
+                                                             const Names& names,
+                                                             engine::MessagePool& messages) {
   if (!host_is_plain(head.version, head.host.times, head.host.value))
     return problem(400, "one Host, and no other");
   const std::string_view target = origin_form(head.target);
@@ -99,7 +102,7 @@
   const std::size_t slash = path.find('/', 1);
   const std::string_view first = path.substr(1, slash == std::string_view::npos ? slash : slash - 1);
   const std::string_view key = slash == std::string_view::npos ? "" : path.substr(path.rfind('/') + 1);
-  IncomingRequest out;
+  engine::IncomingRequest out;
   out.request_class = index_of(names.classes, first);
 
   const std::string_view lane = head.lane.value;
@@ -117,9 +120,9 @@
   if (write && names.keyed.at(out.request_class) && head.idempotency_key.value.empty())
     return problem(400, "no Idempotency-Key");
   if (says_twice(head)) return problem(400, "a header stands there twice");
-  const auto id = parse_hex(head.txn.value);
+  const auto id = parse_hex(head.transaction_id.value);
   if (!id) return problem(400, "X-Txn must be 16 hex digits");
-  out.txn = *id;
+  out.transaction_id = *id;
   const auto remaining = parse_seconds(head.remaining.value);
   if (!remaining) return problem(400, "X-Remaining must be a number of seconds");
   out.remaining = *remaining;
@@ -132,14 +135,14 @@
     out.cost_hint = static_cast<Time>(*hint);
 
   out.message = messages.take();
-  out.message->operation = write ? Operation::write : Operation::read;
+  out.message->operation = write ? engine::Operation::write : engine::Operation::read;
   out.message->target = target;
   out.message->key = key;
-  out.message->txn = head.txn.value;
+  out.message->transaction_id = head.transaction_id.value;
   out.message->idempotency_key = head.idempotency_key.value;
   out.message->content_type = head.content_type.value;
   out.message->body = std::move(body);
-  out.message->in_parts = true;
+  out.message->accepts_streaming = true;
   return out;
 }
 
@@ -153,12 +156,12 @@
 // Its socket is read at all times, so that a client that goes away is noticed while its request is in work;
 // what it sends ahead waits in the buffer. The loop's own read is registered once and costs no system call
 // but the read itself; what fills the chunk is followed by another at once.
-class Clients::Session final : public ResponseSink, public std::enable_shared_from_this<Session> {
+class Clients::Session final : public engine::ResponseSink, public std::enable_shared_from_this<Session> {
  public:
-  Session(Clients& owner, tcp::socket socket)
+  Session(Clients& owner, net::tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), since_(owner.clock_.now()) {
-    error_code ignored;
-    socket_.set_option(tcp::no_delay(true), ignored);
+    net::error_code ignored;
+    socket_.set_option(net::tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
     next_message();
   }
@@ -166,14 +169,14 @@
 
   // The first request is most often there already.
   void begin() {
-    error_code error;
+    net::error_code error;
     const std::size_t got = socket_.read_some(asio::buffer(chunk_), error);
     if (error && error != asio::error::would_block) return close();
     if (!error) received(got);
     wait();
   }
 
-  void reply(std::uint64_t, Reply reply) override {
+  void respond(std::uint64_t, engine::Response reply) override {
     if (owner_ == nullptr || (state_ != State::asked && state_ != State::uploading)) return;
     if (state_ == State::uploading) last_ = true;  // the rest of its body is still to come
     answer(response_for(std::move(reply)));
@@ -188,7 +191,7 @@
 
   Time since() const { return since_; }
   bool unread() const {
-    error_code ignored;
+    net::error_code ignored;
     return socket_.available(ignored) > 0;
   }
   // Its client has ended the connection, and we are not reading, so that nothing tells: what it sent ahead or
@@ -235,25 +238,25 @@
   void close() {
     if (owner_ == nullptr) return;
     Clients& owner = *std::exchange(owner_, nullptr);
-    error_code ignored;
+    net::error_code ignored;
     socket_.close(ignored);
-    lease_ = {};
-    ticket_ = {};
+    reservation_ = {};
+    in_flight_ = {};
     stream_.reset();
-    end_upload(BodyStream::State::cut);
+    end_upload(engine::BodyStream::State::truncated);
     const RequestId gone =
         state_ == State::asked || state_ == State::uploading ? std::exchange(request_, 0) : 0;
     const auto self = shared_from_this();
     owner.closed(place_, state_);
     if (gone == 0) return;
     ++owner.counts_.left;
-    owner.requests_.withdrawn(gone);
+    owner.requests_.on_client_cancelled(gone);
   }
   void detach() {
     owner_ = nullptr;
     stream_.reset();
-    end_upload(BodyStream::State::cut);
-    error_code ignored;
+    end_upload(engine::BodyStream::State::truncated);
+    net::error_code ignored;
     socket_.close(ignored);
   }
 
@@ -297,7 +300,7 @@
     if (state_ == State::uploading && held_) return;     // again once there is room
     waiting_ = true;
     socket_.async_read_some(asio::buffer(chunk_),
-                            [self = shared_from_this()](error_code error, std::size_t got) {
+                            [self = shared_from_this()](net::error_code error, std::size_t got) {
                               self->waiting_ = false;
                               if (self->owner_ == nullptr) return;
                               if (error) return self->close();
@@ -340,7 +343,8 @@
     if (upload_ended_) return;
     const std::size_t all = ahead_.size() + bytes.size();
     if (!flooded_ && all > kMostAhead && !ahead_lease_ && all <= kMostAheadKept)
-      if (auto lease = owner_->links_.lease(kMostAheadKept)) ahead_lease_ = std::move(*lease);
+      if (auto reservation = owner_->links_.reservation(kMostAheadKept))
+        ahead_lease_ = std::move(*reservation);
     flooded_ = flooded_ || all > (ahead_lease_ ? kMostAheadKept : kMostAhead);
     if (flooded_) {
       discarded_ += bytes.size();
@@ -361,7 +365,7 @@
   std::size_t parse(std::string_view bytes) {
     // A first request's time counts from when its connection was accepted, however slowly it drips in.
     if (state_ == State::idle && !bytes.empty()) enter(State::begun);
-    error_code failed;
+    net::error_code failed;
     const std::size_t used = parser_->read(bytes, failed);
     more_ = used < bytes.size();
     if (failed) {
@@ -414,19 +418,19 @@
     const std::uint64_t least = std::max<std::uint64_t>(length.value_or(0), in_body_.size());
     if (least <= kLongestBody || in_lease_) return least <= kMostKept;
     if (least > kMostKept) return false;
-    auto lease = owner_->links_.lease(length ? static_cast<std::size_t>(*length) : kMostKept);
-    if (lease) in_lease_ = std::move(*lease);
+    auto reservation = owner_->links_.reservation(length ? static_cast<std::size_t>(*length) : kMostKept);
+    if (reservation) in_lease_ = std::move(*reservation);
     return static_cast<bool>(in_lease_);
   }
   void no_memory() {
     last_ = last_ || !parser_->is_done() || !parser_->keep_alive();
     upload_ended_ = !parser_->is_done();
     const std::uint32_t request_class = index_of(owner_->names_.classes, head_.lane.value);
-    if (request_class != kNone) owner_->requests_.turned_away(request_class);
+    if (request_class != kNone) owner_->requests_.on_rejected_unread(request_class);
     answer({503,
             "text/plain",
             "refused, no memory for the body now; it is safe to try again\n",
-            owner_->admission_.retry_after(hash_name(head_.txn.value)),
+            owner_->admission_.retry_after(hash_name(head_.transaction_id.value)),
             {},
             {}});
   }
@@ -434,7 +438,7 @@
     if (parser_->is_header_done() && !told_to_go_on_ && beast::iequals(head_.expect.value, "100-continue")) {
       told_to_go_on_ = true;
       static constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-      error_code ignored;
+      net::error_code ignored;
       socket_.write_some(asio::buffer(go_on), ignored);
     }
   }
@@ -442,40 +446,40 @@
   // A long body: it is asked for now, and its body goes on as it comes.
   void upload() {
     if (head_.method != http::verb::put) return wrong(problem(413, "the body is over 64 KiB"));
-    auto lease = owner_->links_.lease(kPartsWaiting);
-    if (!lease) return no_memory();
+    auto reservation = owner_->links_.reservation(kPartsWaiting);
+    if (!reservation) return no_memory();
     std::string none;
     auto read = read_request(head_, none, owner_->names_, owner_->messages_);
     if (Response* problem_found = std::get_if<Response>(&read)) return wrong(std::move(*problem_found));
-    in_lease_ = std::move(*lease);
+    in_lease_ = std::move(*reservation);
     const auto length = parser_->content_length();
-    upload_ = std::make_shared<BodyStream>(length ? std::optional<std::uint64_t>(*length) : std::nullopt,
-                                           kPartsWaiting);
+    upload_ = std::make_shared<engine::BodyStream>(
+        length ? std::optional<std::uint64_t>(*length) : std::nullopt, kPartsWaiting);
     const auto post = [weak = weak_from_this()](void (Session::*what)()) {
       if (const auto self = weak.lock())
         asio::post(self->socket_.get_executor(), [self, what] {
           if (self->owner_ != nullptr) (self.get()->*what)();
         });
     };
-    upload_->room = [post] { post(&Session::there_is_room); };
+    upload_->on_writable = [post] { post(&Session::there_is_room); };
     last_ = !parser_->keep_alive();
     go_over(State::uploading);
-    auto incoming = std::get<IncomingRequest>(std::move(read));
+    auto incoming = std::get<engine::IncomingRequest>(std::move(read));
     incoming.message->upload = upload_;
     pass_body_on();
-    const RequestId request = owner_->requests_.asked(shared_from_this(), std::move(incoming));
+    const RequestId request = owner_->requests_.on_request(shared_from_this(), std::move(incoming));
     if (request == 0) {
-      end_upload(BodyStream::State::cut);
+      end_upload(engine::BodyStream::State::truncated);
       return wrong(problem(409, "a request with this X-Txn is open"));
     }
     if (state_ == State::uploading) request_ = request;
   }
   void pass_body_on() {
-    held_ = !upload_->put(in_body_);
+    held_ = !upload_->write(in_body_);
     in_body_.clear();
   }
   void upload_more() {
-    error_code failed;
+    net::error_code failed;
     const std::size_t used = parser_->read(ahead_, failed);
     ahead_.erase(0, used);
     count_body(used);
@@ -488,7 +492,7 @@
     }
     pass_body_on();
     if (!parser_->is_done()) return;
-    end_upload(BodyStream::State::whole);
+    end_upload(engine::BodyStream::State::complete);
     enter(State::asked);
     owner_->requests_.on_body_complete(request_);
   }
@@ -499,10 +503,10 @@
     last_body_bytes_ = since_;
     wait();
   }
-  void end_upload(BodyStream::State how) {
+  void end_upload(engine::BodyStream::State how) {
     if (!upload_) return;
     const auto upload = std::exchange(upload_, nullptr);
-    upload->room = nullptr;
+    upload->on_writable = nullptr;
     held_ = false;
     upload->end(how);
   }
@@ -510,9 +514,9 @@
   void give_upload_up() {
     if (state_ != State::uploading) return;
     const RequestId gone = std::exchange(request_, 0);
-    end_upload(BodyStream::State::cut);
+    end_upload(engine::BodyStream::State::truncated);
     upload_ended_ = true;
-    if (gone != 0) owner_->requests_.withdrawn(gone);
+    if (gone != 0) owner_->requests_.on_client_cancelled(gone);
   }
 
   // Turned away while the loop is behind: before a body is read, and before anything is made of the head.
@@ -525,10 +529,10 @@
     const auto remaining = parse_seconds(head_.remaining.value);
     const std::uint32_t request_class = index_of(owner_->names_.classes, first);
     if (!remaining || request_class == kNone) return false;
-    const std::uint64_t id = hash_name(head_.txn.value);
+    const std::uint64_t id = hash_name(head_.transaction_id.value);
     if (!owner_->admission_.refuses(request_class, *remaining, id)) return false;
     ++owner_->counts_.shed;
-    owner_->requests_.turned_away(request_class);
+    owner_->requests_.on_rejected_unread(request_class);
     // A body that is still to come would have to be read first.
     last_ = !parser_->is_done() || !parser_->keep_alive();
     answer({503,
@@ -551,11 +555,11 @@
     auto read = read_request(head_, in_body_, owner_->names_, owner_->messages_);
     if (Response* problem_found = std::get_if<Response>(&read)) return wrong(std::move(*problem_found));
     if (large && head_.method != http::verb::put) return wrong(problem(413, "the body is over 64 KiB"));
-    if (large) std::get<IncomingRequest>(read).message->lease = std::move(in_lease_);
+    if (large) std::get<engine::IncomingRequest>(read).message->memory = std::move(in_lease_);
     enter(State::asked);
     // It may be answered within the call, before its id is known here.
     const RequestId request =
-        owner_->requests_.asked(shared_from_this(), std::get<IncomingRequest>(std::move(read)));
+        owner_->requests_.on_request(shared_from_this(), std::get<engine::IncomingRequest>(std::move(read)));
     if (request == 0) return wrong(problem(409, "a request with this X-Txn is open"));
     if (state_ == State::asked) request_ = request;
   }
@@ -569,14 +573,14 @@
   void answer(Response reply) {
     if (reply.status >= 400 && reply.status < 500) ++owner_->counts_.unread;
     if (upload_) {
-      end_upload(BodyStream::State::cut);
+      end_upload(engine::BodyStream::State::truncated);
       upload_ended_ = true;
     }
     in_lease_ = {};
     enter(State::writing);
     request_ = 0;
     decide_whether_last();
-    ticket_ = std::move(reply.ticket);
+    in_flight_ = std::move(reply.in_flight);
     stream_ = std::move(reply.stream);
     in_chunks_ = stream_ && !stream_->length() && head_.version != 10;
     // Where nothing else marks the end of a body, the connection's does.
@@ -598,10 +602,10 @@
     }
     out_head_ += "\r\n\r\n";
     out_body_ = std::move(reply.body);
-    lease_ = std::move(reply.lease);
+    reservation_ = std::move(reply.reservation);
     written_ = 0;
     if (stream_)
-      stream_->came = [weak = weak_from_this()] {
+      stream_->on_readable = [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && self->owner_ != nullptr && std::exchange(self->part_wanted_, false)) self->push();
       };
@@ -624,14 +628,15 @@
   void push() {
     for (;;) {
       while (owner_ != nullptr && written_ < out_head_.size() + out_body_.size()) {
-        error_code error;
+        net::error_code error;
         written_ += write_rest(socket_, out_head_, out_body_, written_, error);
         if (error == asio::error::would_block) {
-          socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
-            if (self->owner_ == nullptr) return;
-            if (failed) return self->close();
-            self->push();
-          });
+          socket_.async_wait(net::tcp::socket::wait_write,
+                             [self = shared_from_this()](net::error_code failed) {
+                               if (self->owner_ == nullptr) return;
+                               if (failed) return self->close();
+                               self->push();
+                             });
           return;
         }
         if (error) return end_soon();
@@ -652,7 +657,7 @@
   bool next_part() {
     out_head_.clear();
     written_ = 0;
-    if (stream_->take(out_body_)) {
+    if (stream_->read(out_body_)) {
       enter(State::writing);  // it moves
       if (!in_chunks_) return true;
       std::array<char, 20> size{};
@@ -663,17 +668,17 @@
       return true;
     }
     switch (stream_->state()) {
-      case BodyStream::State::open: part_wanted_ = true; return false;
-      case BodyStream::State::whole:
+      case engine::BodyStream::State::open: part_wanted_ = true; return false;
+      case engine::BodyStream::State::complete:
         stream_.reset();
         if (in_chunks_) out_head_ = "0\r\n\r\n";
         return true;
-      case BodyStream::State::cut: break;
+      case engine::BodyStream::State::truncated: break;
     }
-    ticket_.becomes(Figures::End::failure);
+    in_flight_.set_result(engine::RequestMetrics::Result::failed);
     // The client must see that it is not whole, also where the end of the connection is the body's: by a
     // reset.
-    error_code ignored;
+    net::error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     end_soon();
     return false;
@@ -687,8 +692,8 @@
   void written() {
     if (owner_ == nullptr) return;
     std::string().swap(out_body_);
-    lease_ = {};
-    ticket_ = {};
+    reservation_ = {};
+    in_flight_ = {};
     if (last_) return leave();
     next_message();
     enter(State::idle);
@@ -713,25 +718,25 @@
     std::string().swap(ahead_);
     ahead_lease_ = {};
     discarded_ = 0;
-    error_code ignored;
-    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    net::error_code ignored;
+    socket_.shutdown(net::tcp::socket::shutdown_send, ignored);
     wait();
   }
 
   Clients* owner_;  // none once it is closed
-  tcp::socket socket_;
-  std::string ahead_;  // came, and is not parsed yet
-  Lease ahead_lease_;  // where that is much
+  net::tcp::socket socket_;
+  std::string ahead_;                      // came, and is not parsed yet
+  engine::MemoryReservation ahead_lease_;  // where that is much
   RequestHead head_;
   std::string in_body_, out_head_, out_body_;
   std::optional<RequestReader> parser_;
-  Lease lease_;  // of the answer's body
-  Figures::Ticket ticket_;
-  Lease in_lease_;                      // of a long body that comes
-  std::shared_ptr<BodyStream> upload_;  // where it goes, if it goes on as it comes
-  std::size_t body_got_ = 0;            // bytes of the message since its head was read
-  Time last_body_bytes_ = 0;            // when the last of them came
-  BodyReader stream_;                   // the rest of it, where it comes in parts
+  engine::MemoryReservation reservation_;  // of the answer's body
+  engine::RequestMetrics::InFlight in_flight_;
+  engine::MemoryReservation in_lease_;          // of a long body that comes
+  std::shared_ptr<engine::BodyStream> upload_;  // where it goes, if it goes on as it comes
+  std::size_t body_got_ = 0;                    // bytes of the message since its head was read
+  Time last_body_bytes_ = 0;                    // when the last of them came
+  engine::BodyReader stream_;                   // the rest of it, where it comes in parts
   RequestId request_ = 0;
   Time since_;  // the last change of state
   std::size_t discarded_ = 0, written_ = 0, answers_ = 0;
@@ -744,13 +749,14 @@
   std::array<char, kChunk> chunk_;
 };
 
-Clients::Clients(asio::io_context& io, Clock& clock, const Names& names, Requests& requests,
-                 const tcp::endpoint& listen, overload::Descriptors& descriptors,
-                 const overload::Settings& limits, Admission& admission, const Links& links, int passed)
+Clients::Clients(asio::io_context& io, net::Clock& clock, const Names& names,
+                 engine::RequestHandler& requests, const net::tcp::endpoint& listen,
+                 overload::Descriptors& descriptors, const overload::Settings& limits,
+                 net::Admission& admission, const net::Links& links, int passed)
     : clock_(clock),
       names_(names),
       requests_(requests),
-      listener_(passed < 0 ? Listener(io, listen, *this) : Listener(io, passed, listen, *this)),
+      listener_(passed < 0 ? net::Listener(io, listen, *this) : net::Listener(io, passed, listen, *this)),
       sweep_(io),
       descriptors_(descriptors),
       rules_(descriptors.total(), limits),
@@ -764,7 +770,7 @@
     for (const auto& session : all) session->detach();
 }
 
-void Clients::take(tcp::socket socket) {
+void Clients::take(net::tcp::socket socket) {
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   ++counts_.accepted;
   ++open_;
@@ -837,20 +843,20 @@
          " left=" + std::to_string(counts_.left);
 }
 
-void Clients::drain() {
+void Clients::on_drain_started() {
   draining_ = true;
   if (!gentle_) leave_idle();
 }
 
 // Who takes over serves at the same door. A request that crosses the close of its connection would have to
 // come again: each connection is let ask once more, and is ended behind the answer.
-void Clients::stopping() {
+void Clients::on_shutdown_started() {
   if (!listener_.shared()) return;
   listener_.stop();
   gentle_ = true;
 }
 
-void Clients::end_drain() { draining_ = false; }
+void Clients::on_drain_ended() { draining_ = false; }
 
 // All that stand between requests. One that has just come is about to ask: were it ended unanswered, its
 // client would have to count it as refused.
@@ -895,7 +901,7 @@
   if (draining_ && !gentle_) leave_idle();
   loop_delay_.tick();
   sweep_.expires_at(loop_delay_.due());
-  sweep_.async_wait([this](error_code cancelled) {
+  sweep_.async_wait([this](net::error_code cancelled) {
     if (!cancelled) sweep();
   });
 }
@@ -910,4 +916,4 @@
          static_cast<std::size_t>(unread);
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/http1/front.h
+++ b/src/http1/front.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "engine/front.h"
+#include "engine/downstream.h"
 #include "engine/message_pool.h"
 #include "net/admission.h"
 #include "net/clock.h"
@@ -22,9 +22,9 @@
 #include "overload/descriptors.h"
 #include "settings/settings.h"
 
-namespace streampick::node {
+namespace streampick::http1 {
 
-class Clients final : public Front, private Listener::Owner {
+class Clients final : public engine::Downstream, private net::Listener::Owner {
  public:
   // Since the start.
   struct Counts {
@@ -40,9 +40,10 @@
 
   // Throws boost::system::system_error when the address can't be listened on. `passed`: a descriptor that
   // listens there already, held by other processes too; -1: none. Accepts from open_doors() on.
-  Clients(boost::asio::io_context& io, Clock& clock, const Names& names, Requests& requests,
-          const boost::asio::ip::tcp::endpoint& listen, overload::Descriptors& descriptors,
-          const overload::Settings& limits, Admission& admission, const Links& links, int passed = -1);
+  Clients(boost::asio::io_context& io, net::Clock& clock, const Names& names,
+          engine::RequestHandler& requests, const boost::asio::ip::tcp::endpoint& listen,
+          overload::Descriptors& descriptors, const overload::Settings& limits, net::Admission& admission,
+          const net::Links& links, int passed = -1);
   ~Clients() override;
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
@@ -51,12 +52,12 @@
   bool listens() const { return listener_.listens(); }
   void open_doors() { listener_.go_on(); }
   // From now on every answer ends its connection, and idle connections are closed.
-  void drain() override;
-  void stopping() override;
-  void end_drain() override;
+  void on_drain_started() override;
+  void on_shutdown_started() override;
+  void on_drain_ended() override;
   void stop_accepting() override;
   std::size_t unanswered() const override;
-  std::size_t open() const override { return open_; }
+  std::size_t open_connections() const override { return open_; }
   const Counts& counts() const { return counts_; }
   std::string summary() const;  // the counts, for the log
   // Ends a connection that can best be spared, for one that is wanted elsewhere; false: there is none.
@@ -84,23 +85,23 @@
   void leave_idle();
   void sweep();  // ends what has stood still for too long
 
-  Clock& clock_;
+  net::Clock& clock_;
   const Names& names_;
-  Requests& requests_;
-  Listener listener_;
+  engine::RequestHandler& requests_;
+  net::Listener listener_;
   boost::asio::steady_timer sweep_;
-  LoopDelay loop_delay_;  // ticks with each sweep
+  net::LoopDelay loop_delay_;  // ticks with each sweep
   static constexpr auto kSide = overload::Descriptors::Side::clients;
   overload::Descriptors& descriptors_;
   overload::ConnectionRules rules_;
-  Admission& admission_;
-  const Links& links_;  // the memory for long bodies
+  net::Admission& admission_;
+  const net::Links& links_;  // the memory for long bodies
   std::size_t open_ = 0;
   Counts counts_;
-  MessagePool messages_;
+  engine::MessagePool messages_;
   std::array<Queue, 8> queues_;
   bool draining_ = false;
   bool gentle_ = false;  // clients' connections may ask once more, though we drain
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -12,7 +12,7 @@
 #include "net/tcp.h"
 #include "streampick/router.h"
 
-namespace streampick::node {
+namespace streampick::http1 {
 
 namespace beast = boost::beast;
 namespace http = beast::http;
@@ -45,8 +45,8 @@
 
 // Writes what the socket takes at once of a head and its body, from their `written`-th byte on. Returns how
 // many bytes it took; would_block: none.
-inline std::size_t write_rest(tcp::socket& socket, const std::string& head, const std::string& body,
-                              std::size_t written, error_code& error) {
+inline std::size_t write_rest(net::tcp::socket& socket, const std::string& head, const std::string& body,
+                              std::size_t written, net::error_code& error) {
   const std::size_t of_head = std::min(written, head.size()), of_body = written - of_head;
   const std::array<asio::const_buffer, 2> rest = {asio::buffer(head.data() + of_head, head.size() - of_head),
                                                   asio::buffer(body.data() + of_body, body.size() - of_body)};
@@ -76,4 +76,4 @@
   return target[path] == '/' ? target.substr(path) : target;
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/http1/reader.cpp
+++ b/src/http1/reader.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace streampick::node {
+namespace streampick::http1 {
 namespace {
 
 // A length that is only announced is no reason to take memory.
@@ -25,7 +25,7 @@
     default: return nullptr;
   }
   switch (name.size()) {
-    case 5: return is(name, "X-Txn") ? &head.txn : is(name, "X-Org") ? &head.org : nullptr;
+    case 5: return is(name, "X-Txn") ? &head.transaction_id : is(name, "X-Org") ? &head.org : nullptr;
     case 6: return is(name, "X-Lane") ? &head.lane : nullptr;
     case 10: return is(name, "X-Estimate") ? &head.estimate : nullptr;
     case 11: return is(name, "X-Remaining") ? &head.remaining : nullptr;
@@ -59,7 +59,7 @@
   if (target.capacity() > 512) std::string().swap(target);
   target.clear();
   for (Field* field :
-       {&host, &txn, &lane, &remaining, &org, &estimate, &idempotency_key, &content_type, &expect})
+       {&host, &transaction_id, &lane, &remaining, &org, &estimate, &idempotency_key, &content_type, &expect})
     field->clear();
   framing.clear();
 }
@@ -82,7 +82,7 @@
 }
 
 template <bool IsRequest>
-std::size_t MessageReader<IsRequest>::read(std::string_view bytes, error_code& wrong) {
+std::size_t MessageReader<IsRequest>::read(std::string_view bytes, net::error_code& wrong) {
   std::size_t used = 0;
   while (used < bytes.size() && !this->is_done()) {
     used += this->put(boost::asio::buffer(bytes.data() + used, bytes.size() - used), wrong);
@@ -97,7 +97,7 @@
 
 template <bool IsRequest>
 void MessageReader<IsRequest>::on_request_impl(http::verb method, View, View target, int version,
-                                               error_code&) {
+                                               net::error_code&) {
   if constexpr (IsRequest) {
     head_.method = method;
     head_.target.assign(target.data(), target.size());
@@ -108,7 +108,7 @@
 }
 
 template <bool IsRequest>
-void MessageReader<IsRequest>::on_response_impl(int status, View, int version, error_code&) {
+void MessageReader<IsRequest>::on_response_impl(int status, View, int version, net::error_code&) {
   if constexpr (!IsRequest) {
     head_.status = static_cast<unsigned>(status);
     head_.version = static_cast<unsigned>(version);
@@ -118,23 +118,24 @@
 }
 
 template <bool IsRequest>
-void MessageReader<IsRequest>::on_field_impl(http::field field, View name, View value, error_code&) {
+void MessageReader<IsRequest>::on_field_impl(http::field field, View name, View value, net::error_code&) {
   if (Field* kept = field_of(head_, field, name)) kept->put(view(value));
 }
 
 template <bool IsRequest>
-void MessageReader<IsRequest>::on_body_init_impl(const boost::optional<std::uint64_t>& length, error_code&) {
+void MessageReader<IsRequest>::on_body_init_impl(const boost::optional<std::uint64_t>& length,
+                                                 net::error_code&) {
   if (length) body_.reserve(static_cast<std::size_t>(std::min<std::uint64_t>(*length, kReserveAtMost)));
 }
 
 template <bool IsRequest>
-std::size_t MessageReader<IsRequest>::on_body_impl(View part, error_code&) {
+std::size_t MessageReader<IsRequest>::on_body_impl(View part, net::error_code&) {
   body_.append(part.data(), part.size());
   return part.size();
 }
 
 template <bool IsRequest>
-std::size_t MessageReader<IsRequest>::on_chunk_body_impl(std::uint64_t, View part, error_code&) {
+std::size_t MessageReader<IsRequest>::on_chunk_body_impl(std::uint64_t, View part, net::error_code&) {
   body_.append(part.data(), part.size());
   return part.size();
 }
@@ -142,4 +143,4 @@
 template class MessageReader<true>;
 template class MessageReader<false>;
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/http1/reader.h
+++ b/src/http1/reader.h
@@ -12,7 +12,7 @@
 
 #include "http1/protocol.h"
 
-namespace streampick::node {
+namespace streampick::http1 {
 
 // A field that should stand once: its first value, and how often it stood, in a trailer too.
 struct Field {
@@ -45,7 +45,7 @@
   http::verb method = http::verb::unknown;
   unsigned version = 11;
   std::string target;
-  Field host, txn, lane, remaining, org, estimate, idempotency_key, content_type, expect;
+  Field host, transaction_id, lane, remaining, org, estimate, idempotency_key, content_type, expect;
   Framing framing;
   void clear();
 };
@@ -67,19 +67,20 @@
   // Reads on until the message is whole, the bytes are used up or they can't be read; returns how many it
   // used. What it did not use is to be put again, with what follows it: a head is only read line by line.
   // `wrong` is set for bytes that can't be read, never for those that are too few.
-  std::size_t read(std::string_view bytes, error_code& wrong);
+  std::size_t read(std::string_view bytes, net::error_code& wrong);
 
  private:
   using View = beast::string_view;
-  void on_request_impl(http::verb method, View name, View target, int version, error_code& wrong) override;
-  void on_response_impl(int status, View reason, int version, error_code& wrong) override;
-  void on_field_impl(http::field field, View name, View value, error_code& wrong) override;
-  void on_header_impl(error_code&) override {}
-  void on_body_init_impl(const boost::optional<std::uint64_t>& length, error_code& wrong) override;
-  std::size_t on_body_impl(View part, error_code&) override;
-  void on_chunk_header_impl(std::uint64_t, View, error_code&) override {}
-  std::size_t on_chunk_body_impl(std::uint64_t remain, View part, error_code&) override;
-  void on_finish_impl(error_code&) override {}
+  void on_request_impl(http::verb method, View name, View target, int version,
+                       net::error_code& wrong) override;
+  void on_response_impl(int status, View reason, int version, net::error_code& wrong) override;
+  void on_field_impl(http::field field, View name, View value, net::error_code& wrong) override;
+  void on_header_impl(net::error_code&) override {}
+  void on_body_init_impl(const boost::optional<std::uint64_t>& length, net::error_code& wrong) override;
+  std::size_t on_body_impl(View part, net::error_code&) override;
+  void on_chunk_header_impl(std::uint64_t, View, net::error_code&) override {}
+  std::size_t on_chunk_body_impl(std::uint64_t remain, View part, net::error_code&) override;
+  void on_finish_impl(net::error_code&) override {}
 
   Head& head_;
   std::string& body_;
@@ -88,4 +89,4 @@
 using RequestReader = MessageReader<true>;
 using ResponseReader = MessageReader<false>;
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/http1/transport.cpp
+++ b/src/http1/transport.cpp
@@ -10,7 +10,7 @@
 #include "http1/reader.h"
 #include "net/log.h"
 
-namespace streampick::node {
+namespace streampick::http1 {
 
 constexpr int kMostInterim = 16;
 constexpr std::size_t kChunk = 16 * 1024;
@@ -46,22 +46,23 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  void dial(const tcp::endpoint& to, Time time_out) {
+  void dial(const net::tcp::endpoint& to, Time time_out) {
     to_ = to;
-    error_code error;
+    net::error_code error;
     socket_.open(to.protocol(), error);
     if (error) {
       asio::post(socket_.get_executor(), [self = shared_from_this()] { self->dialled(false); });
       return;
     }
-    socket_.set_option(tcp::no_delay(true), error);
+    socket_.set_option(net::tcp::no_delay(true), error);
     if (time_out > 0) {
       timer_.expires_after(std::chrono::microseconds(time_out));
-      timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+      timer_.async_wait([self = shared_from_this()](net::error_code cancelled) {
         if (!cancelled) self->dialled(false);
       });
     }
-    socket_.async_connect(to, [self = shared_from_this()](error_code failed) { self->dialled(!failed); });
+    socket_.async_connect(to,
+                          [self = shared_from_this()](net::error_code failed) { self->dialled(!failed); });
   }
 
   // Whatever has come since the last answer belongs to no request: noise, a second copy of the answer, or
@@ -69,8 +70,8 @@
   bool clean() {
     if (!behind_.empty()) return false;
     char byte = 0;
-    error_code error;
-    socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
+    net::error_code error;
+    socket_.receive(asio::buffer(&byte, 1), net::tcp::socket::message_peek, error);
     return error == asio::error::would_block;
   }
 
@@ -81,17 +82,17 @@
     heard = false;
     interim_ = 0;
     next_answer();
-    const Message& message = *job_->message;
-    const bool put = message.operation == Operation::write;
+    const engine::Message& message = *job_->message;
+    const bool put = message.operation == engine::Operation::write;
     head_out_ = put ? "PUT " : "GET ";
     head_out_.append(message.target).append(" HTTP/1.1\r\nHost: ").append(owner_->name_);
-    head_out_.append("\r\nX-Txn: ").append(message.txn);
+    head_out_.append("\r\nX-Txn: ").append(message.transaction_id);
     told_at_ = owner_->clock_.fresh();
     append_seconds(head_out_.append("\r\nX-Remaining: "), job_->expires - told_at_);
     if (!message.idempotency_key.empty())
       head_out_.append("\r\nIdempotency-Key: ").append(message.idempotency_key);
     if (!message.content_type.empty()) head_out_.append("\r\nContent-Type: ").append(message.content_type);
-    const BodyStream* upload = message.upload.get();
+    const engine::BodyStream* upload = message.upload.get();
     if (upload != nullptr && !upload->length()) {
       head_out_ += "\r\nTransfer-Encoding: chunked";
     } else if (put || !message.body.empty()) {
@@ -105,7 +106,7 @@
     body_out_ = upload != nullptr ? BodyOut::comes : BodyOut::none;
     if (upload != nullptr)
       // Called by the front, from within what it reads: the writing waits for a turn of the loop.
-      message.upload->came = [weak = weak_from_this(), attempt = job_->attempt] {
+      message.upload->on_readable = [weak = weak_from_this(), attempt = job_->attempt] {
         if (const auto link = weak.lock())
           asio::post(link->socket_.get_executor(), [link, attempt] {
             if (link->owner_ != nullptr && link->job_ && link->job_->attempt == attempt && link->starved_)
@@ -126,30 +127,31 @@
   // Does not tell the owner.
   void close() {
     if (owner_ == nullptr) return;
-    if (stream_) end_stream(BodyStream::State::cut);
+    if (stream_) end_stream(engine::BodyStream::State::truncated);
     owner_->links_.closed();
     owner_ = nullptr;
-    error_code ignored;
+    net::error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
   }
 
   const std::optional<Job>& job() const { return job_; }
-  const tcp::endpoint& to() const { return to_; }
+  const net::tcp::endpoint& to() const { return to_; }
   Time last_used = 0, answered_at = 0, began = 0;  // answered_at: 0, no answer came on it yet
   bool heard = false;                              // a byte of the answer, since the request began
 
   // Nobody waits for the answer any more. Whether it may be waited for, to use the connection again: the
   // request must be out whole, and nothing of what came so far against it.
   bool can_drain() const {
-    return job_ && whole() && !writing_ && !broken_ && !early_ && job_->message->operation == Operation::read;
+    return job_ && whole() && !writing_ && !broken_ && !early_ &&
+           job_->message->operation == engine::Operation::read;
   }
   void drain(Time longest) {
     drained_ = true;
-    lease_ = {};
+    reservation_ = {};
     body_.clear();
     timer_.expires_after(std::chrono::microseconds(longest));
-    timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+    timer_.async_wait([self = shared_from_this()](net::error_code cancelled) {
       if (!cancelled && self->owner_ != nullptr && self->drained_) self->owner_->drop(self);
     });
   }
@@ -164,13 +166,13 @@
 
   // Puts the next part of a long body to be written. False: none is there, or it will never be whole.
   bool next_part() {
-    BodyStream& upload = *job_->message->upload;
+    engine::BodyStream& upload = *job_->message->upload;
     starved_ = false;
     upload_begun_ = true;
     head_out_.clear();
     written_ = 0;
     upload_part_.clear();
-    if (upload.take(upload_part_)) {
+    if (upload.read(upload_part_)) {
       if (upload.length()) return true;
       std::array<char, 20> size{};
       head_out_.assign(size.data(),
@@ -179,12 +181,12 @@
       upload_part_ += "\r\n";
       return true;
     }
-    if (upload.state() == BodyStream::State::whole) {
+    if (upload.state() == engine::BodyStream::State::complete) {
       body_out_ = BodyOut::ended;
       if (!upload.length()) head_out_ = "0\r\n\r\n";
       return true;
     }
-    starved_ = upload.state() == BodyStream::State::open;
+    starved_ = upload.state() == engine::BodyStream::State::open;
     // Its client has gone: what the server has of it is no request.
     if (!starved_) broke_soon();
     return false;
@@ -212,10 +214,10 @@
         if (!next_part()) return;
         continue;
       }
-      error_code error;
+      net::error_code error;
       written_ += write_rest(socket_, head_out_, body_part(), written_, error);
       if (error == asio::error::would_block) {
-        socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
+        socket_.async_wait(net::tcp::socket::wait_write, [self = shared_from_this()](net::error_code failed) {
           if (self->owner_ == nullptr || !self->job_) return;
           if (failed || self->broken_ || !self->may_go_on()) return self->written(true);
           self->push();
@@ -242,7 +244,7 @@
       owner_->dial_failed(self);
       return;
     }
-    error_code error;
+    net::error_code error;
     socket_.non_blocking(true, error);
     owner_->dialling_.erase(self);
     owner_->came_free(self);
@@ -250,7 +252,7 @@
 
   void next_answer() {
     parser_.emplace(head_, body_, std::max<std::uint64_t>(kLongestAnswer, owner_->links_.longest_in_parts));
-    lease_ = {};
+    reservation_ = {};
     header_seen_ = false;
   }
 
@@ -258,13 +260,13 @@
     if (owner_ == nullptr || waiting_ || held_) return;
     waiting_ = true;
     socket_.async_read_some(asio::buffer(chunk_),
-                            [self = shared_from_this()](error_code error, std::size_t got) {
+                            [self = shared_from_this()](net::error_code error, std::size_t got) {
                               self->waiting_ = false;
                               if (self->owner_ != nullptr) self->read(error, got);
                             });
   }
 
-  void read(const error_code& error, std::size_t got) {
+  void read(const net::error_code& error, std::size_t got) {
     if (!job_ && !stream_) return owner_->drop(shared_from_this());  // closed, or what nobody asked for
     if (error) {
       // The head of an answer without a body says it all; a 200 with no length ends with its connection, if
@@ -294,7 +296,7 @@
 
   void parse(std::string_view bytes) {
     while (!bytes.empty()) {
-      error_code failed;
+      net::error_code failed;
       bytes.remove_prefix(parser_->read(bytes, failed));
       if (failed) return spoilt(failed.message());
       if (drained_) body_.clear();
@@ -308,11 +310,11 @@
         if (!parser_->content_length() && head_.status == 200 && !drained_)
           pass_on_after(owner_->links_.whole_wait);
         if (length > kLongestBody && !drained_) {
-          auto lease = length <= owner_->links_.parts_from && length <= kLongestAnswer
-                           ? owner_->links_.lease(static_cast<std::size_t>(length))
-                           : std::nullopt;
-          if (lease) {
-            lease_ = std::move(*lease);
+          auto reservation = length <= owner_->links_.parts_from && length <= kLongestAnswer
+                                 ? owner_->links_.reservation(static_cast<std::size_t>(length))
+                                 : std::nullopt;
+          if (reservation) {
+            reservation_ = std::move(*reservation);
             pass_on_after(owner_->links_.whole_wait);
           } else if (!begin_parts()) {
             return spoilt("no memory for its body, or too long");
@@ -341,7 +343,7 @@
   // What is long and slow is not waited for: its client is owed the first bytes.
   void pass_on_after(Time wait) {
     timer_.expires_after(std::chrono::microseconds(wait));
-    timer_.async_wait([self = shared_from_this(), attempt = job_->attempt](error_code cancelled) {
+    timer_.async_wait([self = shared_from_this(), attempt = job_->attempt](net::error_code cancelled) {
       if (cancelled || self->owner_ == nullptr || !self->job_ || self->stream_ || self->drained_ ||
           !(self->job_->attempt == attempt) || !self->header_seen_)
         return;
@@ -352,33 +354,33 @@
   // From here on what comes of the body is passed on. The attempt has its answer: what happens to the rest
   // happens to an answer that the client has begun to read.
   bool begin_parts() {
-    const Links& links = owner_->links_;
+    const net::Links& links = owner_->links_;
     const auto length = parser_->content_length();
-    if (!job_->message->in_parts || head_.status != 200) return false;
+    if (!job_->message->accepts_streaming || head_.status != 200) return false;
     if (length && *length > links.longest_in_parts) return false;
-    auto lease = links.lease(kPartsWaiting);
-    if (!lease) return false;
-    lease_ = std::move(*lease);
-    stream_ = std::make_shared<BodyStream>(length ? std::optional<std::uint64_t>(*length) : std::nullopt,
-                                           kPartsWaiting);
+    auto reservation = links.reservation(kPartsWaiting);
+    if (!reservation) return false;
+    reservation_ = std::move(*reservation);
+    stream_ = std::make_shared<engine::BodyStream>(
+        length ? std::optional<std::uint64_t>(*length) : std::nullopt, kPartsWaiting);
     const auto self = shared_from_this();
     // Called by the reader, perhaps from within the engine: what they do waits for a turn of the loop.
     const auto post = [weak = weak_from_this()](void (Connection::*what)()) {
       if (const auto link = weak.lock())
         asio::post(link->socket_.get_executor(), [link, what] { (link.get()->*what)(); });
     };
-    stream_->room = [post] { post(&Connection::go_on); };
-    stream_->unwanted = [post] { post(&Connection::unwanted); };
+    stream_->on_writable = [post] { post(&Connection::go_on); };
+    stream_->on_reader_closed = [post] { post(&Connection::unwanted); };
     Upstream& owner = *owner_;
     ++owner.links_.streams.begun;
     ++owner.links_.streams.open;
     owner.busy_.erase(self);
     owner.passing_.insert(self);
     owner.answered_after(owner.clock_.now() - began);
-    Answer answer;
+    engine::Answer answer;
     answer.content_type = head_.content_type.value;
-    answer.stream = BodyReader(stream_);
-    const AttemptId attempt = job_->attempt;
+    answer.stream = engine::BodyReader(stream_);
+    const engine::AttemptId attempt = job_->attempt;
     job_.reset();
     watch_progress();
     owner.end(attempt, Outcome::served, std::move(answer));
@@ -389,9 +391,9 @@
   bool pass_on() {
     if (owner_ == nullptr || !stream_) return false;
     const bool whole = parser_->is_done();
-    if (stream_->passed() + body_.size() > owner_->links_.longest_in_parts)
+    if (stream_->bytes_written() + body_.size() > owner_->links_.longest_in_parts)
       return cut("it does not end"), false;
-    const bool more = stream_->put(body_);
+    const bool more = stream_->write(body_);
     body_.clear();
     progress_ = owner_->clock_.now();
     if (!whole) held_ = !more;
@@ -406,21 +408,21 @@
   void unwanted() {
     if (owner_ == nullptr || !stream_) return;
     ++owner_->links_.streams.left;
-    end_stream(BodyStream::State::cut);
+    end_stream(engine::BodyStream::State::truncated);
     owner_->drop(shared_from_this());
   }
   void cut(const std::string& why) {
-    log("answer from " + owner_->name_ + " cut: " + why);
+    net::log("answer from " + owner_->name_ + " cut: " + why);
     ++owner_->links_.streams.cut;
     const auto self = shared_from_this();
-    end_stream(BodyStream::State::cut);
+    end_stream(engine::BodyStream::State::truncated);
     owner_->drop(self);
   }
-  void end_stream(BodyStream::State how) {
+  void end_stream(engine::BodyStream::State how) {
     const auto stream = std::exchange(stream_, nullptr);
-    stream->room = stream->unwanted = nullptr;
+    stream->on_writable = stream->on_reader_closed = nullptr;
     --owner_->links_.streams.open;
-    lease_ = {};
+    reservation_ = {};
     held_ = false;
     timer_.cancel();
     stream->end(how);
@@ -429,7 +431,7 @@
   void watch_progress() {
     progress_ = owner_->clock_.now();
     timer_.expires_after(kStalled);
-    timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+    timer_.async_wait([self = shared_from_this()](net::error_code cancelled) {
       if (cancelled || self->owner_ == nullptr || !self->stream_) return;
       const bool stalled = !self->held_ && self->owner_->clock_.now() - self->progress_ >= kStalledUs;
       if (stalled) return self->cut("nothing came for long");
@@ -441,29 +443,29 @@
 
   void spoilt(const std::string& why) {
     if (stream_) return cut(why);
-    log("bad answer from " + owner_->name_ + ": " + why);
-    finish(Outcome::spoilt, {}, false);
+    net::log("bad answer from " + owner_->name_ + ": " + why);
+    finish(Outcome::malformed, {}, false);
   }
 
   void answered(bool keep) {
     if (stream_) return passed(keep);
     const unsigned status = head_.status;
     Outcome outcome = Outcome::error;
-    Answer answer;
+    engine::Answer answer;
     if (status == 200) {
       outcome = Outcome::served;
       answer.content_type = head_.content_type.value;
       answer.body = std::move(body_);
-      answer.lease = std::move(lease_);
+      answer.memory = std::move(reservation_);
     } else if (status == 404) {
       outcome = Outcome::miss;
     } else if ((status == 503 || status == 504) && head_.turned_away.value == "1") {
       // Without the header the server may have run it: a bare 503 must never free a write to be resent.
-      outcome = Outcome::full;
+      outcome = Outcome::overloaded;
     } else if (status == 400) {
       // Not the server's fault: it must not count against it, and the next one would say the same.
-      log("400 from " + owner_->name_ + " for " + job_->message->txn);
-      outcome = Outcome::rejected;
+      net::log("400 from " + owner_->name_ + " for " + job_->message->transaction_id);
+      outcome = Outcome::invalid_request;
     }
     finish(outcome, std::move(answer), keep);
   }
@@ -472,7 +474,7 @@
   void passed(bool keep) {
     Upstream& owner = *owner_;
     const auto self = shared_from_this();
-    end_stream(BodyStream::State::whole);
+    end_stream(engine::BodyStream::State::complete);
     std::string().swap(body_);
     owner.passing_.erase(self);
     if (!keep) return owner.drop(self);
@@ -495,12 +497,12 @@
     if (early_) spoilt("an answer before its request");
   }
 
-  void finish(Outcome outcome, Answer answer, bool keep) {
+  void finish(Outcome outcome, engine::Answer answer, bool keep) {
     const auto self = shared_from_this();
     Upstream& owner = *owner_;
-    const AttemptId attempt = job_->attempt;
+    const engine::AttemptId attempt = job_->attempt;
     job_.reset();
-    lease_ = {};
+    reservation_ = {};
     starved_ = false;
     std::string().swap(upload_part_);
     std::string().swap(body_);
@@ -526,8 +528,8 @@
   }
 
   Upstream* owner_;  // none once it is closed
-  tcp::endpoint to_;
-  tcp::socket socket_;
+  net::tcp::endpoint to_;
+  net::tcp::socket socket_;
   asio::steady_timer timer_;  // of the dial
   std::string behind_;        // came, and is not read yet: part of a line
   std::optional<Job> job_;
@@ -540,9 +542,9 @@
   ResponseHead head_;
   std::string body_;
   std::optional<ResponseReader> parser_;
-  Lease lease_;
-  std::shared_ptr<BodyStream> stream_;  // where the body goes that comes in parts
-  Time progress_ = 0;                   // when it last moved
+  engine::MemoryReservation reservation_;
+  std::shared_ptr<engine::BodyStream> stream_;  // where the body goes that comes in parts
+  Time progress_ = 0;                           // when it last moved
   int interim_ = 0;
   bool header_seen_ = false;
   bool made_ = false, waiting_ = false, writing_ = false, broken_ = false, early_ = false, drained_ = false,
@@ -550,8 +552,8 @@
   std::array<char, kChunk> chunk_;
 };
 
-Upstream::Upstream(asio::io_context& io, TimeSource& clock, Links& links, AttemptObserver& outcomes,
-                   std::string name)
+Upstream::Upstream(asio::io_context& io, engine::TimeSource& clock, net::Links& links,
+                   engine::AttemptObserver& outcomes, std::string name)
     : io_(io),
       clock_(clock),
       links_(links),
@@ -574,8 +576,8 @@
 
 void Upstream::set_address(const std::string& address) {
   if (address == address_text_) return;
-  const auto endpoint = parse_endpoint(address);
-  if (!endpoint) return log("address of " + name_ + " can't be read: " + address.substr(0, 80));
+  const auto endpoint = net::parse_endpoint(address);
+  if (!endpoint) return net::log("address of " + name_ + " can't be read: " + address.substr(0, 80));
   address_text_ = address;
   address_ = *endpoint;
   // They lead to where the server no longer is. What is under way there may still be answered; its
@@ -585,8 +587,8 @@
   dial_for_those_who_wait();
 }
 
-void Upstream::send_nothing_from(Time at) {
-  Transport::send_nothing_from(at);
+void Upstream::stop_sending_at(Time at) {
+  engine::Upstream::stop_sending_at(at);
   if (clock_.now() < at) return;
   end_those_who_wait(Outcome::not_sent);
   for (const Link& link : std::exchange(dialling_, {})) link->close();
@@ -596,10 +598,12 @@
   for (const Job& job : std::exchange(waiting_, {})) end_soon(job.attempt, outcome);
 }
 
-void Upstream::send(AttemptId attempt, std::shared_ptr<const Message> message, Time expires, Time begin_by) {
+void Upstream::send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time expires,
+                    Time begin_by) {
   // Commands of another protocol have no form here.
-  if (message->operation == Operation::other_read || message->operation == Operation::other_write)
-    return end_soon(attempt, Outcome::rejected);
+  if (message->operation == engine::Operation::other_read ||
+      message->operation == engine::Operation::other_write)
+    return end_soon(attempt, Outcome::invalid_request);
   waiting_.push_back({attempt, std::move(message), expires, begin_by});
   serve_those_who_wait();
 }
@@ -634,7 +638,7 @@
   });
   const Time wait = std::max<Time>(0, (*first)->answered_at + kSettled - clock_.now());
   settled_.expires_after(std::chrono::microseconds(wait));
-  settled_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code cancelled) {
+  settled_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](net::error_code cancelled) {
     if (!cancelled && alive.lock()) serve_those_who_wait();
   });
 }
@@ -649,7 +653,7 @@
     if (!must && (!worth || open >= kAtRest || !links_.has_room())) return;
     if (!links_.has_room()) links_.evict_idle_connection();
     if (!links_.has_room()) {
-      log("no descriptor left for a connection to " + name_);
+      net::log("no descriptor left for a connection to " + name_);
       end_soon(waiting_.back().attempt, Outcome::connect_failed);
       waiting_.pop_back();
       continue;
@@ -662,14 +666,14 @@
   ++links_.dials;
   const auto link = std::make_shared<Connection>(*this);
   dialling_.insert(link);
-  link->dial(address_, links_.dial_time_out);
+  link->dial(address_, links_.connect_timeout);
 }
 
 // All rules count from a request's first byte: an attempt that waited for its connection until its server
 // left, past its own time or until its client went must not go out.
 bool Upstream::may_begin(Job& job) {
   const Time now = clock_.fresh();
-  if (now >= nothing_from_ || now >= std::min(job.expires, job.begin_by)) return false;
+  if (now >= sending_stops_at_ || now >= std::min(job.expires, job.begin_by)) return false;
   const std::optional<Time> deadline = outcomes_.may_write(job.attempt);
   if (!deadline || now >= *deadline) return false;
   job.expires = std::min(job.expires, *deadline);
@@ -688,7 +692,7 @@
 // A connection was made or has served its request: whoever waits longest takes it, as soon as may be.
 void Upstream::came_free(const Link& link) {
   if (link->last_used == 0) link->last_used = clock_.now();
-  if (link->to() != address_ || clock_.now() >= nothing_from_) {
+  if (link->to() != address_ || clock_.now() >= sending_stops_at_) {
     drop(link);
   } else {
     idle_.push_back(link);
@@ -716,12 +720,12 @@
   if (draining_.erase(link) > 0) --links_.draining;
 }
 
-bool Upstream::cancel_unsent(AttemptId attempt) {
+bool Upstream::cancel_unsent(engine::AttemptId attempt) {
   // A dial goes on: the server has begun its work, the pool takes the result.
   return std::erase_if(waiting_, [&](const Job& waits) { return waits.attempt == attempt; }) > 0;
 }
 
-void Upstream::forget(AttemptId attempt, Forget why) {
+void Upstream::cancel(engine::AttemptId attempt, engine::CancelReason reason) {
   if (cancel_unsent(attempt)) return;
   const auto link = std::find_if(busy_.begin(), busy_.end(), [&](const Link& busy) {
     return busy->job() && busy->job()->attempt == attempt;
@@ -733,10 +737,11 @@
                                              .draining = links_.draining,
                                              .connections = links_.connections,
                                              .here = draining_.size()};
-  const Time longest = why == Forget::unwanted && found->can_drain() && clock_.now() < nothing_from_
+  const Time longest = reason == engine::CancelReason::no_longer_needed && found->can_drain() &&
+                               clock_.now() < sending_stops_at_
                            ? links_.cancels.wait(facts)
                            : 0;
-  if (why == Forget::overdue && !found->heard) close_silent_as(*found);
+  if (reason == engine::CancelReason::timed_out && !found->heard) close_silent_as(*found);
   if (longest <= 0) return drop(found);
   busy_.erase(found);
   draining_.insert(found);
@@ -783,14 +788,14 @@
   usual_ += (static_cast<double>(took) - usual_) * (usual_ > 0 ? kForget : 1);
 }
 
-void Upstream::end(AttemptId attempt, Outcome outcome, Answer answer) {
+void Upstream::end(engine::AttemptId attempt, Outcome outcome, engine::Answer answer) {
   outcomes_.on_attempt_ended(attempt, outcome, std::move(answer));
 }
 
-void Upstream::end_soon(AttemptId attempt, Outcome outcome) {
+void Upstream::end_soon(engine::AttemptId attempt, Outcome outcome) {
   asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_), attempt, outcome] {
     if (alive.lock()) end(attempt, outcome);
   });
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/http1/transport.h
+++ b/src/http1/transport.h
@@ -14,35 +14,36 @@
 #include <vector>
 
 #include "engine/time.h"
-#include "engine/transport.h"
+#include "engine/upstream.h"
 #include "net/links.h"
 
-namespace streampick::node {
+namespace streampick::http1 {
 
-class Upstream final : public Transport {
+class Upstream final : public engine::Upstream {
  public:
-  Upstream(boost::asio::io_context& io, TimeSource& clock, Links& links, AttemptObserver& outcomes,
-           std::string name);
+  Upstream(boost::asio::io_context& io, engine::TimeSource& clock, net::Links& links,
+           engine::AttemptObserver& outcomes, std::string name);
   ~Upstream() override;
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
   void set_address(const std::string& address) override;
-  void send(AttemptId attempt, std::shared_ptr<const Message> message, Time expires, Time begin_by) override;
-  void send_nothing_from(Time at) override;
-  bool cancel_unsent(AttemptId attempt) override;
+  void send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time expires,
+            Time begin_by) override;
+  void stop_sending_at(Time at) override;
+  bool cancel_unsent(engine::AttemptId attempt) override;
   // Drains the attempt's connection if the rules allow it, and closes it otherwise.
-  void forget(AttemptId attempt, Forget why) override;
+  void cancel(engine::AttemptId attempt, engine::CancelReason reason) override;
   void close_idle(Time unused_since) override;
   bool close_oldest_idle() override;
-  bool at_work() const override { return !passing_.empty(); }
+  bool has_streaming_response() const override { return !passing_.empty(); }
 
  private:
   class Connection;
   using Link = std::shared_ptr<Connection>;
   struct Job {
-    AttemptId attempt;
-    std::shared_ptr<const Message> message;
+    engine::AttemptId attempt;
+    std::shared_ptr<const engine::Message> message;
     Time expires = 0, begin_by = kNever;
   };
 
@@ -59,13 +60,13 @@
   void close_silent_as(const Connection& silent);
   void stop_draining(const Link& link);
   void answered_after(Time took);
-  void end(AttemptId attempt, Outcome outcome, Answer answer = {});
-  void end_soon(AttemptId attempt, Outcome outcome);
+  void end(engine::AttemptId attempt, Outcome outcome, engine::Answer answer = {});
+  void end_soon(engine::AttemptId attempt, Outcome outcome);
 
   boost::asio::io_context& io_;
-  TimeSource& clock_;
-  Links& links_;
-  AttemptObserver& outcomes_;
+  engine::TimeSource& clock_;
+  net::Links& links_;
+  engine::AttemptObserver& outcomes_;
   std::string name_, address_text_;
   boost::asio::ip::tcp::endpoint address_;
   std::vector<Link> idle_;  // the most recently used last
@@ -78,4 +79,4 @@
   std::shared_ptr<bool> alive_;        // posted handlers hold it weakly
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::http1
--- a/src/management/command_server.h
+++ b/src/management/command_server.h
@@ -18,7 +18,7 @@
 
 namespace streampick::management {
 
-class CommandServer final : private node::Listener::Owner {
+class CommandServer final : private net::Listener::Owner {
  public:
   /// Takes the whole answer, with the ends of its lines; called once, at once or within 1 s.
   using Respond = std::function<void(std::string)>;
@@ -54,7 +54,7 @@
   void on_closed(Sessions::iterator position);
 
   Handler handler_;
-  node::Listener listener_;
+  net::Listener listener_;
   Sessions sessions_;  ///< in the order they were accepted
   Counts counts_;
 };
--- a/src/management/metrics.cpp
+++ b/src/management/metrics.cpp
@@ -11,9 +11,9 @@
   ordered_json busy = ordered_json::object();
   ordered_json failure = ordered_json::object();
   for (const auto& [name, counts] : metrics.classes) {
-    success[name] = counts.success;
-    busy[name] = counts.busy;
-    failure[name] = counts.failure;
+    success[name] = counts.served;
+    busy[name] = counts.rejected;
+    failure[name] = counts.failed;
   }
   ordered_json document = {{"success", std::move(success)},
                            {"busy", std::move(busy)},
--- a/src/management/metrics.h
+++ b/src/management/metrics.h
@@ -5,13 +5,13 @@
 #include <map>
 #include <string>
 
-#include "engine/figures.h"
+#include "engine/request_metrics.h"
 
 namespace streampick::management {
 
 /// Counters start at 0 with the process. Their names in JSON are part of the interface to operators.
 struct Metrics {
-  std::map<std::string, node::Figures::Ends> classes;  ///< requests by name of their class
+  std::map<std::string, engine::RequestMetrics::ClassCounts> classes;  ///< requests by name of their class
   std::uint64_t backend_calls = 0;    ///< attempts whose last byte was written to an endpoint
   std::uint64_t inflight = 0;         ///< requests taken and not ended
   std::uint64_t hosts_listed = 0;     ///< endpoints in the list
--- a/src/membership/udp.cpp
+++ b/src/membership/udp.cpp
@@ -18,7 +18,7 @@
 constexpr std::chrono::milliseconds kReadAgain{20};
 }  // namespace
 
-UdpShell::UdpShell(asio::io_context& io, node::TimeSource& time, Settings core, UdpSettings settings,
+UdpShell::UdpShell(asio::io_context& io, engine::TimeSource& time, Settings core, UdpSettings settings,
                    std::uint64_t seed, Report report)
     : io_(io),
       time_(time),
--- a/src/membership/udp.h
+++ b/src/membership/udp.h
@@ -42,7 +42,7 @@
   };
 
   // Where the address is in use, as in an upgrade, or no descriptor is to be had, it is tried again.
-  UdpShell(boost::asio::io_context& io, node::TimeSource& time, Settings core, UdpSettings settings,
+  UdpShell(boost::asio::io_context& io, engine::TimeSource& time, Settings core, UdpSettings settings,
            std::uint64_t seed, Report report);
   ~UdpShell();
   UdpShell(const UdpShell&) = delete;
@@ -72,7 +72,7 @@
   std::optional<udp::endpoint> to(Address address) const;
 
   boost::asio::io_context& io_;
-  node::TimeSource& time_;
+  engine::TimeSource& time_;
   Core core_;
   UdpSettings settings_;
   Report report_;
@@ -80,7 +80,7 @@
   Budget budget_, guests_;
   udp::socket socket_;
   boost::asio::steady_timer retry_;
-  std::unique_ptr<node::Timer> timer_;
+  std::unique_ptr<engine::Timer> timer_;
   std::map<udp::endpoint, std::uint32_t> numbers_;
   std::vector<char> buffer_ = std::vector<char>(2'048);
   std::string why_closed_;
--- a/src/net/admission.h
+++ b/src/net/admission.h
@@ -9,7 +9,7 @@
 #include "overload/pressure.h"
 #include "streampick/router.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
 class Admission {
  public:
@@ -24,9 +24,10 @@
     spread_ = overload::RetrySpread(config.max_retry_after);
     spared_ = std::move(spared);
     double most = 1e-9;
-    for (const RequestClass& kind : config.classes) most = std::max(most, kind.worth);
+    for (const RequestClass& kind : config.classes) most = std::max(most, kind.priority_weight);
     worth_.clear();
-    for (const RequestClass& kind : config.classes) worth_.push_back(std::clamp(kind.worth / most, 0.0, 1.0));
+    for (const RequestClass& kind : config.classes)
+      worth_.push_back(std::clamp(kind.priority_weight / most, 0.0, 1.0));
     spared_.resize(worth_.size());
   }
 
@@ -56,4 +57,4 @@
   std::uint64_t refused_ = 0;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -12,9 +12,9 @@
 #include "engine/time.h"
 #include "net/wall_clock.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
-class Clock final : public TimeSource {
+class Clock final : public engine::TimeSource {
  public:
   using Steady = std::chrono::steady_clock;
 
@@ -39,14 +39,14 @@
     return now() + wall_offset(wall_clock_, [this] { return fresh(); });
   }
 
-  std::unique_ptr<Timer> timer(std::function<void()> due) override {
+  std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
     return std::make_unique<AsioTimer>(*this, std::move(due));
   }
 
   Steady::time_point steady(Time at) const { return steady_start_ + std::chrono::microseconds(at - start_); }
 
  private:
-  class AsioTimer final : public Timer {
+  class AsioTimer final : public engine::Timer {
    public:
     AsioTimer(Clock& clock, std::function<void()> due)
         : clock_(clock), due_(std::move(due)), timer_(clock.io_) {}
@@ -77,4 +77,4 @@
   bool stale_ = true;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/links.h
+++ b/src/net/links.h
@@ -14,7 +14,7 @@
 #include "overload/descriptors.h"
 #include "streampick/router.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
 struct Links {
   std::vector<char> scratch = std::vector<char>(64 * 1024);  // what is read goes here first
@@ -23,9 +23,9 @@
   std::shared_ptr<std::size_t> large = std::make_shared<std::size_t>(0);
   std::size_t most_large = 8 * 1024 * 1024;
   // The memory for one; none: many at once, or clients that don't take theirs, would fill it.
-  std::optional<Lease> lease(std::size_t bytes) const {
+  std::optional<engine::MemoryReservation> reservation(std::size_t bytes) const {
     if (*large + bytes > most_large) return std::nullopt;
-    return Lease(large, bytes);
+    return engine::MemoryReservation(large, bytes);
   }
 
   // A body over this many bytes is passed on as it comes, and so is one that there is no memory for; what is
@@ -58,11 +58,11 @@
   struct Drains {
     std::uint64_t begun = 0, reused = 0;
   } drains;
-  Time dial_time_out = 0;
+  Time connect_timeout = 0;
   std::uint64_t dials = 0;
   std::uint64_t written_whole = 0;  // attempts whose last byte went out
   // Called when the descriptors for servers are used up: closes what is idle, to a server or of a client.
   std::function<void()> evict_idle_connection = [] {};
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -8,7 +8,7 @@
 #include "net/log.h"
 #include "net/transient.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
 namespace {
 constexpr std::chrono::milliseconds kPause{20};
@@ -185,4 +185,4 @@
   acceptor_.close(ignored);
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -9,7 +9,7 @@
 
 #include "net/tcp.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
 class Listener {
  public:
@@ -78,4 +78,4 @@
   std::shared_ptr<const bool> alive_ = std::make_shared<const bool>(true);  // expires with the listener
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <utility>
 
-namespace streampick::node {
+namespace streampick::net {
 
 namespace {
 thread_local std::function<void(std::string_view)>* sink = nullptr;
@@ -45,4 +45,4 @@
   write(text.substr(0, std::min(text.size(), kLongest)));
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string_view>
 
-namespace streampick::node {
+namespace streampick::net {
 
 void log(std::string_view text);
 
@@ -21,4 +21,4 @@
   std::function<void(std::string_view)> to_, *before_;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/loop_delay.h
+++ b/src/net/loop_delay.h
@@ -4,7 +4,7 @@
 
 #include <chrono>
 
-namespace streampick::node {
+namespace streampick::net {
 
 /// Owned by one thread's event loop. The owner arms a timer for due(), calls tick() whenever it is served,
 /// and arms it again.
@@ -38,4 +38,4 @@
   Steady::time_point last_late_ = due_ - 2 * kRemembered;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/loop_lag.h
+++ b/src/net/loop_lag.h
@@ -10,7 +10,7 @@
 
 #include "overload/pressure.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
 class LoopLag {
  public:
@@ -47,4 +47,4 @@
   bool queued_ = false;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -7,9 +7,12 @@
 #include <optional>
 #include <string>
 
-namespace streampick::node {
-
+namespace streampick {
 namespace asio = boost::asio;
+}
+
+namespace streampick::net {
+
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
@@ -27,4 +30,4 @@
   return tcp::endpoint(address, static_cast<std::uint16_t>(port));
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/net/transient.h
+++ b/src/net/transient.h
@@ -4,7 +4,7 @@
 #include <boost/system/error_code.hpp>
 #include <cerrno>
 
-namespace streampick::node {
+namespace streampick::net {
 
 /// Whether descriptors, buffers or memory ran out: an ended connection may free what is missing.
 inline bool is_shortage(const boost::system::error_code& error) {
@@ -45,4 +45,4 @@
   }
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::net
