--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -6,7 +6,7 @@
 
 #include "streampick/router.h"
 
-namespace streampick::node {
+namespace streampick::net {
 
 /// Reads Unix time in microseconds. Tests give one that steps.
 using WallClock = std::function<Time()>;
@@ -36,4 +36,4 @@
   return offset;
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::net
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -17,7 +17,7 @@
 #include "settings/json_value.h"
 #include "settings/shape.h"
 
-namespace streampick::node {
+namespace streampick::platform {
 namespace {
 
 using nlohmann::json;
@@ -26,10 +26,10 @@
 constexpr std::size_t kLeastDescriptors = 64;
 constexpr std::size_t kSocketsUnlessTold = 1024, kMemoryMbUnlessTold = 32;
 
-tcp::endpoint endpoint(const JsonValue& config, const char* key) {
+net::tcp::endpoint endpoint(const JsonValue& config, const char* key) {
   const char* const expected = "an address and a port, as 10.0.0.4:3000";
   const JsonValue value = config.at(key, expected);
-  if (const auto parsed = parse_endpoint(value.text(expected))) return *parsed;
+  if (const auto parsed = net::parse_endpoint(value.text(expected))) return *parsed;
   value.wrong(expected);
 }
 
@@ -113,7 +113,8 @@
     if (const auto memory = limits->find("memory_mb")) out.memory_mb = memory->whole(1, 1U << 30U);
     if (const auto sockets = limits->find("sockets")) out.sockets = sockets->whole(1, 1U << 30U);
   }
-  if (const auto known = config.find("known")) out.known = parse_members(*known, out.settings.names);
+  if (const auto known = config.find("known"))
+    out.known = discovery::parse_members(*known, out.settings.names);
   return out;
 }
 
@@ -127,7 +128,7 @@
 
 void apply(const Environment& environment, NodeSettings& settings) {
   if (!environment.management.empty()) {
-    settings.management = parse_endpoint(environment.management);
+    settings.management = net::parse_endpoint(environment.management);
     if (!settings.management)
       throw std::runtime_error("NODE_MANAGEMENT: there is '" + environment.management.substr(0, 60) +
                                "', expected an address and a port, as 10.0.0.4:15000");
@@ -148,7 +149,7 @@
     wrong("which is no listening socket");
   sockaddr_storage address{};
   size = sizeof address;
-  tcp::endpoint at;
+  net::tcp::endpoint at;
   if (::getsockname(number, reinterpret_cast<sockaddr*>(&address), &size) != 0 || size > at.capacity())
     wrong("whose address can't be had");
   std::memcpy(at.data(), &address, size);
@@ -184,4 +185,4 @@
   return load(path, &accepted);
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::platform
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -11,7 +11,7 @@
 #include "overload/descriptors.h"
 #include "settings/settings.h"
 
-namespace streampick::node {
+namespace streampick::platform {
 
 struct NodeSettings {
   Settings settings;
@@ -23,7 +23,7 @@
   std::size_t sockets = 0;  // file descriptors this process may hold
   std::size_t memory_mb = 0;
   double cores = 1;  // of the processor, at most
-  EndpointList known;
+  engine::EndpointList known;
   overload::Settings overload;  // the operator's
   std::string text;             // all of it, as it was read
 };
@@ -46,4 +46,4 @@
 NodeSettings load_settings(const std::string& path, const NodeSettings& accepted);
 NodeSettings parse_settings(const std::string& json);
 
-}  // namespace streampick::node
+}  // namespace streampick::platform
--- a/src/platform/options.cpp
+++ b/src/platform/options.cpp
@@ -7,7 +7,7 @@
 
 #include "overload/options.h"
 
-namespace streampick::node {
+namespace streampick::platform {
 
 Options parse_options(const std::string& text, const std::string& path) {
   Options out;
@@ -82,4 +82,4 @@
   return out.str();
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::platform
--- a/src/platform/options.h
+++ b/src/platform/options.h
@@ -17,7 +17,7 @@
 #include "resp/options.h"
 #endif
 
-namespace streampick::node {
+namespace streampick::platform {
 
 struct Options {
   std::string file;
@@ -43,4 +43,4 @@
 // What is on, a line each.
 std::string describe(const Options& options);
 
-}  // namespace streampick::node
+}  // namespace streampick::platform
--- a/src/platform/transports.cpp
+++ b/src/platform/transports.cpp
@@ -3,14 +3,14 @@
 #include "http1/transport.h"
 #include "net/log.h"
 
-namespace streampick::node {
+namespace streampick::platform {
 
-ServerTransports::ServerTransports(boost::asio::io_context& io, TimeSource& time, Links& links,
+ServerTransports::ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
                                    [[maybe_unused]] const NodeSettings& settings)
     : io_(io), time_(time), links_(links) {}
 
 #ifdef STREAMPICK_WITH_OPTIONS
-ServerTransports::ServerTransports(boost::asio::io_context& io, TimeSource& time, Links& links,
+ServerTransports::ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
                                    [[maybe_unused]] NodeSettings& settings,
                                    [[maybe_unused]] const Options& options)
     : io_(io), time_(time), links_(links) {
@@ -18,7 +18,7 @@
   resp_ = options.resp.servers;
   kinds_ = settings.settings.names.kinds;
   const Config& config = settings.settings.config;
-  if (config.aside) origin_kind_ = config.origin_kind;
+  if (config.cache_aside) origin_kind_ = config.origin_kind;
 #endif
   as_servers_have_it(options, settings.settings);
 }
@@ -27,7 +27,8 @@
                                           [[maybe_unused]] Settings& settings) {
 #ifdef STREAMPICK_WITH_RESP
   if (!resp::repeats_run_twice(options.resp, settings)) return;
-  log("keyed classes count as unsafe: the servers that take writes are not told keys "
+  net::log(
+      "keyed classes count as unsafe: the servers that take writes are not told keys "
       "(resp.servers.send_ids)");
   for (RequestClass& kind : settings.config.classes)
     if (kind.effect == Effect::keyed) kind.effect = Effect::unsafe;
@@ -35,8 +36,8 @@
 }
 #endif
 
-std::unique_ptr<Transport> ServerTransports::make(const std::string& name,
-                                                  [[maybe_unused]] std::uint32_t kind) {
+std::unique_ptr<engine::Upstream> ServerTransports::make(const std::string& name,
+                                                         [[maybe_unused]] std::uint32_t kind) {
 #ifdef STREAMPICK_WITH_RESP
   if (resp_ && resp_->speak(kinds_, kind)) {
     const bool holds_copies = origin_kind_ != kNone && kind != origin_kind_;
@@ -44,7 +45,7 @@
                                                  resp_counts_, name, holds_copies);
   }
 #endif
-  return std::make_unique<Upstream>(io_, time_, links_, *outcomes_, name);
+  return std::make_unique<http1::Upstream>(io_, time_, links_, *outcomes_, name);
 }
 
 std::string ServerTransports::summary() const {
@@ -54,4 +55,4 @@
   return {};
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::platform
--- a/src/platform/transports.h
+++ b/src/platform/transports.h
@@ -6,29 +6,30 @@
 #include <string>
 
 #include "engine/time.h"
-#include "engine/transport.h"
+#include "engine/upstream.h"
 #include "net/links.h"
 #include "platform/node_settings.h"
 #ifdef STREAMPICK_WITH_OPTIONS
 #include "platform/options.h"
 #endif
 
-namespace streampick::node {
+namespace streampick::platform {
 
-class ServerTransports final : public Transports {
+class ServerTransports final : public engine::UpstreamFactory {
  public:
   // All but the settings outlive it. report_to() comes before the first make().
-  ServerTransports(boost::asio::io_context& io, TimeSource& time, Links& links, const NodeSettings& settings);
+  ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+                   const NodeSettings& settings);
 #ifdef STREAMPICK_WITH_OPTIONS
   // `options` are resolved. Classes whose repeats would run twice at the servers that take them count as
   // unsafe in `settings` from then on.
-  ServerTransports(boost::asio::io_context& io, TimeSource& time, Links& links, NodeSettings& settings,
-                   const Options& options);
+  ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+                   NodeSettings& settings, const Options& options);
   // The same, of settings that come later.
   static void as_servers_have_it(const Options& options, Settings& settings);
 #endif
-  void report_to(AttemptObserver& outcomes) { outcomes_ = &outcomes; }
-  std::unique_ptr<Transport> make(const std::string& name, std::uint32_t kind) override;
+  void report_to(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
+  std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override;
   std::string summary() const;  // for the log; empty where there is nothing to say
 #ifdef STREAMPICK_WITH_RESP
   const resp::ServerCounts& resp() const { return resp_counts_; }
@@ -36,9 +37,9 @@
 
  private:
   boost::asio::io_context& io_;
-  TimeSource& time_;
-  Links& links_;
-  AttemptObserver* outcomes_ = nullptr;
+  engine::TimeSource& time_;
+  net::Links& links_;
+  engine::AttemptObserver* outcomes_ = nullptr;
 #ifdef STREAMPICK_WITH_RESP
   std::vector<std::string> kinds_;
   std::optional<resp::ServerOptions> resp_;
@@ -47,4 +48,4 @@
 #endif
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::platform
--- a/src/plugin/c_api.cpp
+++ b/src/plugin/c_api.cpp
@@ -40,7 +40,7 @@
                                 result.reason.c_str(),
                                 result.retry_after.count(),
                                 result.late ? 1 : 0,
-                                result.absent ? 1 : 0,
+                                result.not_found ? 1 : 0,
                                 result.may_have_run ? 1 : 0};
     callback(&out, user);
   };
--- a/src/plugin/calls.h
+++ b/src/plugin/calls.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "engine/front.h"
+#include "engine/downstream.h"
 #include "settings/settings.h"
 #include "streampick/client.h"
 
@@ -25,7 +25,7 @@
   bool save = false;
   std::uint32_t request_class = 0, tenant = kNone;
   Time gives_up = 0;  // real us
-  std::shared_ptr<node::Message> message;
+  std::shared_ptr<engine::Message> message;
 };
 
 // Finds fault with a call before anything of it is sent: `wrong` says it in one line. `default_class` is the
@@ -38,15 +38,15 @@
                    std::string value, const CallOptions& options, Time real_now);
 
 // The engine's answer in the caller's words. `late`: the caller's time is up.
-Result result_of(node::Reply reply, bool save, bool late);
+Result result_of(engine::Response reply, bool save, bool late);
 
-class Calls final : public node::Front {
+class Calls final : public engine::Downstream {
  public:
-  class Open : public node::ResponseSink, public std::enable_shared_from_this<Open> {
+  class Open : public engine::ResponseSink, public std::enable_shared_from_this<Open> {
    public:
     // Once for each call, from within a function of Calls or of the engine.
     virtual void ended(Result result) = 0;
-    void reply(std::uint64_t tag, node::Reply reply) final;
+    void respond(std::uint64_t tag, engine::Response reply) final;
 
    private:
     friend class Calls;
@@ -60,7 +60,7 @@
   // `first_id` differs between clients; `real_now` tells real us.
   Calls(const Settings& settings, std::uint64_t first_id, std::function<Time()> real_now);
   // The engine; before the first submit().
-  void ask_from(node::Requests& requests) { requests_ = &requests; }
+  void ask_from(engine::RequestHandler& requests) { requests_ = &requests; }
 
   void submit(const std::shared_ptr<Open>& call, Asked asked);
   void cancel(const std::shared_ptr<Open>& call);
@@ -69,14 +69,14 @@
   void close();
 
   struct Counts {
-    std::uint64_t served = 0, refused = 0, failed = 0, withdrawn = 0, invalid = 0, absent = 0;
+    std::uint64_t served = 0, rejected = 0, failed = 0, cancelled = 0, invalid = 0, not_found = 0;
   };
   const Counts& counts() const { return counts_; }
 
-  void drain() override {}
+  void on_drain_started() override {}
   void stop_accepting() override {}
   std::size_t unanswered() const override { return open_.size(); }
-  std::size_t open() const override { return open_.size(); }
+  std::size_t open_connections() const override { return open_.size(); }
 
  private:
   void count(Status status);
@@ -84,7 +84,7 @@
   std::vector<bool> keyed_;  // by class
   std::uint64_t last_id_, last_number_ = 0;
   std::function<Time()> real_now_;
-  node::Requests* requests_ = nullptr;
+  engine::RequestHandler* requests_ = nullptr;
   std::unordered_map<std::uint64_t, std::shared_ptr<Open>> open_;
   Counts counts_;
   bool closing_ = false;
--- a/src/plugin/client.cpp
+++ b/src/plugin/client.cpp
@@ -37,11 +37,11 @@
 
 constexpr auto kBusy = std::chrono::milliseconds(50);  // when to come back, where too many calls are open
 
-node::NodeSettings read(const ClientSettings& settings) {
+platform::NodeSettings read(const ClientSettings& settings) {
   try {
-    if (!settings.config.empty()) return node::parse_settings(settings.config);
+    if (!settings.config.empty()) return platform::parse_settings(settings.config);
     if (settings.config_path.empty()) throw std::runtime_error("neither config nor config_path is set");
-    return node::load_settings(settings.config_path);
+    return platform::load_settings(settings.config_path);
   } catch (const std::exception& error) {
     std::string what = error.what();
     std::replace(what.begin(), what.end(), '\n', ' ');
@@ -49,7 +49,7 @@
   }
 }
 
-std::uint32_t class_named(const node::NodeSettings& settings, const std::string& name, bool safe) {
+std::uint32_t class_named(const platform::NodeSettings& settings, const std::string& name, bool safe) {
   const Names& names = settings.settings.names;
   const auto& classes = settings.settings.config.classes;
   if (!name.empty()) {
@@ -76,9 +76,9 @@
   bool client_gone() override;
 };
 
-struct Client::Impl final : node::EndpointDiscovery,
-                            private node::Transports,
-                            private node::EndpointListObserver,
+struct Client::Impl final : engine::EndpointDiscovery,
+                            private engine::UpstreamFactory,
+                            private engine::EndpointListObserver,
                             public std::enable_shared_from_this<Client::Impl> {
   using CallState = Call::State;
 
@@ -87,9 +87,10 @@
         told(read(settings)),
         clock(io, [this](Time length) { stood_still(length); }),
         // Where the list is asked for, the module says when: there is no watch to end.
-        rest(told.settings.config.must_ask ? 0 : std::chrono::microseconds(settings.rest_after).count()),
+        rest(told.settings.config.polls_discovery ? 0
+                                                  : std::chrono::microseconds(settings.idle_after).count()),
         rest_timer(io) {
-    if (own.rest_after.count() < 0) throw ClientError("streampick client: rest_after is below 0");
+    if (own.idle_after.count() < 0) throw ClientError("streampick client: idle_after is below 0");
     read_class = class_named(told, settings.read_class, true);
     save_class = class_named(told, settings.save_class, false);
     // No two clients draw alike, also those that were given the same settings.
@@ -98,21 +99,21 @@
         (static_cast<std::uint64_t>(device()) << 32U) ^ device() ^ told.settings.seed;
     const std::uint64_t seed = XXH3_64bits(&first_id, sizeof first_id);
     servers = make_servers(settings);
-    descriptors = overload::Descriptors(overload::Descriptors::Limits{node::descriptor_limits(told).total, 0,
-                                                                      node::descriptor_limits(told).total});
+    descriptors = overload::Descriptors(overload::Descriptors::Limits{
+        platform::descriptor_limits(told).total, 0, platform::descriptor_limits(told).total});
     links.descriptors = &descriptors;
     links.most_large = told.memory_mb * (1024 * 1024 / 4);
-    links.dial_time_out = told.settings.config.dial_time_out;
+    links.connect_timeout = told.settings.config.connect_timeout;
     links.cancels = overload::CancelRules(told.overload);
     links.evict_idle_connection = [this] { engine->evict_idle_connection(); };
-    node::EngineSettings engine_settings{told.settings.config, seed};
-    engine_settings.rests = [this] { return links.connections == 0; };
-    engine.emplace(clock, engine_settings, static_cast<node::Transports&>(*this),
-                   [](std::string_view text) { node::log(text); });
+    engine::EngineSettings engine_settings{told.settings.config, seed};
+    engine_settings.is_idle = [this] { return links.connections == 0; };
+    engine.emplace(clock, engine_settings, static_cast<engine::UpstreamFactory&>(*this),
+                   [](std::string_view text) { net::log(text); });
     servers->report_to(*engine);
-    const bool must_ask = told.settings.config.must_ask;
-    discovery.emplace(io, told.settings.names, told.discovery, told.known.revision, !must_ask, seed,
-                      static_cast<node::EndpointListObserver&>(*this));
+    const bool polls_discovery = told.settings.config.polls_discovery;
+    discovery.emplace(io, told.settings.names, told.discovery, told.known.revision, !polls_discovery, seed,
+                      static_cast<engine::EndpointListObserver&>(*this));
     calls.emplace(told.settings, first_id, [this] { return clock.real_now(); });
     calls->ask_from(*engine);
     engine->add(*calls);
@@ -127,19 +128,20 @@
     thread_id = thread.get_id();
   }
 
-  std::unique_ptr<node::ServerTransports> make_servers(const ClientSettings& settings) {
+  std::unique_ptr<platform::ServerTransports> make_servers(const ClientSettings& settings) {
     if (settings.options.empty() && settings.options_path.empty())
-      return std::make_unique<node::ServerTransports>(io, clock, links, told);
+      return std::make_unique<platform::ServerTransports>(io, clock, links, told);
     // On the host's own thread, whose log is not ours.
-    const node::LogSink sink([this](std::string_view text) {
+    const net::LogSink sink([this](std::string_view text) {
       if (own.log) own.log(text);
     });
 #ifdef STREAMPICK_WITH_OPTIONS
     try {
-      node::Options options = settings.options.empty() ? node::load_options(settings.options_path)
-                                                       : node::parse_options(settings.options, "options");
-      node::resolve(options, told);
-      return std::make_unique<node::ServerTransports>(io, clock, links, told, options);
+      platform::Options options = settings.options.empty()
+                                      ? platform::load_options(settings.options_path)
+                                      : platform::parse_options(settings.options, "options");
+      platform::resolve(options, told);
+      return std::make_unique<platform::ServerTransports>(io, clock, links, told, options);
     } catch (const options::Error& error) {
       throw ClientError(std::string("streampick client: ") + error.what());
     }
@@ -151,11 +153,11 @@
   // ---- The I/O thread
 
   void run() {
-    node::LogSink sink([this](std::string_view text) {
+    net::LogSink sink([this](std::string_view text) {
       if (own.log) own.log(text);
     });
     engine->start(*this, told.known);
-    if (!told.settings.config.must_ask) discovery->watch();
+    if (!told.settings.config.polls_discovery) discovery->watch();
     while (!done) {
       clock.next_batch();
       if (io.run_one() == 0) break;
@@ -181,7 +183,7 @@
   void resume() {
     if (!std::exchange(resuming, false) || done) return;
     const Time length = std::exchange(paused, 0);
-    node::log("the host stood still for " + std::to_string(length / 1000) + " ms");
+    net::log("the host stood still for " + std::to_string(length / 1000) + " ms");
     engine->process_suspended(length);
     read_list();
   }
@@ -200,7 +202,7 @@
     for (plugin::HeldTransport* transport : transports) transport->release();
   }
 
-  std::unique_ptr<node::Transport> make(const std::string& name, std::uint32_t kind) override {
+  std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override {
     auto inner = servers->make(name, kind);
     auto held = std::make_unique<plugin::HeldTransport>(std::move(inner), [this] { return may_send(); });
     plugin::HeldTransport* const raw = held.get();
@@ -209,7 +211,7 @@
     return held;
   }
   void watch() override { discovery->watch(); }
-  void on_endpoint_list(const node::EndpointList& list) override {
+  void on_endpoint_list(const engine::EndpointList& list) override {
     if (resuming) resume();
     engine->on_endpoint_list(list);
     if (!list.complete) return;
@@ -222,7 +224,7 @@
 
   void submit(const std::shared_ptr<CallState>& call, plugin::Asked asked) {
     if (rest.began()) wake();
-    if (call->cancelled) return calls->finish(call, {.status = Status::withdrawn});
+    if (call->cancelled) return calls->finish(call, {.status = Status::cancelled});
     clock.now();  // a pause shows here at the latest
     if (resuming) resume();
     calls->submit(call, std::move(asked));
@@ -257,11 +259,11 @@
   void count(Status status) {
     switch (status) {
       case Status::served: ++counts.served; break;
-      case Status::refused: ++counts.refused; break;
+      case Status::rejected: ++counts.rejected; break;
       case Status::failed: ++counts.failed; break;
-      case Status::withdrawn: ++counts.withdrawn; break;
+      case Status::cancelled: ++counts.cancelled; break;
       case Status::invalid: ++counts.invalid; break;
-      case Status::absent: ++counts.absent; break;
+      case Status::not_found: ++counts.not_found; break;
     }
   }
   void deliver(const std::shared_ptr<CallState>& call, Result result) {
@@ -276,7 +278,7 @@
         told->callback(std::move(told->result));
       } catch (...) {
         // Whose fault it is can't be told from here; the others' calls go on.
-        ++self->counts.threw;
+        ++self->counts.callback_exceptions;
       }
       told->callback = nullptr;  // with all it held
       if (--self->telling > 0) return;
@@ -296,16 +298,16 @@
   }
 
   ClientSettings own;
-  node::NodeSettings told;
+  platform::NodeSettings told;
   asio::io_context io{1};
   asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
   plugin::HostClock clock;
   overload::Descriptors descriptors;
-  node::Links links;
+  net::Links links;
   std::vector<plugin::HeldTransport*> transports;
-  std::unique_ptr<node::ServerTransports> servers;  // the engine has its transports
-  std::optional<node::Engine> engine;
-  std::optional<node::Discovery> discovery;
+  std::unique_ptr<platform::ServerTransports> servers;  // the engine has its transports
+  std::optional<engine::Engine> engine;
+  std::optional<discovery::Discovery> discovery;
   std::optional<asio::steady_timer> hold_over;
   std::optional<plugin::Calls> calls;
   plugin::Rest rest;
@@ -316,8 +318,8 @@
 
   // ---- Of all threads
   struct {
-    std::atomic<std::uint64_t> calls{0}, served{0}, refused{0}, failed{0}, withdrawn{0}, invalid{0},
-        absent{0}, threw{0};
+    std::atomic<std::uint64_t> calls{0}, served{0}, rejected{0}, failed{0}, cancelled{0}, invalid{0},
+        not_found{0}, callback_exceptions{0};
   } counts;
   std::atomic<std::uint64_t> wakeups{0}, pauses{0}, rests{0};
   std::atomic<std::size_t> open_calls{0}, telling{0};  // telling: callbacks that wait, or run
@@ -398,11 +400,11 @@
     return Call(call);
   }
   if (impl_->refusing) {
-    tell({.status = Status::withdrawn, .reason = "the client is drained"});
+    tell({.status = Status::cancelled, .reason = "the client is drained"});
     return Call(call);
   }
-  if (impl_->open_calls > impl_->own.most_calls) {
-    tell({.status = Status::refused, .retry_after = kBusy, .reason = "too many calls are open"});
+  if (impl_->open_calls > impl_->own.max_open_calls) {
+    tell({.status = Status::rejected, .retry_after = kBusy, .reason = "too many calls are open"});
     return Call(call);
   }
   call->submitted = true;
@@ -475,7 +477,7 @@
       out.attempts = impl_->engine->counts().attempts;
       out.cancels = impl_->engine->counts().cancelled_attempts;
       out.servers = impl_->engine->servers();
-      out.dials = impl_->links.dials;
+      out.connects = impl_->links.dials;
       out.connections = impl_->links.connections;
       read.set_value();
     });
@@ -483,14 +485,14 @@
   }
   out.calls = impl_->counts.calls;
   out.served = impl_->counts.served;
-  out.refused = impl_->counts.refused;
+  out.rejected = impl_->counts.rejected;
   out.failed = impl_->counts.failed;
-  out.withdrawn = impl_->counts.withdrawn;
+  out.cancelled = impl_->counts.cancelled;
   out.invalid = impl_->counts.invalid;
-  out.absent = impl_->counts.absent;
-  out.threw = impl_->counts.threw;
-  out.pauses = impl_->pauses;
-  out.rests = impl_->rests;
+  out.not_found = impl_->counts.not_found;
+  out.callback_exceptions = impl_->counts.callback_exceptions;
+  out.suspensions = impl_->pauses;
+  out.idle_periods = impl_->rests;
   out.open = impl_->open_calls;
   return out;
 }
--- a/src/plugin/held_transport.h
+++ b/src/plugin/held_transport.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <utility>
 
-#include "engine/transport.h"
+#include "engine/upstream.h"
 
 namespace streampick::plugin {
 
-class HeldTransport final : public node::Transport {
+class HeldTransport final : public engine::Upstream {
  public:
   // `may_send` may turn true again at any time; then release() is to be called.
-  HeldTransport(std::unique_ptr<node::Transport> inner, std::function<bool()> may_send)
+  HeldTransport(std::unique_ptr<engine::Upstream> inner, std::function<bool()> may_send)
       : inner_(std::move(inner)), may_send_(std::move(may_send)) {}
 
   ~HeldTransport() override {
@@ -24,29 +24,31 @@
   }
   std::function<void()> on_end;
 
-  void send_nothing_from(Time at) override {
-    node::Transport::send_nothing_from(at);
-    inner_->send_nothing_from(at);
+  void stop_sending_at(Time at) override {
+    engine::Upstream::stop_sending_at(at);
+    inner_->stop_sending_at(at);
   }
   void set_address(const std::string& address) override { inner_->set_address(address); }
-  void send(node::AttemptId attempt, std::shared_ptr<const node::Message> message, Time expires,
+  void send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time expires,
             Time begin_by) override {
     if (held_.empty() && may_send_()) return forward({attempt, std::move(message), expires, begin_by});
     held_.push_back({attempt, std::move(message), expires, begin_by});
   }
-  bool cancel_unsent(node::AttemptId attempt) override {
+  bool cancel_unsent(engine::AttemptId attempt) override {
     const auto is_it = [&](const Held& one) { return one.attempt == attempt; };
     return std::erase_if(held_, is_it) > 0 || inner_->cancel_unsent(attempt);
   }
-  void forget(node::AttemptId attempt, Forget why) override {
-    if (!cancel_unsent(attempt)) inner_->forget(attempt, why);
+  void cancel(engine::AttemptId attempt, engine::CancelReason reason) override {
+    if (!cancel_unsent(attempt)) inner_->cancel(attempt, reason);
   }
   void close_idle(Time unused_since) override { inner_->close_idle(unused_since); }
   bool close_oldest_idle() override { return inner_->close_oldest_idle(); }
-  bool at_work() const override { return inner_->at_work(); }
-  bool wants_values() const override { return inner_->wants_values(); }
-  void keep(const std::string& key, const std::string& value) override { inner_->keep(key, value); }
-  void void_copy(const std::string& key) override { inner_->void_copy(key); }
+  bool has_streaming_response() const override { return inner_->has_streaming_response(); }
+  bool wants_cache_fills() const override { return inner_->wants_cache_fills(); }
+  void fill_cache(const std::string& key, const std::string& value) override {
+    inner_->fill_cache(key, value);
+  }
+  void invalidate(const std::string& key) override { inner_->invalidate(key); }
 
   // Sends what it holds. A server that was told to go meanwhile gets none of it: the inner one is told when
   // it may be sent nothing more, and each attempt is checked against that when its first byte is about to go.
@@ -58,13 +60,13 @@
 
  private:
   struct Held {
-    node::AttemptId attempt;
-    std::shared_ptr<const node::Message> message;
+    engine::AttemptId attempt;
+    std::shared_ptr<const engine::Message> message;
     Time expires, begin_by;
   };
   void forward(Held one) { inner_->send(one.attempt, std::move(one.message), one.expires, one.begin_by); }
 
-  std::unique_ptr<node::Transport> inner_;
+  std::unique_ptr<engine::Upstream> inner_;
   std::function<bool()> may_send_;
   std::deque<Held> held_;
 };
--- a/src/plugin/host_clock.h
+++ b/src/plugin/host_clock.h
@@ -16,7 +16,7 @@
 
 namespace streampick::plugin {
 
-class HostClock final : public node::TimeSource {
+class HostClock final : public engine::TimeSource {
  public:
   using Steady = std::chrono::steady_clock;
   // `stood_still` is called with the pause's length, in us, from within whatever first asks for the time
@@ -25,7 +25,7 @@
       : io_(io),
         stood_still_(std::move(stood_still)),
         steady_start_(Steady::now()),
-        start_(node::system_wall_time()) {}
+        start_(net::system_wall_time()) {}
 
   Time now() override {
     if (!stale_) return now_;
@@ -38,7 +38,7 @@
   void next_batch() { stale_ = true; }
   // What a pause left out of now() shows here as a step forward.
   Time wall_time() override {
-    const Time offset = node::wall_offset(node::system_wall_time, [this] { return real_now(); });
+    const Time offset = net::wall_offset(net::system_wall_time, [this] { return real_now(); });
     return now() + resume_.skipped() + offset;
   }
   Time fresh() override { return real_now() - resume_.skipped(); }
@@ -49,12 +49,12 @@
   }
   Resume& resume() { return resume_; }
 
-  std::unique_ptr<node::Timer> timer(std::function<void()> due) override {
+  std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
     return std::make_unique<HostTimer>(*this, std::move(due));
   }
 
  private:
-  class HostTimer final : public node::Timer {
+  class HostTimer final : public engine::Timer {
    public:
     HostTimer(HostClock& clock, std::function<void()> due)
         : clock_(clock), due_(std::move(due)), timer_(clock.io_) {}
--- a/src/policy/admission_queue.cpp
+++ b/src/policy/admission_queue.cpp
@@ -14,7 +14,7 @@
   if (queue_.empty()) {
     nonempty_since_ = now;
   }
-  Time longest_wait = scaled(parts_.rules.class_of(request).aim, kWaitPerObjective);
+  Time longest_wait = scaled(parts_.rules.class_of(request).latency_objective, kWaitPerObjective);
   if (now - nonempty_since_ > longest_wait) {
     const auto usual = static_cast<Time>(parts_.latencies.usual(request.request));
     longest_wait = std::min(longest_wait, usual);
--- a/src/policy/class_latencies.cpp
+++ b/src/policy/class_latencies.cpp
@@ -16,7 +16,7 @@
   for (std::size_t i = 0; i < usual.size(); ++i) {
     const RequestClass& request_class = next.classes[i];
     const bool unchanged = i < usual_.size() && request_class == previous.classes[i];
-    const std::size_t source = unchanged ? i : request_class.like;
+    const std::size_t source = unchanged ? i : request_class.similar_class;
     if (source < usual_.size()) {
       usual[i] = usual_[source];
     }
--- a/src/policy/discovery_polling.cpp
+++ b/src/policy/discovery_polling.cpp
@@ -16,7 +16,7 @@
 
 void DiscoveryPolling::on_update(Update update, Time now) {
   const bool succeeded = update != Update::stale && update != Update::failed;
-  is_watching_ = !config_.must_ask || succeeded;
+  is_watching_ = !config_.polls_discovery || succeeded;
   if (is_watching_) {
     return;
   }
--- a/src/policy/endpoint_updates.cpp
+++ b/src/policy/endpoint_updates.cpp
@@ -59,7 +59,8 @@
 }
 
 void EndpointUpdates::update_origin(const Member& member) {
-  const bool is_origin = config_.aside && member.kind == config_.origin_kind && member.phase != Phase::gone;
+  const bool is_origin =
+      config_.cache_aside && member.kind == config_.origin_kind && member.phase != Phase::gone;
   if (is_origin) {
     endpoints_.set_origin(member.id);
   } else {
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 void Hedging::schedule(const RequestState& request, Time now) {
-  if (parts_.rules.is_safe(request) && parts_.config.can_copy) {
+  if (parts_.rules.is_safe(request) && parts_.config.can_hedge) {
     parts_.timers.add(now + delay(request), TimerKind::hedge, request.self);
   }
 }
@@ -55,7 +55,7 @@
 }
 
 Time Hedging::delay(const RequestState& request) const {
-  return scaled(parts_.rules.class_of(request).aim, kDelayPerObjective);
+  return scaled(parts_.rules.class_of(request).latency_objective, kDelayPerObjective);
 }
 
 void Hedging::check_attempt(AttemptState& attempt, Time now) {
--- a/src/policy/idle_connections.cpp
+++ b/src/policy/idle_connections.cpp
@@ -58,7 +58,7 @@
 void IdleConnections::learn_timeout(const AttemptState& attempt, const AttemptResult& result, Time now) {
   const bool failed = result.outcome == Outcome::connect_failed;
   if (attempt.opens_connection || failed) {
-    const bool refused = failed && connection_refused(result, config_.dial_time_out);
+    const bool refused = failed && connection_refused(result, config_.connect_timeout);
     refused_share_ += ((refused ? 1 : 0) - refused_share_) * kConnectionWeight;
   }
   if (refused_share_ > kRefusedThreshold) {
--- a/src/policy/origin_limit.cpp
+++ b/src/policy/origin_limit.cpp
@@ -31,9 +31,9 @@
 }
 
 void OriginLimit::set_lease(const Shares& shares) {
-  lease_floor_ = shares.origin_floor;
+  lease_floor_ = shares.origin_reserved;
   leased_extra_ = shares.origin_leased;
-  leased_until_ = shares.origin_until;
+  leased_until_ = shares.origin_lease_end;
 }
 
 bool OriginLimit::allows_read_beside_writes(Time now, int in_flight, int writes) const {
@@ -45,8 +45,8 @@
 void OriginLimit::record_answer(const AttemptState& attempt, const AttemptResult& result, Time objective,
                                 Load load, Time now) {
   bool congested =
-      result.outcome == Outcome::full || (result.outcome == Outcome::timeout && !attempt.stalled);
-  if (result.outcome == Outcome::served && !result.spent) {
+      result.outcome == Outcome::overloaded || (result.outcome == Outcome::timeout && !attempt.stalled);
+  if (result.outcome == Outcome::served && !result.body_consumed) {
     congested = record_latency(now, attempt, objective);
     if (!congested) {
       increase(load);
--- a/src/policy/origin_reads.cpp
+++ b/src/policy/origin_reads.cpp
@@ -79,7 +79,7 @@
     return false;
   }
   const Time answered_at = now + static_cast<Time>(parts_.limit.usual_latency());
-  return answered_at > request.arrived_at + parts_.rules.class_of(request).aim &&
+  return answered_at > request.arrived_at + parts_.rules.class_of(request).latency_objective &&
          static_cast<double>(reads_.size()) > parts_.limit.value();
 }
 
@@ -140,7 +140,7 @@
 void OriginReads::on_answer(RequestState& request, const AttemptState& attempt, const AttemptResult& result,
                             Time now) {
   request.origin_stage = OriginStage::done;
-  const Time objective = parts_.rules.class_of(request).aim;
+  const Time objective = parts_.rules.class_of(request).latency_objective;
   const OriginLimit::Load load{parts_.dispatcher.origin_in_flight(), !reads_.empty()};
   parts_.limit.record_answer(attempt, result, objective, load, now);
   parts_.limit.clamp(parts_.ready.per_router_share());
--- a/src/policy/outcomes.h
+++ b/src/policy/outcomes.h
@@ -8,7 +8,7 @@
 /// Whether an attempt with this outcome certainly had no effect on any server.
 constexpr bool never_ran(Outcome outcome) {
   switch (outcome) {
-    case Outcome::full:
+    case Outcome::overloaded:
     case Outcome::connect_failed:
     case Outcome::not_sent:
     case Outcome::miss: return true;
@@ -19,7 +19,7 @@
 /// Whether a failed connection was refused at once, by a machine that is up, and did not time out.
 /// `connect_timeout` is in microseconds.
 constexpr bool connection_refused(const AttemptResult& result, Time connect_timeout) {
-  return 2 * result.took < connect_timeout;
+  return 2 * result.duration < connect_timeout;
 }
 
 }  // namespace streampick::policy
--- a/src/policy/ready_endpoints.h
+++ b/src/policy/ready_endpoints.h
@@ -21,7 +21,7 @@
   /// Whether the list says that cache attempts may go to this endpoint.
   [[nodiscard]] bool is_eligible(const Endpoint& endpoint) const {
     return endpoint.is_listed && endpoint.member.phase == Phase::ready &&
-           !(config_.aside && endpoint.member.kind == config_.origin_kind);
+           !(config_.cache_aside && endpoint.member.kind == config_.origin_kind);
   }
 
   /// Adds or removes the endpoint, as the list says by now.
--- a/src/policy/request_execution.cpp
+++ b/src/policy/request_execution.cpp
@@ -39,7 +39,7 @@
 // No endpoint is known, or all are full: those have room again before long, and what waits for them holds up
 // others.
 void RequestExecution::wait_for_endpoint(RequestState& request, Time now) {
-  const Time objective = parts_.rules.class_of(request).aim;
+  const Time objective = parts_.rules.class_of(request).latency_objective;
   const bool none_known = parts_.ready.empty();
   if (!none_known && now - request.arrived_at >= scaled(objective, kFullWaitPerObjective)) {
     fall_back_to_origin(request, now);
@@ -70,15 +70,15 @@
     parts_.origin_reads.fetch(request, now);
     return;
   }
-  if (outcome == Outcome::rejected) {
+  if (outcome == Outcome::invalid_request) {
     fail(request, now);
     return;
   }
-  if (outcome == Outcome::miss && parts_.config.aside && !attempt.to_origin) {
+  if (outcome == Outcome::miss && parts_.config.cache_aside && !attempt.to_origin) {
     on_cache_miss(request, now);
     return;
   }
-  const bool is_broken = outcome == Outcome::spoilt || outcome == Outcome::reset;
+  const bool is_broken = outcome == Outcome::malformed || outcome == Outcome::reset;
   if (!is_broken || !retry_same_endpoint(request, attempt, now)) {
     retry_elsewhere(request, outcome, now);
   }
@@ -172,7 +172,7 @@
 }
 
 void RequestExecution::fall_back_to_origin(RequestState& request, Time now) {
-  const bool may_read = parts_.config.aside && parts_.rules.is_safe(request) &&
+  const bool may_read = parts_.config.cache_aside && parts_.rules.is_safe(request) &&
                         request.origin_stage == OriginStage::none &&
                         request.attempt_count < parts_.rules.max_attempts(request);
   if (may_read && parts_.origin_reads.has_capacity(now)) {
@@ -189,7 +189,7 @@
   }
   const RequestId id = request.request.id;
   const Time mean = parts_.config.max_retry_after / kGiveUpRetryAfterPart;
-  parts_.sink.refuse(id, jittered_retry_after(parts_.config, mean, id));
+  parts_.sink.reject(id, jittered_retry_after(parts_.config, mean, id));
   finish(request, now);
 }
 
--- a/src/policy/request_rules.cpp
+++ b/src/policy/request_rules.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 std::uint32_t RequestRules::max_attempts(const RequestState& state) const {
-  const std::uint32_t class_limit = class_of(state).attempts;
+  const std::uint32_t class_limit = class_of(state).max_attempts;
   return std::min<std::uint32_t>(class_limit > 0 ? class_limit : config_.max_attempts, kMaxAttempts);
 }
 
@@ -21,7 +21,7 @@
   const std::uint32_t total = max_attempts(state);
   const bool origin_asked =
       state.origin_stage == OriginStage::in_flight || state.origin_stage == OriginStage::done;
-  const std::uint32_t reserved = config_.aside && !origin_asked && total > 1 ? 1 : 0;
+  const std::uint32_t reserved = config_.cache_aside && !origin_asked && total > 1 ? 1 : 0;
   const std::uint32_t limit = total - reserved;
   return state.attempt_count < limit ? limit - state.attempt_count : 0;
 }
@@ -38,7 +38,7 @@
     if (rules.effect == Effect::unsafe || rules.group != Group::all) {
       return false;
     }
-    if (now - attempt.sent_at >= rules.window * kResendWindowTenths / 10) {
+    if (now - attempt.sent_at >= rules.idempotency_window * kResendWindowTenths / 10) {
       return false;
     }
   }
--- a/src/policy/request_rules.h
+++ b/src/policy/request_rules.h
@@ -29,7 +29,7 @@
 
   /// Whether the request goes to the origin and to no cache: a write of a look-aside fleet.
   [[nodiscard]] bool bypasses_caches(const RequestState& state) const {
-    return config_.aside && state.request.write;
+    return config_.cache_aside && state.request.write;
   }
 
   /// Whether one more attempt is harmless. An unsafe request goes out again only when no attempt can have
--- a/src/policy/result_recorder.cpp
+++ b/src/policy/result_recorder.cpp
@@ -25,7 +25,7 @@
   if (!attempt.to_origin) {
     record_congestion(request, attempt, result, now);
   }
-  if (result.outcome == Outcome::full) {
+  if (result.outcome == Outcome::overloaded) {
     endpoint.full_until = now + latencies_.half_usual(request.request);
   }
   record_outcome(endpoint, attempt, result, now);
@@ -36,10 +36,10 @@
 
 void ResultRecorder::record_congestion(const RequestState& request, const AttemptState& attempt,
                                        const AttemptResult& result, Time now) {
-  if (result.outcome == Outcome::full && request.attempt_count > 1) {
+  if (result.outcome == Outcome::overloaded && request.attempt_count > 1) {
     congestion_.record_rejected_again(now);
   } else if (result.outcome == Outcome::served) {
-    const auto objective = static_cast<double>(std::max<Time>(1, rules_.class_of(request).aim));
+    const auto objective = static_cast<double>(std::max<Time>(1, rules_.class_of(request).latency_objective));
     congestion_.record_latency_share(now, static_cast<double>(now - attempt.sent_at) / objective);
   }
 }
@@ -49,18 +49,18 @@
   switch (result.outcome) {
     case Outcome::served:
     case Outcome::miss:
-    case Outcome::rejected:
-    case Outcome::full: OutlierDetector::record_success(endpoint, now); break;
+    case Outcome::invalid_request:
+    case Outcome::overloaded: OutlierDetector::record_success(endpoint, now); break;
     case Outcome::error: outliers_.record_failure(endpoint, FailureScope::endpoint, now); break;
     case Outcome::reset:
-    case Outcome::spoilt:
+    case Outcome::malformed:
       ++endpoint.broken_answers;
       if (endpoint.broken_answers >= kBrokenAnswersToFail) {
         outliers_.record_failure(endpoint, FailureScope::endpoint, now);
       }
       break;
     case Outcome::connect_failed: {
-      const bool refused = connection_refused(result, config_.dial_time_out);
+      const bool refused = connection_refused(result, config_.connect_timeout);
       const FailureScope scope = refused ? FailureScope::endpoint : FailureScope::failure_domain;
       outliers_.record_failure(endpoint, scope, now);
       break;
@@ -77,7 +77,7 @@
 
 void ResultRecorder::record_latency(Endpoint& endpoint, const RequestState& request,
                                     const AttemptResult& result) {
-  const auto latency = static_cast<double>(result.took);
+  const auto latency = static_cast<double>(result.duration);
   const double usual = latencies_.record(request.request, latency);
   const Time hint = request.request.cost_hint;
   const double expected = hint > 0 ? static_cast<double>(hint) : usual;
--- a/src/policy/router.cpp
+++ b/src/policy/router.cpp
@@ -27,13 +27,13 @@
 
 void Router::on_result(Time now, const AttemptResult& result) { impl_->on_result(now, result); }
 
-void Router::on_withdrawn(Time now, RequestId request) { impl_->on_withdrawn(now, request); }
+void Router::on_cancelled(Time now, RequestId request) { impl_->on_cancelled(now, request); }
 
 void Router::on_wakeup(Time now) { impl_->on_wakeup(now); }
 
 void Router::on_shares(Time now, Shares shares) { impl_->on_shares(now, std::move(shares)); }
 
-bool Router::avoids(ServerId server) const { return impl_->avoids(server); }
+bool Router::is_ejected(ServerId server) const { return impl_->is_ejected(server); }
 
 OriginWork Router::origin_work() const { return impl_->origin_work(); }
 
--- a/src/policy/router_impl.cpp
+++ b/src/policy/router_impl.cpp
@@ -75,7 +75,7 @@
   const bool admitted = admission_.admits(request, quota, now);
   if (!admitted && quota == QuotaState::over) {
     const Time mean = config_.max_retry_after / kQuotaRetryAfterPart;
-    sink_.refuse(request.id, policy::jittered_retry_after(config_, mean, request.id));
+    sink_.reject(request.id, policy::jittered_retry_after(config_, mean, request.id));
     return;
   }
   RequestState& state = requests_.open(request, now);
@@ -127,8 +127,8 @@
 
 void Router::Impl::pause_cache_limit(const RequestState& request, const AttemptResult& result, Time now) {
   const double usual = latencies_.usual(request.request);
-  const double duration = std::max(usual, static_cast<double>(result.took));
-  const Time longest = kLongestPausePerObjective * rules_.class_of(request).aim;
+  const double duration = std::max(usual, static_cast<double>(result.duration));
+  const Time longest = kLongestPausePerObjective * rules_.class_of(request).latency_objective;
   cache_limit_.pause_after(now, duration, longest);
   timers_.add(cache_limit_.resumes_at(), TimerKind::drain_queues);
 }
@@ -137,7 +137,7 @@
                                     const AttemptResult& result, Time now) {
   if (result.request_over) {
     execution_.finish(request, now);
-  } else if (now >= request.request.deadline || result.spent) {
+  } else if (now >= request.request.deadline || result.body_consumed) {
     execution_.give_up(request, now);
   } else {
     execution_.on_attempt_failed(request, attempt, result.outcome, now);
@@ -145,7 +145,7 @@
 }
 
 // NOLINTNEXTLINE(bugprone-easily-swappable-parameters): the order of the public interface.
-void Router::Impl::on_withdrawn(Time now, RequestId id) {
+void Router::Impl::on_cancelled(Time now, RequestId id) {
   RequestState* request = requests_.find(id);
   if (request == nullptr || request->is_over) {
     return;
@@ -191,7 +191,7 @@
     case TimerKind::close_idle: connections_.close_expired(now); break;
     case TimerKind::poll_discovery:
       if (discovery_.is_due(now)) {
-        sink_.watch_members();
+        sink_.poll_discovery();
       }
       break;
     default: break;  // drain_queues: they are drained behind all timers
@@ -209,7 +209,7 @@
   on_wakeup(now);
 }
 
-bool Router::Impl::avoids(ServerId id) const {
+bool Router::Impl::is_ejected(ServerId id) const {
   const policy::Endpoint& endpoint = endpoints_.checked_at(id);
   return endpoint.is_ready && endpoint.is_ejected;
 }
--- a/src/policy/router_impl.h
+++ b/src/policy/router_impl.h
@@ -48,10 +48,10 @@
   void on_request(Time now, const Request& request);
   void on_stream_started(RequestId id);
   void on_result(Time now, const AttemptResult& result);
-  void on_withdrawn(Time now, RequestId id);
+  void on_cancelled(Time now, RequestId id);
   void on_wakeup(Time now);
   void on_shares(Time now, Shares shares);
-  [[nodiscard]] bool avoids(ServerId id) const;
+  [[nodiscard]] bool is_ejected(ServerId id) const;
   [[nodiscard]] OriginWork origin_work() const;
   [[nodiscard]] Time next_wakeup() { return timers_.next_due(); }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -24,12 +24,12 @@
 
   /// Share of its full capacity that the endpoint has by now, from the settings' cold share up to 1.
   [[nodiscard]] double capacity_share(const Endpoint& endpoint, Time now) const {
-    if (endpoint.member.started <= 0 || config_.cold_time <= 0) {
+    if (endpoint.member.started <= 0 || config_.slow_start_duration <= 0) {
       return 1;
     }
     const auto age = static_cast<double>(now - endpoint.member.started);
-    const double warm = std::clamp(age / static_cast<double>(config_.cold_time), 0.0, 1.0);
-    return config_.cold_share + (1 - config_.cold_share) * warm;
+    const double warm = std::clamp(age / static_cast<double>(config_.slow_start_duration), 0.0, 1.0);
+    return config_.slow_start_initial_share + (1 - config_.slow_start_initial_share) * warm;
   }
 
   [[nodiscard]] bool is_warming_up(const Endpoint& endpoint, Time now) const {
@@ -41,12 +41,12 @@
   /// load. Each router's part, mostly far below one, grows with the time since the last draw; a draw spends
   /// it. `healthy_weight` is the sum over all ready endpoints.
   [[nodiscard]] double first_attempt_share(const Endpoint& endpoint, const DrawContext& context) const {
-    if (config_.fall_multiple <= 0 || context.healthy_weight <= 0) {
+    if (config_.slow_start_overload_factor <= 0 || context.healthy_weight <= 0) {
       return context.capacity_share;
     }
     const double usual_attempts =
         endpoint.weight / context.healthy_weight * saved_intervals(endpoint, context.now);
-    return context.capacity_share * std::min(1.0, config_.fall_multiple * usual_attempts);
+    return context.capacity_share * std::min(1.0, config_.slow_start_overload_factor * usual_attempts);
   }
 
  private:
@@ -62,8 +62,8 @@
     if (interval <= 0) {
       return 1;
     }
-    const Time saved =
-        std::min(now - endpoint.last_slow_start_draw, scaled(config_.fall_time, kMaxSavedWindows));
+    const Time saved = std::min(now - endpoint.last_slow_start_draw,
+                                scaled(config_.slow_start_overload_window, kMaxSavedWindows));
     return static_cast<double>(saved) / interval;
   }
 
--- a/src/resp/commands.cpp
+++ b/src/resp/commands.cpp
@@ -136,7 +136,7 @@
   }
   if (nx && xx) return "ERR syntax error";
   // A copy at a cache would be served past the time at which its source drops the value.
-  if (expires && settings.aside)
+  if (expires && settings.cache_aside)
     return "ERR an expiry can't be kept here: caches hold copies that would outlive it";
   if (settings.plain_only && words.size() > 3)
     return "ERR the options of SET need servers that speak RESP, which not all do here";
@@ -268,8 +268,8 @@
   return Value::null();
 }
 
-Value answer_value(const Command& command, node::Answer answer) {
-  using Form = node::Answer::Form;
+Value answer_value(const Command& command, engine::Answer answer) {
+  using Form = engine::Answer::Form;
   if (answer.form == Form::nothing) return missing(command);
   if (answer.form == Form::count) return Value::integer(answer.count);
   switch (command.reply) {
@@ -287,22 +287,22 @@
 
 }  // namespace
 
-Value spell(const Command& command, node::Reply reply, bool has_key) {
-  using Kind = node::Reply::Kind;
+Value spell(const Command& command, engine::Response reply, bool has_key) {
+  using Kind = engine::Response::Kind;
   if (reply.kind == Kind::served) return answer_value(command, std::move(reply.answer));
   // The source of all values has said that there is none: that is an answer, whatever else was tried.
-  if (reply.absent && command.kind == K::read) return missing(command);
+  if (reply.not_found && command.kind == K::read) return missing(command);
   const bool write = command.kind == K::write;
   // A refusal promises that a repeat does no harm. The module refuses a keyed write that may have run, for
   // its servers drop repeats of its key; but where the client told none, its repeat has another.
-  if (reply.kind == Kind::refused && (!write || !reply.may_have_run || has_key)) {
+  if (reply.kind == Kind::rejected && (!write || !reply.may_have_run || has_key)) {
     std::string text = "TRYAGAIN refused";
     if (write) text += reply.may_have_run ? ", it may have run: repeat it with its KEY" : ", nothing ran";
     if (reply.retry_after > 0)
       text += "; come back in " + std::to_string((reply.retry_after + 999) / 1000) + " ms";
     return Value::error(std::move(text));
   }
-  if (!reply.why.empty()) return Value::error(std::move(reply.why));
+  if (!reply.error_message.empty()) return Value::error(std::move(reply.error_message));
   const char* ran = !write ? "" : reply.may_have_run ? "; it may have run" : "; nothing ran";
   return Value::error((reply.late ? "TIMEOUT no answer in time" : "UNAVAILABLE failed") + std::string(ran));
 }
--- a/src/resp/commands.h
+++ b/src/resp/commands.h
@@ -7,12 +7,12 @@
 #include <string_view>
 #include <vector>
 
-#include "engine/front.h"
+#include "engine/downstream.h"
 #include "resp/value.h"
 
 namespace streampick::resp {
 
-using node::Operation;
+using engine::Operation;
 
 // One row of the table. Names, arity and groups are as the commands' own documentation has them.
 struct Command {
@@ -58,8 +58,8 @@
 };
 
 struct TableSettings {
-  bool aside = false;       // values have one source, and the caches hold copies
-  bool plain_only = false;  // some server does not speak RESP
+  bool cache_aside = false;  // values have one source, and the caches hold copies
+  bool plain_only = false;   // some server does not speak RESP
   std::size_t most_keys = 256;
   std::size_t longest_key = 512;
 };
@@ -70,7 +70,7 @@
 // The reply to one part, and to a whole command once all of its parts have ended. `parts` holds a part's
 // answer each, in the command's order.
 // `has_key`: the client told a KEY, so that its own repeat can be told from another write.
-Value spell(const Command& command, node::Reply reply, bool has_key = false);
+Value spell(const Command& command, engine::Response reply, bool has_key = false);
 Value gather(const Command& command, std::vector<Value> parts);
 
 // COMMAND, COMMAND COUNT, COMMAND DOCS [name ...]: `words` begins with COMMAND.
--- a/src/resp/conversation.cpp
+++ b/src/resp/conversation.cpp
@@ -153,14 +153,14 @@
   flush();
 }
 
-void Conversation::set(std::uint64_t tag, Value value, node::Lease lease) {
+void Conversation::set(std::uint64_t tag, Value value, engine::MemoryReservation reservation) {
   const std::uint64_t number = tag >> kPartBits, part = tag & ((1U << kPartBits) - 1);
   if (number < first_slot_ || number >= next_slot_) return;
   Slot& slot = slots_[number - first_slot_];
   if (slot.left == 0 || part >= slot.parts.size() || slot.answered[part]) return;
   slot.answered[part] = true;
   slot.parts[part] = std::move(value);
-  slot.leases.push_back(std::move(lease));
+  slot.leases.push_back(std::move(reservation));
   --open_parts_;
   const auto on_key = keys_.find(slot.keys[part]);
   --(slot.command->kind == Command::Kind::write ? on_key->second.writes : on_key->second.reads);
@@ -173,13 +173,13 @@
   }
 }
 
-void Conversation::answered(std::uint64_t tag, node::Reply reply) {
+void Conversation::answered(std::uint64_t tag, engine::Response reply) {
   const std::uint64_t number = tag >> kPartBits;
   if (number < first_slot_ || number >= next_slot_) return;
   const Slot& slot = slots_[number - first_slot_];
   if (slot.command == nullptr) return;
-  node::Lease lease = std::move(reply.answer.lease);
-  set(tag, spell(*slot.command, std::move(reply), slot.has_key), std::move(lease));
+  engine::MemoryReservation reservation = std::move(reply.answer.memory);
+  set(tag, spell(*slot.command, std::move(reply), slot.has_key), std::move(reservation));
 }
 
 void Conversation::id_is_open(std::uint64_t tag) {
@@ -193,7 +193,8 @@
     slots_.pop_front();
     ++first_slot_;
     output_parts_ += slot.parts.size();
-    for (node::Lease& lease : slot.leases) output_leases_.push_back(std::move(lease));
+    for (engine::MemoryReservation& reservation : slot.leases)
+      output_leases_.push_back(std::move(reservation));
     const Value value =
         slot.command != nullptr ? gather(*slot.command, std::move(slot.parts)) : std::move(slot.value);
     encode(value, slot.version, output_);
@@ -202,7 +203,8 @@
 
 std::string Conversation::take_output() {
   writing_parts_ += std::exchange(output_parts_, 0);
-  for (node::Lease& lease : output_leases_) written_leases_.push_back(std::move(lease));
+  for (engine::MemoryReservation& reservation : output_leases_)
+    written_leases_.push_back(std::move(reservation));
   output_leases_.clear();
   return std::exchange(output_, {});
 }
--- a/src/resp/conversation.h
+++ b/src/resp/conversation.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "engine/front.h"
+#include "engine/downstream.h"
 #include "resp/commands.h"
 #include "resp/decode.h"
 #include "resp/encode.h"
@@ -58,7 +58,7 @@
   bool wants_more() const;
   std::vector<Ask> take_asks() { return std::exchange(asks_, {}); }
 
-  void answered(std::uint64_t tag, node::Reply reply);
+  void answered(std::uint64_t tag, engine::Response reply);
   // The id that the ask named is open: nothing ran.
   void id_is_open(std::uint64_t tag);
 
@@ -92,7 +92,7 @@
     std::vector<Value> parts;
     std::vector<bool> answered;       // by part
     std::vector<std::uint64_t> keys;  // by part, as hashes
-    std::vector<node::Lease> leases;
+    std::vector<engine::MemoryReservation> leases;
     Value value;
   };
   // What is open on a key. A command on a key waits for an earlier one when either of them writes it: a
@@ -109,7 +109,7 @@
   Value client(const std::vector<std::string>& words);
   Value authenticate(const std::string& name, const std::string& password);
   void reply(Value value);
-  void set(std::uint64_t tag, Value value, node::Lease lease);
+  void set(std::uint64_t tag, Value value, engine::MemoryReservation reservation);
   void flush();
   std::string who(const Told& told, std::string& tenant) const;
 
@@ -130,7 +130,7 @@
   std::optional<Parked> parked_;  // waits for what is open on its keys; nothing is read past it
   std::vector<Ask> asks_;
   std::string output_;
-  std::vector<node::Lease> output_leases_, written_leases_;
+  std::vector<engine::MemoryReservation> output_leases_, written_leases_;
   std::size_t open_parts_ = 0, unwritten_parts_ = 0;
   std::size_t output_parts_ = 0, writing_parts_ = 0;
   bool over_ = false, foreign_ = false;
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -17,10 +17,10 @@
 
 namespace streampick::resp {
 
-using node::error_code;
-using node::log;
-using node::tcp;
-using node::asio::buffer;
+using asio::buffer;
+using net::error_code;
+using net::log;
+using net::tcp;
 namespace asio = boost::asio;
 
 namespace {
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-class RespFront::Session final : public node::ResponseSink, public std::enable_shared_from_this<Session> {
+class RespFront::Session final : public engine::ResponseSink, public std::enable_shared_from_this<Session> {
  public:
   Session(RespFront& owner, tcp::socket socket, std::int64_t id)
       : owner_(&owner),
@@ -54,7 +54,7 @@
   }
   void placed(Sessions::iterator place) { place_ = place; }
 
-  void reply(std::uint64_t tag, node::Reply reply) override {
+  void respond(std::uint64_t tag, engine::Response reply) override {
     if (owner_ == nullptr) return;
     open_.erase(tag);
     conversation_.answered(tag, std::move(reply));
@@ -108,7 +108,7 @@
     owner.sessions_.erase(place_);
     if (owner.descriptors_ != nullptr) owner.descriptors_->give(overload::Descriptors::Side::clients);
     const auto open = std::exchange(open_, {});
-    for (const auto& [tag, request] : open) owner.requests_.withdrawn(request);
+    for (const auto& [tag, request] : open) owner.requests_.on_client_cancelled(request);
   }
   void detach() {
     owner_ = nullptr;
@@ -236,20 +236,21 @@
     if (owner_->admission_ != nullptr &&
         owner_->admission_->refuses(kind, patience, owner_->last_id_ + ask.tag)) {
       ++owner_->counts_.shed;
-      owner_->requests_.turned_away(kind);
+      owner_->requests_.on_rejected_unread(kind);
       const Time after = owner_->admission_->retry_after(owner_->last_id_ + ask.tag);
-      return conversation_.answered(ask.tag, {.kind = node::Reply::Kind::refused, .retry_after = after});
+      return conversation_.answered(ask.tag,
+                                    {.kind = engine::Response::Kind::rejected, .retry_after = after});
     }
-    node::IncomingRequest incoming;
+    engine::IncomingRequest incoming;
     incoming.tag = ask.tag;
     incoming.request_class = kind;
     incoming.tenant = ask.tenant.empty() ? kNone : index_of(owner_->names_.tenants, ask.tenant);
     incoming.remaining = patience;
     incoming.has_key = true;
-    const std::string escaped = node::escape_key(ask.part.key);
-    incoming.key = node::key_number(escaped);
-    incoming.message = std::make_shared<node::Message>();
-    node::Message& message = *incoming.message;
+    const std::string escaped = engine::escape_key(ask.part.key);
+    incoming.key = engine::key_number(escaped);
+    incoming.message = std::make_shared<engine::Message>();
+    engine::Message& message = *incoming.message;
     message.operation = ask.part.operation;
     message.target = "/" + owner_->names_.classes[kind] + "/" + escaped;
     message.key = std::move(ask.part.key);
@@ -257,17 +258,18 @@
     message.words = std::move(ask.part.words);
     message.idempotency_key = std::move(ask.idempotency_key);
     if (ask.id.empty()) {
-      incoming.txn = owner_->next_id();
-      message.txn = node::hex(incoming.txn);
+      incoming.transaction_id = owner_->next_id();
+      message.transaction_id = engine::hex(incoming.transaction_id);
     } else {
-      std::from_chars(ask.id.data(), ask.id.data() + ask.id.size(), incoming.txn, 16);
-      message.txn = std::move(ask.id);
+      std::from_chars(ask.id.data(), ask.id.data() + ask.id.size(), incoming.transaction_id, 16);
+      message.transaction_id = std::move(ask.id);
     }
     // With it our own repeats are told from other writes; the client's own repeat is another write.
-    if (write && settings.write_key && message.idempotency_key.empty()) message.idempotency_key = message.txn;
+    if (write && settings.write_key && message.idempotency_key.empty())
+      message.idempotency_key = message.transaction_id;
     ++owner_->counts_.requests;
     open_.emplace(ask.tag, 0);
-    const RequestId id = owner_->requests_.asked(shared_from_this(), std::move(incoming));
+    const RequestId id = owner_->requests_.on_request(shared_from_this(), std::move(incoming));
     if (id == 0) {
       open_.erase(ask.tag);
       conversation_.id_is_open(ask.tag);
@@ -411,9 +413,9 @@
   bool prompt_ = false;  // what the loop has waited for is being read and handled
 };
 
-RespFront::RespFront(asio::io_context& io, node::TimeSource& time, const Names& names,
-                     node::Requests& requests, const FrontSettings& settings,
-                     overload::Descriptors* descriptors, node::Admission* admission)
+RespFront::RespFront(asio::io_context& io, engine::TimeSource& time, const Names& names,
+                     engine::RequestHandler& requests, const FrontSettings& settings,
+                     overload::Descriptors* descriptors, net::Admission* admission)
     : io_(io),
       time_(time),
       names_(names),
@@ -491,7 +493,7 @@
     if (session->starved()) asio::post(io_, [session] { session->there_is_room(); });
 }
 
-void RespFront::drain() {
+void RespFront::on_drain_started() {
   draining_ = true;
   const Sessions all = sessions_;
   for (const auto& session : all) session->go_on();
@@ -528,7 +530,7 @@
 }
 
 std::string RespFront::summary() const {
-  return "clients=" + std::to_string(open()) + " accepted=" + std::to_string(counts_.accepted) +
+  return "clients=" + std::to_string(open_connections()) + " accepted=" + std::to_string(counts_.accepted) +
          " commands=" + std::to_string(counts_.commands) + " requests=" + std::to_string(counts_.requests) +
          " bad=" + std::to_string(counts_.bad) + " turned_away=" + std::to_string(counts_.turned_away) +
          " shed=" + std::to_string(counts_.shed);
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "engine/front.h"
+#include "engine/downstream.h"
 #include "engine/time.h"
 #include "net/admission.h"
 #include "net/listener.h"
@@ -33,7 +33,7 @@
   std::uint64_t seed = 0;           // of the ids that the front chooses
 };
 
-class RespFront final : public node::Front, private node::Listener::Owner {
+class RespFront final : public engine::Downstream, private net::Listener::Owner {
  public:
   struct Counts {
     std::uint64_t accepted = 0, turned_away = 0, commands = 0, requests = 0, bad = 0;
@@ -41,16 +41,16 @@
   };
 
   // Throws boost::system::system_error when the address can't be listened on.
-  RespFront(boost::asio::io_context& io, node::TimeSource& time, const Names& names, node::Requests& requests,
-            const FrontSettings& settings, overload::Descriptors* descriptors = nullptr,
-            node::Admission* admission = nullptr);
+  RespFront(boost::asio::io_context& io, engine::TimeSource& time, const Names& names,
+            engine::RequestHandler& requests, const FrontSettings& settings,
+            overload::Descriptors* descriptors = nullptr, net::Admission* admission = nullptr);
   ~RespFront() override;
   RespFront(const RespFront&) = delete;
   RespFront& operator=(const RespFront&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return listener_.address(); }
-  void drain() override;
-  void end_drain() override { draining_ = false; }
+  void on_drain_started() override;
+  void on_drain_ended() override { draining_ = false; }
   // Of new settings; requests that are open keep the classes they were asked under.
   void set_classes(std::uint32_t read, std::uint32_t write, bool write_key) {
     settings_.read_class = read;
@@ -60,7 +60,7 @@
   void stop_accepting() override;
   void stop_reading() override;
   std::size_t unanswered() const override;
-  std::size_t open() const override { return sessions_.size(); }
+  std::size_t open_connections() const override { return sessions_.size(); }
   const Counts& counts() const { return counts_; }
   std::string summary() const;  // the counts, for the log
 
@@ -85,15 +85,15 @@
   Figures figures() const;
 
   boost::asio::io_context& io_;
-  node::TimeSource& time_;
+  engine::TimeSource& time_;
   const Names& names_;
-  node::Requests& requests_;
+  engine::RequestHandler& requests_;
   FrontSettings settings_;
   overload::Descriptors* descriptors_;  // shared with other fronts; none: only its own limit holds
-  node::Admission* admission_;          // none: nothing is refused for the loop's sake
-  node::Listener listener_;
+  net::Admission* admission_;           // none: nothing is refused for the loop's sake
+  net::Listener listener_;
   boost::asio::steady_timer sweep_;
-  node::LoopDelay loop_delay_;  // ticks with each sweep
+  net::LoopDelay loop_delay_;  // ticks with each sweep
   unsigned ticks_ = 0;
   Sessions sessions_;
   Rejections rejections_;
--- a/src/resp/options.cpp
+++ b/src/resp/options.cpp
@@ -14,7 +14,7 @@
   FrontOptions out;
   std::string listen;
   if (!table.text("listen", listen)) table.wrong("listen", "it is missing");
-  const auto endpoint = node::parse_endpoint(listen);
+  const auto endpoint = net::parse_endpoint(listen);
   if (!endpoint) table.wrong("listen", "expected ADDRESS:PORT, the address in numbers");
   FrontSettings& settings = out.settings;
   settings.listen = *endpoint;
@@ -107,7 +107,7 @@
   settings.read_class = find_class("resp.front.read_class", front.read_class, true);
   settings.write_class = find_class("resp.front.write_class", front.write_class, false);
   settings.write_key = config.classes[settings.write_class].effect == Effect::keyed;
-  settings.rules.table.aside = config.aside;
+  settings.rules.table.cache_aside = config.cache_aside;
   // A server of another kind may have to answer any command.
   settings.rules.table.plain_only = !all.servers;
   for (std::uint32_t kind = 0; kind < names.kinds.size() && all.servers; ++kind)
@@ -133,7 +133,7 @@
   if (!options.servers || options.servers->settings.rules.send_ids) return false;
   const Config& config = platform.config;
   // Where values have a source, writes go there and nowhere else.
-  return !config.aside || options.servers->speak(platform.names.kinds, config.origin_kind);
+  return !config.cache_aside || options.servers->speak(platform.names.kinds, config.origin_kind);
 }
 
 std::string describe(const Options& options) {
--- a/src/resp/pipeline.cpp
+++ b/src/resp/pipeline.cpp
@@ -21,10 +21,10 @@
 std::string words_of(std::string_view text) { return printable(text.substr(0, 200)); }
 
 // The table's row; the two that nearly all are need no looking up.
-const Command* command_of(const node::Message& message) {
+const Command* command_of(const engine::Message& message) {
   static const Command* const get = find_command("GET");
   static const Command* const set = find_command("SET");
-  if (message.words.empty()) return message.operation == node::Operation::write ? set : get;
+  if (message.words.empty()) return message.operation == engine::Operation::write ? set : get;
   return find_command(message.words.front());
 }
 
@@ -39,21 +39,21 @@
   // It finds fault with the command itself: every server would.
   constexpr std::array<std::string_view, 4> rejects = {"ERR", "WRONGTYPE", "SYNTAX", "DUPLICATE"};
   const std::string_view word = first_word(text);
-  if (std::find(never.begin(), never.end(), word) != never.end()) return Outcome::full;
+  if (std::find(never.begin(), never.end(), word) != never.end()) return Outcome::overloaded;
   // Replied in place of a greeting by a server that has no place for one more connection.
-  if (text.starts_with("ERR max number of clients")) return Outcome::full;
-  if (std::find(rejects.begin(), rejects.end(), word) != rejects.end()) return Outcome::rejected;
+  if (text.starts_with("ERR max number of clients")) return Outcome::overloaded;
+  if (std::find(rejects.begin(), rejects.end(), word) != rejects.end()) return Outcome::invalid_request;
   return Outcome::error;
 }
 
-Ended read_reply(node::AttemptId attempt, const Command* command, bool options, Value reply,
+Ended read_reply(engine::AttemptId attempt, const Command* command, bool options, Value reply,
                  bool null_is_miss) {
-  using Form = node::Answer::Form;
+  using Form = engine::Answer::Form;
   using Wants = Command::Reply;
-  const auto spoilt = [attempt] { return Ended{attempt, Outcome::spoilt, {}}; };
+  const auto spoilt = [attempt] { return Ended{attempt, Outcome::malformed, {}}; };
   if (reply.is_error()) {
     Ended out{attempt, outcome_of_error(reply.text), {}};
-    if (out.outcome == Outcome::rejected) out.answer.body = words_of(reply.text);
+    if (out.outcome == Outcome::invalid_request) out.answer.body = words_of(reply.text);
     return out;
   }
   if (command == nullptr) return spoilt();
@@ -122,16 +122,16 @@
   offer(three ? Role::hello : Role::auth, words);
 }
 
-void Pipeline::send(node::AttemptId attempt, const node::Message& message, Time remaining) {
+void Pipeline::send(engine::AttemptId attempt, const engine::Message& message, Time remaining) {
   std::vector<std::string_view> words;
   const std::string ms = std::to_string(std::max<Time>(remaining / 1000, 1));
   if (rules_->send_ids) {
-    words = {"ROUTE", "ID", message.txn, "DEADLINE", ms};
+    words = {"ROUTE", "ID", message.transaction_id, "DEADLINE", ms};
     if (!message.idempotency_key.empty()) words.insert(words.end(), {"KEY", message.idempotency_key});
   }
   if (!message.words.empty()) {
     words.insert(words.end(), message.words.begin(), message.words.end());
-  } else if (message.operation == node::Operation::write) {
+  } else if (message.operation == engine::Operation::write) {
     words.insert(words.end(), {"SET", message.key, message.body});
   } else {
     words.insert(words.end(), {"GET", message.key});
@@ -139,7 +139,7 @@
   Entry& entry = offer(Role::attempt, words);
   entry.attempt = attempt;
   entry.command = command_of(message);
-  entry.write = node::is_write(message.operation);
+  entry.write = engine::is_write(message.operation);
   entry.options = !message.words.empty();
   if (entry.write) ++writes_;
   ++waited_for_;
@@ -203,28 +203,28 @@
   cut_from(first, Outcome::not_sent);
 }
 
-std::deque<Pipeline::Entry>::iterator Pipeline::entry_of(node::AttemptId attempt) {
+std::deque<Pipeline::Entry>::iterator Pipeline::entry_of(engine::AttemptId attempt) {
   return std::find_if(entries_.begin(), entries_.end(), [&](const Entry& entry) {
     return entry.role == Role::attempt && !entry.forgotten && entry.attempt == attempt;
   });
 }
 
-std::vector<node::AttemptId> Pipeline::unsent() const {
-  std::vector<node::AttemptId> out;
+std::vector<engine::AttemptId> Pipeline::unsent() const {
+  std::vector<engine::AttemptId> out;
   for (const Entry& entry : entries_)
     if (entry.role == Role::attempt && !entry.forgotten && entry.begin >= written_)
       out.push_back(entry.attempt);
   return out;
 }
 
-std::optional<node::AttemptId> Pipeline::half_sent() const {
+std::optional<engine::AttemptId> Pipeline::half_sent() const {
   for (const Entry& entry : entries_)
     if (entry.role == Role::attempt && !entry.forgotten && entry.begin < written_ && entry.end > written_)
       return entry.attempt;
   return std::nullopt;
 }
 
-bool Pipeline::cancel_unsent(node::AttemptId attempt) {
+bool Pipeline::cancel_unsent(engine::AttemptId attempt) {
   const auto found = entry_of(attempt);
   if (found == entries_.end() || found->begin < written_ || found->end <= written_) return false;
   // Its bytes are taken out of the run.
@@ -239,7 +239,7 @@
   return true;
 }
 
-void Pipeline::forget(node::AttemptId attempt) {
+void Pipeline::forget(engine::AttemptId attempt) {
   if (cancel_unsent(attempt)) return;
   const auto found = entry_of(attempt);
   if (found == entries_.end()) return;
@@ -324,7 +324,7 @@
     entries_.pop_front();
     leave(entry);
     if (entry.role == Role::attempt && !entry.forgotten)
-      ended_.push_back({entry.attempt, Outcome::spoilt, {}});
+      ended_.push_back({entry.attempt, Outcome::malformed, {}});
   }
   end();
 }
--- a/src/resp/pipeline.h
+++ b/src/resp/pipeline.h
@@ -26,14 +26,14 @@
 };
 
 struct Ended {
-  node::AttemptId attempt;
+  engine::AttemptId attempt;
   Outcome outcome = Outcome::error;
-  node::Answer answer = {};
+  engine::Answer answer = {};
 };
 
 // What a server's reply to a command means. `options`: the command went out with words of its own, as SET
 // does with NX or GET. `null_is_miss`: the server holds copies, so that what it lacks may exist.
-Ended read_reply(node::AttemptId attempt, const Command* command, bool options, Value reply,
+Ended read_reply(engine::AttemptId attempt, const Command* command, bool options, Value reply,
                  bool null_is_miss);
 // How an error that a server replied is to be taken: by its first word. The table is in docs/resp.md.
 Outcome outcome_of_error(std::string_view text);
@@ -45,7 +45,7 @@
   Pipeline(const ServerRules& rules, bool null_is_miss);
 
   // Takes a command. Its bytes are in output() from here on. `remaining`: microseconds that the router waits.
-  void send(node::AttemptId attempt, const node::Message& message, Time remaining);
+  void send(engine::AttemptId attempt, const engine::Message& message, Time remaining);
   // Stores a value: nobody waits for its reply.
   void store(const std::string& key, const std::string& value);
   // Drops a copy, likewise.
@@ -59,16 +59,16 @@
   void drop_unsent();
 
   /// Attempts none of whose bytes are written, in their order.
-  std::vector<node::AttemptId> unsent() const;
+  std::vector<engine::AttemptId> unsent() const;
   /// The attempt of which a part is written and a part is not.
-  std::optional<node::AttemptId> half_sent() const;
+  std::optional<engine::AttemptId> half_sent() const;
 
   // Nobody waits for it any more. Its reply is passed over; if none of its bytes are written, none will be.
   // A command of which a part is written can't be taken back nor go on: the connection then takes no further
   // bytes, and ends once what stands before it is answered.
-  void forget(node::AttemptId attempt);
+  void forget(engine::AttemptId attempt);
   // The first case of these alone: false, and all stays, where one of its bytes is written.
-  bool cancel_unsent(node::AttemptId attempt);
+  bool cancel_unsent(engine::AttemptId attempt);
 
   // Bytes that came.
   void put(std::string_view bytes);
@@ -99,7 +99,7 @@
   enum class Role : std::uint8_t { hello, auth, attempt, store };
   struct Entry {
     Role role = Role::attempt;
-    node::AttemptId attempt;
+    engine::AttemptId attempt;
     const Command* command = nullptr;  // of an attempt; none: the router does not know it
     bool write = false, options = false;
     std::uint64_t begin = 0, end = 0;  // its place in all that was ever to be written
@@ -121,7 +121,7 @@
   Version version_ = Version::resp2;
   Decoder decoder_;
   std::deque<Entry> entries_;
-  std::deque<Entry>::iterator entry_of(node::AttemptId attempt);
+  std::deque<Entry>::iterator entry_of(engine::AttemptId attempt);
   std::string out_;
   std::size_t out_at_ = 0;
   std::uint64_t written_ = 0, offered_ = 0;  // bytes, ever
--- a/src/resp/rejections.cpp
+++ b/src/resp/rejections.cpp
@@ -9,8 +9,8 @@
 
 namespace streampick::resp {
 
-using node::error_code;
-using node::tcp;
+using net::error_code;
+using net::tcp;
 namespace asio = boost::asio;
 
 namespace {
--- a/src/resp/transport.cpp
+++ b/src/resp/transport.cpp
@@ -11,10 +11,10 @@
 namespace streampick::resp {
 
 namespace asio = boost::asio;
-using node::AttemptId;
-using node::error_code;
-using node::log;
-using node::tcp;
+using engine::AttemptId;
+using net::error_code;
+using net::log;
+using net::tcp;
 
 namespace {
 constexpr std::size_t kLargeBody = 64 * 1024;
@@ -73,7 +73,7 @@
   // come is taken back.
   void write() {
     if (owner_ == nullptr || !made_ || writing_) return;
-    if (owner_->time_.now() >= owner_->nothing_from()) pipe.drop_unsent();
+    if (owner_->time_.now() >= owner_->sending_stops_at()) pipe.drop_unsent();
     while (!pipe.output().empty()) {
       const std::string_view bytes = pipe.output();
       error_code error;
@@ -192,8 +192,8 @@
   Time blocked_at_ = 0;  // when the socket took no more
 };
 
-RespTransport::RespTransport(asio::io_context& io, node::TimeSource& time, node::Links& links,
-                             node::AttemptObserver& outcomes, const ServerSettings& settings,
+RespTransport::RespTransport(asio::io_context& io, engine::TimeSource& time, net::Links& links,
+                             engine::AttemptObserver& outcomes, const ServerSettings& settings,
                              ServerCounts& counts, std::string name, bool null_is_miss, PushHook on_push)
     : io_(io),
       time_(time),
@@ -212,7 +212,7 @@
 
 void RespTransport::set_address(const std::string& address) {
   if (address == address_text_) return;
-  const auto endpoint = node::parse_endpoint(address);
+  const auto endpoint = net::parse_endpoint(address);
   if (!endpoint) return log("address of " + name_ + " can't be read: " + address.substr(0, 80));
   address_text_ = address;
   address_ = *endpoint;
@@ -228,15 +228,15 @@
   dispatch();  // what waited for one of these dials the new address
 }
 
-void RespTransport::send_nothing_from(Time at) {
-  Transport::send_nothing_from(at);
+void RespTransport::stop_sending_at(Time at) {
+  engine::Upstream::stop_sending_at(at);
   dispatch();
 }
 
-void RespTransport::send(AttemptId attempt, std::shared_ptr<const node::Message> message, Time expires,
+void RespTransport::send(AttemptId attempt, std::shared_ptr<const engine::Message> message, Time expires,
                          Time begin_by) {
   // A value stands whole in its command: one that is too long to be kept has no form here.
-  if (message->upload) return end_soon(attempt, Outcome::rejected);
+  if (message->upload) return end_soon(attempt, Outcome::invalid_request);
   if (waiting_.size() >= settings_.waiting) return end_soon(attempt, Outcome::connect_failed);
   waiting_.push_back({attempt, std::move(message), expires, begin_by});
   dispatch();
@@ -272,12 +272,12 @@
   while (!waiting_.empty()) {
     const Job& next = waiting_.front();
     // An attempt that waited for its connection until its server left, or past its own time, must not go out.
-    if (now >= nothing_from() || now >= std::min(next.expires, next.begin_by)) {
+    if (now >= sending_stops_at() || now >= std::min(next.expires, next.begin_by)) {
       end_soon(next.attempt, Outcome::not_sent);
       waiting_.pop_front();
       continue;
     }
-    const Link link = choose(node::is_write(next.message->operation));
+    const Link link = choose(engine::is_write(next.message->operation));
     if (!link) break;
     if (link->pipe.in_flight() == 0 && !link->absorb()) {
       drop(link);
@@ -308,7 +308,7 @@
 // Looked at last before its bytes are put to be written.
 bool RespTransport::may_begin(Job& job) {
   const Time now = time_.fresh();
-  if (now >= nothing_from() || now >= std::min(job.expires, job.begin_by)) return false;
+  if (now >= sending_stops_at() || now >= std::min(job.expires, job.begin_by)) return false;
   const std::optional<Time> deadline = outcomes_.may_write(job.attempt);
   if (!deadline || now >= *deadline) return false;
   job.expires = std::min(job.expires, *deadline);
@@ -326,7 +326,7 @@
   ++links_.dials;
   const auto link = std::make_shared<Connection>(*this);
   connections_.push_back(link);
-  link->dial(address_, links_.dial_time_out);
+  link->dial(address_, links_.connect_timeout);
   return true;
 }
 
@@ -367,14 +367,14 @@
   }
   dispatch();
   store_some();
-  node::AttemptObserver& outcomes =
+  engine::AttemptObserver& outcomes =
       outcomes_;  // the last of these may be the last that is heard of this server
   for (Ended& end : ended) {
     if (end.answer.body.size() <= kLargeBody) continue;
-    if (auto lease = links_.lease(end.answer.body.size()))
-      end.answer.lease = std::move(*lease);
+    if (auto reservation = links_.reservation(end.answer.body.size()))
+      end.answer.memory = std::move(*reservation);
     else
-      end = {end.attempt, Outcome::spoilt, {}};
+      end = {end.attempt, Outcome::malformed, {}};
   }
   for (Ended& end : ended) outcomes.on_attempt_ended(end.attempt, end.outcome, std::move(end.answer));
 }
@@ -396,7 +396,7 @@
   return false;
 }
 
-void RespTransport::forget(AttemptId attempt, Forget) {
+void RespTransport::cancel(AttemptId attempt, engine::CancelReason /*reason*/) {
   if (cancel_unsent(attempt)) return;
   for (const Link& link : connections_) {
     const std::size_t before = link->pipe.in_flight() - link->owed_to_nobody();
@@ -423,7 +423,7 @@
     const bool stalled = link->owed_since > 0 && now - link->owed_since > kOwedAtMost;
     if (idle || stalled) drop(link);
   }
-  if (now >= nothing_from()) to_store_.clear();
+  if (now >= sending_stops_at()) to_store_.clear();
 }
 
 bool RespTransport::close_oldest_idle() {
@@ -436,7 +436,7 @@
   return true;
 }
 
-void RespTransport::keep(const std::string& key, const std::string& value) {
+void RespTransport::fill_cache(const std::string& key, const std::string& value) {
   // A popular key is missed by many at once: once is enough.
   const auto waits = std::find_if(to_store_.begin(), to_store_.end(),
                                   [&](const Stored& other) { return !other.drop && other.key == key; });
@@ -445,7 +445,7 @@
     return;
   }
   if (to_store_.size() >= settings_.store_queue || value.size() > settings_.longest_stored ||
-      time_.now() >= nothing_from()) {
+      time_.now() >= sending_stops_at()) {
     ++counts_.not_stored;
     return;
   }
@@ -454,9 +454,9 @@
 }
 
 // Ahead of what is to be stored. What waits to be stored under the key may be what the write replaced.
-void RespTransport::void_copy(const std::string& key) {
+void RespTransport::invalidate(const std::string& key) {
   std::erase_if(to_store_, [&](const Stored& waits) { return waits.key == key; });
-  if (time_.now() >= nothing_from()) return;  // nobody asks it any more
+  if (time_.now() >= sending_stops_at()) return;  // nobody asks it any more
   const auto drops = static_cast<std::size_t>(
       std::count_if(to_store_.begin(), to_store_.end(), [](const Stored& waits) { return waits.drop; }));
   if (drops >= settings_.store_queue) {
@@ -480,7 +480,7 @@
 // On a connection that has nothing else to do, one at a time: requests go first.
 void RespTransport::store_some() {
   if (to_store_.empty() || !waiting_.empty()) return;
-  if (time_.now() >= nothing_from()) {
+  if (time_.now() >= sending_stops_at()) {
     counts_.not_stored += to_store_.size();
     to_store_.clear();
     return;
--- a/src/resp/transport.h
+++ b/src/resp/transport.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "engine/time.h"
-#include "engine/transport.h"
+#include "engine/upstream.h"
 #include "net/links.h"
 #include "resp/pipeline.h"
 
@@ -40,36 +40,36 @@
   std::string summary() const;  // for the log
 };
 
-class RespTransport final : public node::Transport {
+class RespTransport final : public engine::Upstream {
  public:
   // `settings` and `counts` outlive it. `on_push` hears of each push; it may be empty.
   using PushHook = std::function<void(const std::string& server, const Value& push)>;
-  RespTransport(boost::asio::io_context& io, node::TimeSource& time, node::Links& links,
-                node::AttemptObserver& outcomes, const ServerSettings& settings, ServerCounts& counts,
+  RespTransport(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+                engine::AttemptObserver& outcomes, const ServerSettings& settings, ServerCounts& counts,
                 std::string name, bool null_is_miss, PushHook on_push = {});
   ~RespTransport() override;
   RespTransport(const RespTransport&) = delete;
   RespTransport& operator=(const RespTransport&) = delete;
 
   void set_address(const std::string& address) override;
-  void send(node::AttemptId attempt, std::shared_ptr<const node::Message> message, Time expires,
+  void send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time expires,
             Time begin_by) override;
-  void send_nothing_from(Time at) override;
-  bool cancel_unsent(node::AttemptId attempt) override;
+  void stop_sending_at(Time at) override;
+  bool cancel_unsent(engine::AttemptId attempt) override;
   // Costs no connection, unless a part of the command is written.
-  void forget(node::AttemptId attempt, Forget why) override;
+  void cancel(engine::AttemptId attempt, engine::CancelReason reason) override;
   void close_idle(Time unused_since) override;
   bool close_oldest_idle() override;
-  bool wants_values() const override { return null_is_miss_ && settings_.store_queue > 0; }
-  void keep(const std::string& key, const std::string& value) override;
-  void void_copy(const std::string& key) override;
+  bool wants_cache_fills() const override { return null_is_miss_ && settings_.store_queue > 0; }
+  void fill_cache(const std::string& key, const std::string& value) override;
+  void invalidate(const std::string& key) override;
 
  private:
   class Connection;
   using Link = std::shared_ptr<Connection>;
   struct Job {
-    node::AttemptId attempt;
-    std::shared_ptr<const node::Message> message;
+    engine::AttemptId attempt;
+    std::shared_ptr<const engine::Message> message;
     Time expires = 0, begin_by = kNever;
   };
   struct Stored {
@@ -88,12 +88,12 @@
   void changed(const Link& link);
   void gave_up(const Link& link);
   void drop(const Link& link);
-  void end_soon(node::AttemptId attempt, Outcome outcome);
+  void end_soon(engine::AttemptId attempt, Outcome outcome);
 
   boost::asio::io_context& io_;
-  node::TimeSource& time_;
-  node::Links& links_;
-  node::AttemptObserver& outcomes_;
+  engine::TimeSource& time_;
+  net::Links& links_;
+  engine::AttemptObserver& outcomes_;
   const ServerSettings& settings_;
   ServerCounts& counts_;
   std::string name_, address_text_;
--- a/src/roster/discovery.cpp
+++ b/src/roster/discovery.cpp
@@ -12,7 +12,7 @@
 #include "roster/list_framer.h"
 #include "roster/members.h"
 
-namespace streampick::node {
+namespace streampick::discovery {
 
 using std::chrono::milliseconds;
 
@@ -35,7 +35,7 @@
 
   void start() {
     listen_for_silence(owner_->times_.attempt);
-    socket_.async_connect(owner_->address_, [self = shared_from_this()](error_code error) {
+    socket_.async_connect(owner_->address_, [self = shared_from_this()](net::error_code error) {
       if (self->owner_ == nullptr) return;
       if (error) return self->end(error.message());
       self->ask();
@@ -44,7 +44,7 @@
 
   void close() {
     owner_ = nullptr;
-    error_code ignored;
+    net::error_code ignored;
     socket_.close(ignored);
     silence_.cancel();
   }
@@ -54,7 +54,7 @@
   // life: the rest of it may never come.
   void listen_for_silence(milliseconds longest) {
     silence_.expires_after(longest);
-    silence_.async_wait([self = shared_from_this()](error_code cancelled) {
+    silence_.async_wait([self = shared_from_this()](net::error_code cancelled) {
       if (!cancelled && self->owner_ != nullptr) self->end("silent for too long");
     });
   }
@@ -64,7 +64,7 @@
     request_.target("/discovery/hosts?watch=1&after=" + std::to_string(owner_->revision_));
     request_.set(http::field::host,
                  owner_->address_.address().to_string() + ":" + std::to_string(owner_->address_.port()));
-    http::async_write(socket_, request_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(socket_, request_, [self = shared_from_this()](net::error_code error, std::size_t) {
       if (self->owner_ == nullptr) return;
       if (error) return self->end(error.message());
       self->read();
@@ -73,16 +73,16 @@
 
   void read() {
     socket_.async_read_some(
-        buffer_.prepare(kReadChunk),
-        [self = shared_from_this()](error_code error, std::size_t got) { self->received(error, got); });
+        buffer_.prepare(http1::kReadChunk),
+        [self = shared_from_this()](net::error_code error, std::size_t got) { self->received(error, got); });
   }
 
-  void received(error_code error, std::size_t got) {
+  void received(net::error_code error, std::size_t got) {
     if (owner_ == nullptr) return;
     if (error) return end(error.message());
     buffer_.commit(got);
     while (buffer_.size() > 0 && !parser_.is_done()) {
-      error_code failed;
+      net::error_code failed;
       buffer_.consume(parser_.put(buffer_.data(), failed));
       if (failed == http::error::need_more) break;
       if (failed) return end(failed.message());
@@ -116,7 +116,7 @@
   }
 
   Discovery* owner_;
-  tcp::socket socket_;
+  net::tcp::socket socket_;
   asio::steady_timer silence_;
   beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
@@ -124,8 +124,9 @@
   roster::ListFramer lists_;
 };
 
-Discovery::Discovery(asio::io_context& io, const Names& names, const tcp::endpoint& address,
-                     std::uint64_t revision, bool again, std::uint64_t seed, EndpointListObserver& reader)
+Discovery::Discovery(asio::io_context& io, const Names& names, const net::tcp::endpoint& address,
+                     std::uint64_t revision, bool again, std::uint64_t seed,
+                     engine::EndpointListObserver& reader)
     : io_(io),
       names_(names),
       address_(address),
@@ -146,9 +147,9 @@
   watch_->start();
 }
 
-void Discovery::move_to(const tcp::endpoint& address) {
+void Discovery::move_to(const net::tcp::endpoint& address) {
   if (address == address_) return;
-  log("discovery is now at " + address.address().to_string() + ":" + std::to_string(address.port()));
+  net::log("discovery is now at " + address.address().to_string() + ":" + std::to_string(address.port()));
   address_ = address;
   read_anew();
 }
@@ -174,7 +175,7 @@
 }
 
 // Lists from before what is known would undo later changes, and bring back a server that has gone.
-bool Discovery::is_old(const EndpointList& list) {
+bool Discovery::is_old(const engine::EndpointList& list) {
   if (list.revision >= revision_) {
     lags_since_.reset();
     return false;
@@ -187,7 +188,7 @@
 
 void Discovery::take(const std::string& text) {
   try {
-    const EndpointList list = parse_members(text, names_);
+    const engine::EndpointList list = parse_members(text, names_);
     if (is_old(list)) {
       if (!list.complete) return;
       // What it tells next builds on a list that was not taken.
@@ -200,23 +201,23 @@
     reader_.on_endpoint_list(list);
   } catch (const std::exception& error) {
     // Changes build on one another: after one that can't be read, what follows it is asked for anew.
-    log(std::string("bad list from discovery, the old one is kept: ") + error.what());
+    net::log(std::string("bad list from discovery, the old one is kept: ") + error.what());
     if (watch_) watch_->close();
     ended("bad list");
   }
 }
 
 void Discovery::ended(const std::string& why) {
-  log("watch on discovery: " + why);
+  net::log("watch on discovery: " + why);
   reader_.on_discovery_failed();
   if (!again_ || stopped_) return;
   const auto wait = std::chrono::duration_cast<milliseconds>(
       backoff_ * std::uniform_real_distribution<double>(0.5, 1.0)(random_));
   backoff_ = std::min(backoff_ * 2, times_.backoff_most);
   retry_.expires_after(wait);
-  retry_.async_wait([this, turn = turn_](error_code cancelled) {
+  retry_.async_wait([this, turn = turn_](net::error_code cancelled) {
     if (!cancelled && turn == turn_) watch();  // its wait may have been over when the address changed
   });
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::discovery
--- a/src/roster/discovery.h
+++ b/src/roster/discovery.h
@@ -15,14 +15,14 @@
 #include "roster/watch_times.h"
 #include "settings/settings.h"
 
-namespace streampick::node {
+namespace streampick::discovery {
 
-class Discovery final : public EndpointDiscovery {
+class Discovery final : public engine::EndpointDiscovery {
  public:
   // Watches from after `revision` on. With `again`, a watch that ended is set up anew by itself;
   // otherwise the next call of watch() does that.
   Discovery(boost::asio::io_context& io, const Names& names, const boost::asio::ip::tcp::endpoint& address,
-            std::uint64_t revision, bool again, std::uint64_t seed, EndpointListObserver& reader);
+            std::uint64_t revision, bool again, std::uint64_t seed, engine::EndpointListObserver& reader);
   ~Discovery() override;
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -40,7 +40,7 @@
   class Watch;
   void ended(const std::string& why);
   void take(const std::string& list);
-  bool is_old(const EndpointList& list);
+  bool is_old(const engine::EndpointList& list);
 
   boost::asio::io_context& io_;
   const Names& names_;
@@ -50,11 +50,11 @@
   roster::WatchTimes times_;
   std::optional<std::chrono::steady_clock::time_point> lags_since_;  // since when whole lists are older
   std::uint64_t turn_ = 0;                                           // of addresses
-  EndpointListObserver& reader_;
+  engine::EndpointListObserver& reader_;
   std::minstd_rand random_;
   std::shared_ptr<Watch> watch_;
   boost::asio::steady_timer retry_;
   std::chrono::milliseconds backoff_;
 };
 
-}  // namespace streampick::node
+}  // namespace streampick::discovery
--- a/src/roster/etcd/client.cpp
+++ b/src/roster/etcd/client.cpp
@@ -73,7 +73,7 @@
 class EtcdRoster::Worker final : WatcherActions {
  public:
   Worker(asio::io_context& io, const Names& names, const Options& options, std::uint64_t seed,
-         node::EndpointListObserver& reader, std::function<bool()> use_seed,
+         engine::EndpointListObserver& reader, std::function<bool()> use_seed,
          std::function<void(std::string_view)> log)
       : io_(io),
         names_(names),
@@ -131,7 +131,7 @@
     roster::Mailbox mailbox;
     std::deque<std::string> lines;
     bool urgent = false, stale = false, posted = false, ended = false;
-    std::optional<node::EndpointList> seed;
+    std::optional<engine::EndpointList> seed;
     ClientCounts counts;
   };
   struct Endpoint {
@@ -447,9 +447,9 @@
     });
   }
   void take() {
-    std::vector<node::EndpointList> lists;
+    std::vector<engine::EndpointList> lists;
     std::deque<std::string> lines;
-    std::optional<node::EndpointList> seed;
+    std::optional<engine::EndpointList> seed;
     bool stale = false;
     {
       const std::lock_guard lock(shared_->mutex);
@@ -515,7 +515,7 @@
   asio::io_context& io_;
   const Names names_;
   const Options options_;
-  node::EndpointListObserver& reader_;
+  engine::EndpointListObserver& reader_;
   std::function<bool()> use_seed_;
   std::function<void(std::string_view)> log_;
   asio::steady_timer timer_;
@@ -538,7 +538,7 @@
 };
 
 EtcdRoster::EtcdRoster(asio::io_context& io, const Names& names, const Options& options, std::uint64_t seed,
-                       node::EndpointListObserver& reader, std::function<bool()> use_seed,
+                       engine::EndpointListObserver& reader, std::function<bool()> use_seed,
                        std::function<void(std::string_view)> log)
     : worker_(
           std::make_unique<Worker>(io, names, options, seed, reader, std::move(use_seed), std::move(log))) {}
--- a/src/roster/etcd/client.h
+++ b/src/roster/etcd/client.h
@@ -30,7 +30,7 @@
   // `use_seed` is asked there whether a list from the seed file is wanted, once etcd has not answered in its
   // first time. `log` is called there too. All outlive it; nothing is told after its end.
   EtcdRoster(boost::asio::io_context& io, const Names& names, const Options& options, std::uint64_t seed,
-             node::EndpointListObserver& reader, std::function<bool()> use_seed,
+             engine::EndpointListObserver& reader, std::function<bool()> use_seed,
              std::function<void(std::string_view)> log);
   ~EtcdRoster();
   EtcdRoster(const EtcdRoster&) = delete;
--- a/src/roster/etcd/registry.cpp
+++ b/src/roster/etcd/registry.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::size_t kLongestValue = 4 * 1024, kLongestFault = 200;
 
-bool same(const node::ListedEndpoint& a, const node::ListedEndpoint& b) {
-  const auto all = [](const node::ListedEndpoint& one) {
+bool same(const engine::ListedEndpoint& a, const engine::ListedEndpoint& b) {
+  const auto all = [](const engine::ListedEndpoint& one) {
     const Member& m = one.member;
     return std::tie(one.id, one.address, m.identity, m.zone, m.kind, m.cell, m.phase, m.weight, m.started);
   };
@@ -22,13 +22,13 @@
 }
 
 // Throws JsonError.
-node::ListedEndpoint read(const std::string& value, const Names& names) {
+engine::ListedEndpoint read(const std::string& value, const Names& names) {
   if (value.size() > kLongestValue)
     throw JsonError("", "there are " + std::to_string(value.size()) + " bytes",
                     "at most " + std::to_string(kLongestValue));
   const nlohmann::json json = parse_json(value);
   const JsonValue entry(json);
-  node::ListedEndpoint out = node::parse_member(entry, names);
+  engine::ListedEndpoint out = discovery::parse_member(entry, names);
   // Discovery's own lists may name what the settings don't; what operators write by hand must not.
   const auto known = [&](const char* key, const std::vector<std::string>& all) {
     const auto named = entry.find(key);
@@ -45,9 +45,9 @@
 
 }  // namespace
 
-std::vector<node::EndpointList> Registry::apply(const Publication& publication) {
+std::vector<engine::EndpointList> Registry::apply(const Publication& publication) {
   revision_ = publication.revision;
-  node::EndpointList gone, changed;
+  engine::EndpointList gone, changed;
   gone.revision = changed.revision = static_cast<std::uint64_t>(publication.revision);
   for (const Departure& departure : publication.departed) remove(departure.key, gone);
   std::vector<std::string> look_at;
@@ -69,7 +69,7 @@
     }
     look_at.clear();
   }
-  std::vector<node::EndpointList> out;
+  std::vector<engine::EndpointList> out;
   if (!gone.members.empty()) out.push_back(std::move(gone));
   if (publication.complete) {
     out.push_back(list());
@@ -79,7 +79,7 @@
   return out;
 }
 
-std::string Registry::clash(const std::string& key, const node::ListedEndpoint& listed) const {
+std::string Registry::clash(const std::string& key, const engine::ListedEndpoint& listed) const {
   const auto taken = [&key](const std::map<std::string, std::string>& all, const std::string& what) {
     const auto found = all.find(what);
     return found != all.end() && found->second != key ? found->second : std::string();
@@ -92,10 +92,10 @@
 }
 
 // The newest value of a key, if it is good, in the place of what held before.
-void Registry::take(const std::string& key, node::EndpointList& out) {
+void Registry::take(const std::string& key, engine::EndpointList& out) {
   Entry& entry = entries_.at(key);
   std::string fault;
-  std::optional<node::ListedEndpoint> listed;
+  std::optional<engine::ListedEndpoint> listed;
   try {
     listed = read(entry.kv.value, names_);
     fault = clash(key, *listed);
@@ -126,7 +126,7 @@
   entry.good = std::move(listed);
 }
 
-void Registry::remove(const std::string& key, node::EndpointList& out) {
+void Registry::remove(const std::string& key, engine::EndpointList& out) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return;
   if (const auto& good = found->second.good) {
@@ -139,8 +139,8 @@
   faulty_.erase(key);
 }
 
-node::EndpointList Registry::list() const {
-  node::EndpointList out;
+engine::EndpointList Registry::list() const {
+  engine::EndpointList out;
   out.revision = static_cast<std::uint64_t>(revision_);
   out.complete = true;
   for (const auto& [key, entry] : entries_)
--- a/src/roster/etcd/registry.h
+++ b/src/roster/etcd/registry.h
@@ -27,7 +27,7 @@
 
   // What the engine is to be told, in this order: departures before what has come in their place. The last
   // list of a complete publication is complete.
-  std::vector<node::EndpointList> apply(const Publication& publication);
+  std::vector<engine::EndpointList> apply(const Publication& publication);
 
   struct Fault {
     std::string key, why;
@@ -37,17 +37,17 @@
   std::size_t quarantined() const { return faulty_.size(); }
   std::size_t members() const { return by_id_.size(); }
   // All that is good, as a complete list.
-  node::EndpointList list() const;
+  engine::EndpointList list() const;
 
  private:
   struct Entry {
-    KeyValue kv;                               // the newest
-    std::optional<node::ListedEndpoint> good;  // what holds
-    std::string fault;                         // of the newest; empty: none
+    KeyValue kv;                                 // the newest
+    std::optional<engine::ListedEndpoint> good;  // what holds
+    std::string fault;                           // of the newest; empty: none
   };
-  void take(const std::string& key, node::EndpointList& out);
-  void remove(const std::string& key, node::EndpointList& out);
-  std::string clash(const std::string& key, const node::ListedEndpoint& listed) const;
+  void take(const std::string& key, engine::EndpointList& out);
+  void remove(const std::string& key, engine::EndpointList& out);
+  std::string clash(const std::string& key, const engine::ListedEndpoint& listed) const;
 
   const Names& names_;
   std::int64_t revision_ = 0;
--- a/src/roster/etcd/seed.cpp
+++ b/src/roster/etcd/seed.cpp
@@ -21,13 +21,15 @@
 constexpr std::size_t kChecksumSize = 16;
 constexpr Time kMicrosecondsInMillisecond = 1'000;
 
-std::string checksum_of(const std::string& text) { return node::hex(XXH3_64bits(text.data(), text.size())); }
+std::string checksum_of(const std::string& text) {
+  return engine::hex(XXH3_64bits(text.data(), text.size()));
+}
 
 std::string name_at(const std::vector<std::string>& names, std::uint32_t index) {
   return index < names.size() ? names[index] : std::string();
 }
 
-nlohmann::json to_json(const node::ListedEndpoint& endpoint, const Names& names) {
+nlohmann::json to_json(const engine::ListedEndpoint& endpoint, const Names& names) {
   const Member& member = endpoint.member;
   return {{"id", endpoint.id},
           {"host_port", endpoint.address},
@@ -49,18 +51,18 @@
 
 }  // namespace
 
-std::string encode_seed(const node::EndpointList& list, const Names& names, long long unix_ms) {
+std::string encode_seed(const engine::EndpointList& list, const Names& names, long long unix_ms) {
   nlohmann::json document = {
       {"revision", list.revision}, {"complete", true}, {"members", nlohmann::json::array()}};
-  for (const node::ListedEndpoint& endpoint : list.members)
+  for (const engine::ListedEndpoint& endpoint : list.members)
     if (endpoint.member.phase != Phase::gone) document["members"].push_back(to_json(endpoint, names));
   const std::string content = std::to_string(unix_ms) + "\n" + document.dump() + "\n";
   return std::string(kMagic) + checksum_of(content) + " " + content;
 }
 
-std::variant<node::EndpointList, SeedError> decode_seed(const std::string& text, const Names& names,
-                                                        long long unix_ms,
-                                                        std::chrono::milliseconds max_age) {
+std::variant<engine::EndpointList, SeedError> decode_seed(const std::string& text, const Names& names,
+                                                          long long unix_ms,
+                                                          std::chrono::milliseconds max_age) {
   using Kind = SeedError::Kind;
   constexpr std::size_t kHeaderSize = kMagic.size() + kChecksumSize + 1;
   if (text.size() > kMaxSeedSize || text.size() < kHeaderSize || !text.starts_with(kMagic))
@@ -78,7 +80,7 @@
     return SeedError{Kind::too_old, "it is " + std::to_string(seconds.count()) + " s old"};
   }
   try {
-    return node::parse_members(content.substr(line_end + 1), names);
+    return discovery::parse_members(content.substr(line_end + 1), names);
   } catch (const JsonError& error) {
     return SeedError{Kind::malformed_list, error.what()};
   }
--- a/src/roster/etcd/seed.h
+++ b/src/roster/etcd/seed.h
@@ -28,10 +28,11 @@
 };
 
 /// Endpoints that have gone are left out.
-std::string encode_seed(const node::EndpointList& list, const Names& names, long long unix_ms);
+std::string encode_seed(const engine::EndpointList& list, const Names& names, long long unix_ms);
 
 /// `max_age`: older is not taken; what is from the future, as after a step of the clock, counts as new.
-std::variant<node::EndpointList, SeedError> decode_seed(const std::string& text, const Names& names,
-                                                        long long unix_ms, std::chrono::milliseconds max_age);
+std::variant<engine::EndpointList, SeedError> decode_seed(const std::string& text, const Names& names,
+                                                          long long unix_ms,
+                                                          std::chrono::milliseconds max_age);
 
 }  // namespace streampick::etcd
--- a/src/roster/etcd/seed_file.h
+++ b/src/roster/etcd/seed_file.h
@@ -24,8 +24,8 @@
   SeedFile(std::string path, Log log, storage::FileCalls& calls = storage::FileCalls::system());
 
   /// Reads the file. A file that can't be used is logged with its path and the reason.
-  std::optional<node::EndpointList> load(const Names& names, long long unix_ms,
-                                         std::chrono::milliseconds max_age);
+  std::optional<engine::EndpointList> load(const Names& names, long long unix_ms,
+                                           std::chrono::milliseconds max_age);
 
   /// There is a newer roster than the file's.
   void mark_changed() { has_changed_ = true; }
@@ -33,7 +33,7 @@
   [[nodiscard]] bool is_due(Time now) const { return !path_.empty() && has_changed_ && now >= next_write_; }
   [[nodiscard]] bool has_changed() const { return !path_.empty() && has_changed_; }
   /// Replaces the file. Where that fails it stays as it was, and is_due() again after a backoff.
-  void store(Time now, const node::EndpointList& list, const Names& names, long long unix_ms);
+  void store(Time now, const engine::EndpointList& list, const Names& names, long long unix_ms);
 
  private:
   void failed(const storage::FileError& error, Time now);
--- a/src/roster/mailbox.h
+++ b/src/roster/mailbox.h
@@ -16,7 +16,7 @@
 class Mailbox {
  public:
   // Returns whether it was empty before: whoever takes is to be woken.
-  bool put(const node::EndpointList& list) {
+  bool put(const engine::EndpointList& list) {
     const bool was_empty = empty();
     if (list.complete) {
       // Of what was told before, departures are still to be told; states are all in the new list.
@@ -24,7 +24,7 @@
       complete_ = true;
     }
     revision_ = list.revision;
-    for (const node::ListedEndpoint& listed : list.members) {
+    for (const engine::ListedEndpoint& listed : list.members) {
       Pending& pending = pending_[listed.id];
       if (listed.member.phase == Phase::gone) {
         pending.gone = listed;
@@ -41,15 +41,15 @@
   std::uint64_t coalesced() const { return put_ - taken_; }
 
   // Departures first, and what has come in a list behind them.
-  std::vector<node::EndpointList> take() {
-    node::EndpointList gone, now;
+  std::vector<engine::EndpointList> take() {
+    engine::EndpointList gone, now;
     gone.revision = now.revision = revision_;
     now.complete = std::exchange(complete_, false);
     for (auto& [id, pending] : std::exchange(pending_, {})) {
       if (pending.gone) gone.members.push_back(std::move(*pending.gone));
       if (pending.now) now.members.push_back(std::move(*pending.now));
     }
-    std::vector<node::EndpointList> out;
+    std::vector<engine::EndpointList> out;
     if (!gone.members.empty()) out.push_back(std::move(gone));
     if (now.complete || !now.members.empty()) out.push_back(std::move(now));
     ++taken_;
@@ -58,7 +58,7 @@
 
  private:
   struct Pending {
-    std::optional<node::ListedEndpoint> gone, now;
+    std::optional<engine::ListedEndpoint> gone, now;
   };
   std::map<std::string, Pending> pending_;
   std::uint64_t revision_ = 0, put_ = 0, taken_ = 0;
--- a/src/roster/members.cpp
+++ b/src/roster/members.cpp
@@ -5,7 +5,7 @@
 
 #include "net/tcp.h"
 
-namespace streampick::node {
+namespace streampick::discovery {
 namespace {
 
 // 0 stays 0, which means long ago.
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-ListedEndpoint parse_member(const JsonValue& entry, const Names& names) {
+engine::ListedEndpoint parse_member(const JsonValue& entry, const Names& names) {
   const char* const phases = "in_service, terminating or terminated";
   const char* const address = "an address and a port, as 10.1.0.18:3000";
-  ListedEndpoint out;
+  engine::ListedEndpoint out;
   out.id = entry.at("id", "a text of 1 to 256 bytes").text("a text of 1 to 256 bytes", 1, 256);
   out.member.identity = hash_name(out.id);
   const JsonValue phase = entry.at("phase", phases);
@@ -30,7 +30,7 @@
   }
   const JsonValue host_port = entry.at("host_port", address);
   out.address = host_port.text(address);
-  if (!parse_endpoint(out.address)) host_port.wrong(address);
+  if (!net::parse_endpoint(out.address)) host_port.wrong(address);
   if (const auto zone = entry.find("locality"))
     out.member.zone = index_of(names.zones, zone->text("a zone's name"));
   if (const auto kind = entry.find("flavor"))
@@ -44,8 +44,8 @@
   return out;
 }
 
-EndpointList parse_members(const JsonValue& list, const Names& names) {
-  EndpointList out;
+engine::EndpointList parse_members(const JsonValue& list, const Names& names) {
+  engine::EndpointList out;
   out.revision = list.at("revision", "a whole number").whole(0, std::numeric_limits<std::uint64_t>::max());
   out.complete = list.at("complete", "true or false").yes();
   for (const JsonValue& entry : list.at("members", "a list of servers").items("a list of servers"))
@@ -53,9 +53,9 @@
   return out;
 }
 
-EndpointList parse_members(const std::string& text, const Names& names) {
+engine::EndpointList parse_members(const std::string& text, const Names& names) {
   const nlohmann::json list = parse_json(text);
   return parse_members(JsonValue(list), names);
 }
 
-}  // namespace streampick::node
+}  // namespace streampick::discovery
--- a/src/roster/members.h
+++ b/src/roster/members.h
@@ -7,11 +7,11 @@
 #include "settings/json_value.h"
 #include "settings/settings.h"
 
-namespace streampick::node {
+namespace streampick::discovery {
 
 // All throw JsonError.
-ListedEndpoint parse_member(const JsonValue& entry, const Names& names);
-EndpointList parse_members(const JsonValue& list, const Names& names);
-EndpointList parse_members(const std::string& json, const Names& names);
+engine::ListedEndpoint parse_member(const JsonValue& entry, const Names& names);
+engine::EndpointList parse_members(const JsonValue& list, const Names& names);
+engine::EndpointList parse_members(const std::string& json, const Names& names);
 
-}  // namespace streampick::node
+}  // namespace streampick::discovery
--- a/src/roster/sources.h
+++ b/src/roster/sources.h
@@ -22,35 +22,35 @@
 
 class Sources {
  public:
-  explicit Sources(node::EndpointListObserver& engine)
+  explicit Sources(engine::EndpointListObserver& engine)
       : engine_(engine), platform_(*this, 0), second_(*this, 1) {}
 
-  node::EndpointListObserver& platform() { return platform_; }
-  node::EndpointListObserver& second() { return second_; }
+  engine::EndpointListObserver& platform() { return platform_; }
+  engine::EndpointListObserver& second() { return second_; }
   bool second_leads() const { return second_.whole; }
   std::size_t told() const { return told_.size(); }
 
  private:
-  struct Source final : node::EndpointListObserver {
+  struct Source final : engine::EndpointListObserver {
     Source(Sources& sources, int place) : owner(sources), number(place) {}
-    void on_endpoint_list(const node::EndpointList& list) override { owner.came(*this, list); }
+    void on_endpoint_list(const engine::EndpointList& list) override { owner.came(*this, list); }
     void on_discovery_failed() override {
       if ((number == 1) == owner.second_.whole) owner.engine_.on_discovery_failed();
     }
     Sources& owner;
     int number;
     bool whole = false;  // has told a complete list
-    std::map<std::string, node::ListedEndpoint> members;
+    std::map<std::string, engine::ListedEndpoint> members;
     std::set<std::string> gone;  // ids that it said went, and has not told anew
   };
 
-  void came(Source& source, const node::EndpointList& list) {
+  void came(Source& source, const engine::EndpointList& list) {
     std::set<std::string> changed;
     if (list.complete) {
       for (const auto& [id, member] : source.members) changed.insert(id);
       // What a whole list no longer names has gone, also where no departure was told.
       std::set<std::string> left;
-      for (const node::ListedEndpoint& listed : list.members) left.insert(listed.id);
+      for (const engine::ListedEndpoint& listed : list.members) left.insert(listed.id);
       for (const auto& [id, member] : source.members)
         if (!left.contains(id)) went(source, id);
       source.members.clear();
@@ -58,7 +58,7 @@
       if (source.number == 1)
         for (const auto& [id, member] : platform_.members) changed.insert(id);
     }
-    for (const node::ListedEndpoint& listed : list.members) {
+    for (const engine::ListedEndpoint& listed : list.members) {
       changed.insert(listed.id);
       if (listed.member.phase == Phase::gone) {
         source.members.erase(listed.id);
@@ -81,7 +81,7 @@
     std::erase_if(source.gone, [&](const std::string& id) { return !other.members.contains(id); });
   }
   // What holds of a server now; nothing: it is not there.
-  const node::ListedEndpoint* holds(const std::string& id, node::ListedEndpoint& room) const {
+  const engine::ListedEndpoint* holds(const std::string& id, engine::ListedEndpoint& room) const {
     const Source& leads = second_.whole ? second_ : platform_;
     const Source& other = second_.whole ? platform_ : second_;
     const auto found = leads.members.find(id);
@@ -93,17 +93,17 @@
     room.member.phase = also->second.member.phase;
     return &room;
   }
-  static bool same(const node::ListedEndpoint& a, const node::ListedEndpoint& b) {
+  static bool same(const engine::ListedEndpoint& a, const engine::ListedEndpoint& b) {
     return a.address == b.address && a.member.zone == b.member.zone && a.member.kind == b.member.kind &&
            a.member.cell == b.member.cell && a.member.phase == b.member.phase &&
            a.member.weight == b.member.weight && a.member.started == b.member.started;
   }
-  void tell(const node::EndpointList& from, const std::set<std::string>& changed, const Source& source) {
-    node::EndpointList gone, now;
+  void tell(const engine::EndpointList& from, const std::set<std::string>& changed, const Source& source) {
+    engine::EndpointList gone, now;
     gone.revision = now.revision = from.revision;
     for (const std::string& id : changed) {
-      node::ListedEndpoint room;
-      const node::ListedEndpoint* const listed = holds(id, room);
+      engine::ListedEndpoint room;
+      const engine::ListedEndpoint* const listed = holds(id, room);
       const auto before = told_.find(id);
       if (listed == nullptr) {
         if (before == told_.end()) continue;
@@ -119,7 +119,7 @@
     const bool leads = (source.number == 1) == second_.whole;
     if (from.complete && leads) {
       // Whole, so that the engine knows that nothing is missing.
-      node::EndpointList all;
+      engine::EndpointList all;
       all.revision = from.revision;
       all.complete = true;
       for (const auto& [id, listed] : told_) all.members.push_back(listed);
@@ -129,9 +129,9 @@
     }
   }
 
-  node::EndpointListObserver& engine_;
+  engine::EndpointListObserver& engine_;
   Source platform_, second_;
-  std::map<std::string, node::ListedEndpoint> told_;
+  std::map<std::string, engine::ListedEndpoint> told_;
 };
 
 }  // namespace streampick::roster
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -97,10 +97,10 @@
 
 RequestClass read_class(const Pairs& pairs, const std::string& at) {
   RequestClass out;
-  out.aim = pairs.integer<Time>(at + "AimUs", 0);
+  out.latency_objective = pairs.integer<Time>(at + "AimUs", 0);
   out.deadline = pairs.integer<Time>(at + "HardLimitUs", 0);
-  out.worth = pairs.number(at + "Worth", 1);
-  out.window = pairs.integer<Time>(at + "WindowUs", 0);
+  out.priority_weight = pairs.number(at + "Worth", 1);
+  out.idempotency_window = pairs.integer<Time>(at + "WindowUs", 0);
   const char* const effects = "safe, keyed or unsafe";
   const std::string_view effect = pairs.text(at + "Effect", effects);
   if (effect == "safe") {
@@ -158,25 +158,27 @@
 
   Config& config = out.config;
   config.zone = index_of(names.zones, pairs.text("Az"));
-  config.aside = pairs.text("FamilyInfo.Mode") == "aside";
+  config.cache_aside = pairs.text("FamilyInfo.Mode") == "aside";
   const double origin = pairs.number("FamilyInfo.OriginKind", -1, -1, 1e9);
   if (origin >= 0) config.origin_kind = static_cast<std::uint32_t>(origin);
   config.routers = std::max(1U, pairs.integer<std::uint32_t>("Balancers", 1));
   config.max_attempts = std::max(1U, pairs.integer<std::uint32_t>("PolicyLimits.MaxAttempts", 1));
   config.can_cancel = pairs.yes("PolicyLimits.Cancelling");
-  config.can_copy = pairs.yes("PolicyLimits.SecondCopies");
+  config.can_hedge = pairs.yes("PolicyLimits.SecondCopies");
   config.max_retry_after =
       pairs.yes("PolicyLimits.RetryAfter") ? pairs.integer<Time>("PolicyLimits.MaxRetryAfterUs", 0) : 0;
-  config.dial_time_out = pairs.integer<Time>("PolicyLimits.DialTimeoutUs", 0);
+  config.connect_timeout = pairs.integer<Time>("PolicyLimits.DialTimeoutUs", 0);
   config.keep_alive = pairs.integer<Time>("PolicyLimits.KeepaliveUs", 0);
   config.connection_cost = pairs.number("Costs.Connection", 0);
   config.handshake_cost = pairs.number("Costs.Handshake", 0);
-  config.must_ask = pairs.text("RegistryMode") == "ask";
+  config.polls_discovery = pairs.text("RegistryMode") == "ask";
   config.answer_slack = pairs.integer<Time>("Guarantees.AnswerSlackUs", 0);
-  config.cold_share = pairs.number("Guarantees.ColdShare", 1, std::numeric_limits<double>::min(), 1);
-  config.cold_time = pairs.integer<Time>("Guarantees.ColdUs", 0);
-  config.fall_multiple = pairs.number("Guarantees.OverloadFactor", 0);
-  config.fall_time = pairs.integer<Time>("Guarantees.TipAfterUs", config.fall_time, 1);
+  config.slow_start_initial_share =
+      pairs.number("Guarantees.ColdShare", 1, std::numeric_limits<double>::min(), 1);
+  config.slow_start_duration = pairs.integer<Time>("Guarantees.ColdUs", 0);
+  config.slow_start_overload_factor = pairs.number("Guarantees.OverloadFactor", 0);
+  config.slow_start_overload_window =
+      pairs.integer<Time>("Guarantees.TipAfterUs", config.slow_start_overload_window, 1);
   out.may_talk = pairs.yes("PolicyLimits.PeerMessages");
   out.me = pairs.integer<std::uint32_t>("Me", 0);
   out.drain_grace = pairs.integer<Time>("Guarantees.StopSendingWithinUs", 0);
@@ -185,7 +187,7 @@
   for (std::uint32_t i = 0; i < classes; ++i) {
     const std::string at = "Profiles." + std::to_string(i) + ".";
     config.classes.push_back(read_class(pairs, at));
-    config.classes.back().attempts = config.max_attempts;
+    config.classes.back().max_attempts = config.max_attempts;
     names.classes.emplace_back(pairs.text(at + "Name"));
     names.keyed.push_back(config.classes.back().effect == Effect::keyed);
   }
@@ -201,7 +203,7 @@
 void check_usable(const SettingValues& values, const Settings& settings) {
   const Pairs pairs(values);
   const Config& config = settings.config;
-  if (config.aside && config.origin_kind == kNone)
+  if (config.cache_aside && config.origin_kind == kNone)
     pairs.reject("FamilyInfo.OriginKind", pairs.text("FamilyInfo.OriginKind"),
                  "the place of the origin's kind in Shapes");
   if (config.classes.empty()) pairs.reject("Profiles", "", "a list of at least one class");
--- a/src/settings/validate.cpp
+++ b/src/settings/validate.cpp
@@ -19,23 +19,25 @@
   for (std::size_t i = 0; i < config.classes.size(); ++i) {
     const RequestClass& kind = config.classes[i];
     const std::string which = "class " + std::to_string(i) + ": ";
-    require(kind.aim > 0, which + "aim must be above 0");
+    require(kind.latency_objective > 0, which + "aim must be above 0");
     require(kind.deadline > 0, which + "deadline must be above 0");
-    require(kind.window >= 0, which + "window must not be negative");
-    require(std::isfinite(kind.worth) && kind.worth >= 0, which + "worth must be 0 or more");
+    require(kind.idempotency_window >= 0, which + "window must not be negative");
+    require(std::isfinite(kind.priority_weight) && kind.priority_weight >= 0,
+            which + "worth must be 0 or more");
   }
   for (std::size_t i = 0; i < config.tenants.size(); ++i) {
     const double quota = config.tenants[i].quota_per_s;
     require(std::isfinite(quota) && quota >= 0, "tenant " + std::to_string(i) + ": quota must be 0 or more");
   }
   require(config.max_attempts > 0, "max_attempts must be 1 or more");
-  require(config.cold_share > 0 && config.cold_share <= 1, "cold_share must be above 0 and at most 1");
-  require(config.answer_slack >= 0 && config.max_retry_after >= 0 && config.cold_time >= 0 &&
-              config.dial_time_out >= 0 && config.keep_alive >= 0,
+  require(config.slow_start_initial_share > 0 && config.slow_start_initial_share <= 1,
+          "cold_share must be above 0 and at most 1");
+  require(config.answer_slack >= 0 && config.max_retry_after >= 0 && config.slow_start_duration >= 0 &&
+              config.connect_timeout >= 0 && config.keep_alive >= 0,
           "times must not be negative");
   require(std::isfinite(config.connection_cost) && config.connection_cost >= 0,
           "connection_cost must be 0 or more");
-  require(!config.aside || config.origin_kind != kNone, "a look-aside fleet needs an origin_kind");
+  require(!config.cache_aside || config.origin_kind != kNone, "a look-aside fleet needs an origin_kind");
 }
 
 }  // namespace streampick
--- a/src/testbed/bed.cpp
+++ b/src/testbed/bed.cpp
@@ -119,7 +119,7 @@
       members_.push_back(servers_);
       for (std::size_t k = 0; k < servers_.size(); ++k) {
         streams_.push_back(std::make_unique<StreamRelay>(io_, faults_, i, script.routers + k,
-                                                         *node::parse_endpoint(servers_[k].address)));
+                                                         *net::parse_endpoint(servers_[k].address)));
         members_.back()[k].address = streams_.back()->address();
       }
       discoveries_.push_back(std::make_unique<standin::StaticDiscovery>(io_, members_.back()));
--- a/src/testbed/views.cpp
+++ b/src/testbed/views.cpp
@@ -45,7 +45,7 @@
 
 std::optional<std::string> call(const std::string& address, const std::string& line,
                                 std::chrono::milliseconds within) {
-  const auto endpoint = node::parse_endpoint(address);
+  const auto endpoint = net::parse_endpoint(address);
   if (!endpoint) return std::nullopt;
   asio::io_context io;
   asio::ip::tcp::socket socket(io);
--- a/tests/adapter/wire_test.cpp
+++ b/tests/adapter/wire_test.cpp
@@ -60,12 +60,12 @@
   EXPECT_EQ(settings.seed, 42U);
   EXPECT_EQ(settings.config.zone, 1U);
   EXPECT_EQ(settings.config.origin_kind, 1U);
-  EXPECT_TRUE(settings.config.aside);
-  EXPECT_TRUE(settings.config.can_copy);
-  EXPECT_TRUE(settings.config.must_ask);
+  EXPECT_TRUE(settings.config.cache_aside);
+  EXPECT_TRUE(settings.config.can_hedge);
+  EXPECT_TRUE(settings.config.polls_discovery);
   ASSERT_EQ(settings.config.classes.size(), 1U);
   EXPECT_EQ(settings.config.classes[0].group, Group::zone);
-  EXPECT_EQ(settings.config.classes[0].aim, 800000);
+  EXPECT_EQ(settings.config.classes[0].latency_objective, 800000);
 }
 
 void expect_rejected(const std::function<void(Fields&)>& parse, std::string_view line,
--- a/tests/daemon/host_test.cpp
+++ b/tests/daemon/host_test.cpp
@@ -3,7 +3,7 @@
 
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 // ---- Answers
@@ -21,8 +21,8 @@
   EXPECT_EQ(one->body(), body);
   ASSERT_EQ(cache.requests.size(), 1U);
   EXPECT_EQ(cache.requests[0].rfind("GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\n", 0), 0U);
-  const std::string txn = asked.substr(asked.find("X-Txn: "), 23);
-  EXPECT_NE(cache.requests[0].find(txn + "\r\n"), std::string::npos);
+  const std::string transaction_id = asked.substr(asked.find("X-Txn: "), 23);
+  EXPECT_NE(cache.requests[0].find(transaction_id + "\r\n"), std::string::npos);
   EXPECT_NE(cache.requests[0].find("X-Remaining: 7.9"), std::string::npos);
 }
 
@@ -118,10 +118,10 @@
   cache.answer = origin.answer = [&](const std::string&) { return response(200, body); };
   start();
   host->links().most_large = 4'000'000;
-  std::vector<std::unique_ptr<tcp::socket>> deaf;  // they ask and never read
+  std::vector<std::unique_ptr<net::tcp::socket>> deaf;  // they ask and never read
   for (int i = 0; i < 24; ++i) {
-    deaf.push_back(std::make_unique<tcp::socket>(io));
-    deaf.back()->open(tcp::v4());
+    deaf.push_back(std::make_unique<net::tcp::socket>(io));
+    deaf.back()->open(net::tcp::v4());
     deaf.back()->set_option(asio::socket_base::receive_buffer_size(4096));
     deaf.back()->connect(host->address());
     asio::write(*deaf.back(), asio::buffer(a_read()));
@@ -172,7 +172,7 @@
 }
 
 TEST_F(Loopback, ARefusedConnectionNeverRanSoAnUnsafeWriteIsRefusedWithAdvice) {
-  tcp::acceptor shut(io, any_port());
+  net::tcp::acceptor shut(io, any_port());
   const std::string nowhere = text_of(shut.local_endpoint());
   shut.close();
   start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", nowhere, "origin"}}));
@@ -204,7 +204,7 @@
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 200);
   EXPECT_EQ(one->body(), "well");
-  EXPECT_EQ(host->counts().outcomes[static_cast<std::size_t>(Outcome::spoilt)], 1U);
+  EXPECT_EQ(host->counts().outcomes[static_cast<std::size_t>(Outcome::malformed)], 1U);
   EXPECT_EQ(std::max(cache.requests.size(), second.requests.size()), 2U);
   EXPECT_TRUE(origin.requests.empty());
 }
@@ -312,4 +312,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/daemon/production_test.cpp
+++ b/tests/daemon/production_test.cpp
@@ -7,7 +7,7 @@
 #include "daemon/running.h"
 #include "http1/transport.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using std::chrono::milliseconds;
@@ -107,7 +107,7 @@
 // ---- Attempts that fail at once
 
 TEST_F(IdleConnections, WhereEveryServerRefusesConnectionsDialsAreBoundedAndEachHasOneAnswer) {
-  tcp::acceptor shut(io, any_port());
+  net::tcp::acceptor shut(io, any_port());
   const std::string nowhere = text_of(shut.local_endpoint());
   shut.close();
   start(list_json(1, true, {{"s-1", nowhere}, {"s-2", nowhere}, {"s-o", nowhere, "origin"}}));
@@ -149,25 +149,29 @@
 // ---- A loop that is held up
 
 // The system's clock; the thread is held up behind the reading that is asked for.
-class HeldUpClock final : public TimeSource {
+class HeldUpClock final : public engine::TimeSource {
  public:
-  explicit HeldUpClock(Clock& clock) : clock_(clock) {}
+  explicit HeldUpClock(net::Clock& clock) : clock_(clock) {}
   Time now() override {
     const Time out = clock_.now();
     if (std::exchange(hold_up_next_, false)) hold_up();
     return out;
   }
   Time wall_time() override { return clock_.wall_time(); }
-  std::unique_ptr<Timer> timer(std::function<void()> due) override { return clock_.timer(std::move(due)); }
+  std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
+    return clock_.timer(std::move(due));
+  }
   void hold_up_next() { hold_up_next_ = true; }
 
  private:
-  Clock& clock_;
+  net::Clock& clock_;
   bool hold_up_next_ = false;
 };
 
-struct AttemptEnds final : AttemptObserver {
-  void on_attempt_ended(AttemptId, Outcome outcome, Answer) override { ended.push_back(outcome); }
+struct AttemptEnds final : engine::AttemptObserver {
+  void on_attempt_ended(engine::AttemptId, Outcome outcome, engine::Answer) override {
+    ended.push_back(outcome);
+  }
   std::vector<Outcome> ended;
 };
 
@@ -175,14 +179,14 @@
  protected:
   HeldUp() {
     message_->target = "/read/1";
-    message_->txn = "9b1f03aa5c7e2d41";
+    message_->transaction_id = "9b1f03aa5c7e2d41";
     upstream_.set_address(cache.address());
   }
   HeldUpClock held_{clock};
-  Links links_;
+  net::Links links_;
   AttemptEnds ends_;
-  std::shared_ptr<Message> message_ = std::make_shared<Message>();
-  Upstream upstream_{io, held_, links_, ends_, "s-1"};
+  std::shared_ptr<engine::Message> message_ = std::make_shared<engine::Message>();
+  http1::Upstream upstream_{io, held_, links_, ends_, "s-1"};
 };
 
 // What an attempt tells its server is counted from the clock's reading: by as much as the hold-up more than
@@ -305,7 +309,7 @@
 TEST_F(Production, ToldToStopWhileAServerDrainsAndAnotherIsGoneAllIsServedElsewhere) {
   const auto served = [](const std::string&) { return response(200, "x"); };
   FakeServer drains(io, served), stays(io, served);
-  tcp::acceptor gone(io, any_port());
+  net::tcp::acceptor gone(io, any_port());
   const std::string nowhere = text_of(gone.local_endpoint());
   gone.close();
   run_with(list_json(1, true,
@@ -366,7 +370,8 @@
 // the end is asked once more on a new connection, as the protocol has it, for as long as there is somebody.
 class PersistentClient {
  public:
-  PersistentClient(asio::io_context& io, const tcp::endpoint& to, std::string lane, std::string remaining)
+  PersistentClient(asio::io_context& io, const net::tcp::endpoint& to, std::string lane,
+                   std::string remaining)
       : io_(io), to_(to), lane_(std::move(lane)), remaining_(std::move(remaining)) {
     connect();
     ask();
@@ -407,7 +412,7 @@
     connection_->ask(text);
   }
   asio::io_context& io_;
-  tcp::endpoint to_;
+  net::tcp::endpoint to_;
   std::string lane_, remaining_, waiting_;
   std::unique_ptr<FakeClient> connection_;
   std::size_t answered_ = 0, number_ = 0;
@@ -450,7 +455,8 @@
   std::size_t answers = 0;
   for (const auto& one : clients) {
     answers += one->answers;
-    for (const std::string& txn : one->crossed) EXPECT_FALSE(seen.contains(txn)) << txn;
+    for (const std::string& transaction_id : one->crossed)
+      EXPECT_FALSE(seen.contains(transaction_id)) << transaction_id;
   }
   EXPECT_GT(answers, clients.size());
 }
@@ -461,18 +467,18 @@
   FakeServer other(io, [](const std::string&) { return response(200, "y"); });
   sockets_ = 40;
   known_ = list_json(1, true, {});
-  const tcp::endpoint at = discovery.local_endpoint();
+  const net::tcp::endpoint at = discovery.local_endpoint();
   run(true);
   discovery.close();
-  std::vector<std::unique_ptr<tcp::socket>> idle;
+  std::vector<std::unique_ptr<net::tcp::socket>> idle;
   for (int i = 0; i < 60; ++i) {
-    idle.push_back(std::make_unique<tcp::socket>(io));
-    error_code ignored;
+    idle.push_back(std::make_unique<net::tcp::socket>(io));
+    net::error_code ignored;
     idle.back()->connect(listen_, ignored);
     if (i % 10 == 0) quiet(20);
   }
   quiet(200);
-  discovery = tcp::acceptor(io, at);
+  discovery = net::tcp::acceptor(io, at);
   accept_watch();
   begin_watch();
   chunk(list_json(2, true, {{"s-new", other.address()}, {"s-origin", origin.address(), "origin"}}).dump() +
@@ -488,4 +494,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/daemon/program_test.cpp
+++ b/tests/daemon/program_test.cpp
@@ -1,7 +1,7 @@
 // The program as it is started: its configuration and its signals.
 #include "daemon/running.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 int exit_code(const std::string& command) {
@@ -39,7 +39,7 @@
   cache.answer = [](const std::string&) { return response(200, "x"); };
   run();
   ASSERT_TRUE(watched(discovery));
-  tcp::acceptor next(io, any_port());
+  net::tcp::acceptor next(io, any_port());
   configure(config_text(text_of(next.local_endpoint())));
   signal(SIGHUP);
   EXPECT_TRUE(watched(next));
@@ -96,19 +96,19 @@
   FakeServer other(io, [](const std::string&) { return response(200, "y"); });
   sockets_ = 128;
   known_ = list_json(1, true, {});
-  const tcp::endpoint at = discovery.local_endpoint();
+  const net::tcp::endpoint at = discovery.local_endpoint();
   run(true);
   discovery.close();
-  std::vector<std::unique_ptr<tcp::socket>> idle;
+  std::vector<std::unique_ptr<net::tcp::socket>> idle;
   for (int i = 0; i < 400; ++i) {
-    idle.push_back(std::make_unique<tcp::socket>(io));
-    error_code ignored;
+    idle.push_back(std::make_unique<net::tcp::socket>(io));
+    net::error_code ignored;
     idle.back()->connect(listen_, ignored);
     if (i % 2 == 0) asio::write(*idle.back(), asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")), ignored);
     if (i % 50 == 0) quiet(20);
   }
   quiet(300);
-  discovery = tcp::acceptor(io, at);
+  discovery = net::tcp::acceptor(io, at);
   accept_watch();
   begin_watch();
   chunk(list_json(2, true, {{"s-new", other.address()}, {"s-origin", origin.address(), "origin"}}).dump() +
@@ -121,7 +121,7 @@
 TEST_F(Running, ManyThatStartAtOnceAreReadyThoughDiscoveryIsSlow) {
   std::vector<std::shared_ptr<Peer>> watches;
   std::function<void()> accept = [&] {
-    discovery.async_accept([&](error_code error, tcp::socket socket) {
+    discovery.async_accept([&](net::error_code error, net::tcp::socket socket) {
       if (error) return;
       watches.push_back(std::make_shared<Peer>(std::move(socket)));
       accept();
@@ -150,4 +150,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/daemon/running.h
+++ b/tests/daemon/running.h
@@ -13,7 +13,7 @@
 
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 /// A library that is loaded into the router and not into the test: the environment may name one.
 inline void preload_into_router() {
@@ -60,8 +60,8 @@
     child_ = start_program(config_, held ? std::optional(sockets_) : std::nullopt);
     ASSERT_GE(child_, 0);
     ASSERT_TRUE(wait_for([&] {
-      tcp::socket probe(io);
-      error_code error;
+      net::tcp::socket probe(io);
+      net::error_code error;
       probe.connect(listen_, error);
       return !error;
     }));
@@ -69,7 +69,7 @@
   // So many at once, each at an address of its own. Returns how long it took until all were ready.
   std::chrono::steady_clock::duration start_many(std::size_t routers, const std::string& discovery_address) {
     std::vector<pid_t> children;
-    std::vector<tcp::endpoint> doors;
+    std::vector<net::tcp::endpoint> doors;
     std::vector<std::filesystem::path> files;
     for (std::size_t i = 0; i < routers; ++i) {
       doors.push_back(reserve_port());
@@ -80,7 +80,7 @@
     const auto began = std::chrono::steady_clock::now();
     for (const auto& file : files) children.push_back(start_program(file, std::nullopt));
     std::size_t ready = 0;
-    for (const tcp::endpoint& door : doors) ready += wait_for([&] { return is_ready(door); });
+    for (const net::tcp::endpoint& door : doors) ready += wait_for([&] { return is_ready(door); });
     const auto took = std::chrono::steady_clock::now() - began;
     EXPECT_EQ(ready, routers);
     for (const pid_t child : children) ::kill(child, SIGKILL);
@@ -90,18 +90,18 @@
   }
   /// A port that no other process is given while the test runs: bound and not listened on, which a router
   /// that binds it with SO_REUSEADDR does not mind.
-  tcp::endpoint reserve_port() {
-    tcp::acceptor& bound = reserved_.emplace_back(io);
-    bound.open(tcp::v4());
-    bound.set_option(tcp::acceptor::reuse_address(true));
+  net::tcp::endpoint reserve_port() {
+    net::tcp::acceptor& bound = reserved_.emplace_back(io);
+    bound.open(net::tcp::v4());
+    bound.set_option(net::tcp::acceptor::reuse_address(true));
     bound.bind(any_port());
     return bound.local_endpoint();
   }
-  bool is_ready(const tcp::endpoint& door) { return up_answer(door) == "HTTP/1.1 200"; }
+  bool is_ready(const net::tcp::endpoint& door) { return up_answer(door) == "HTTP/1.1 200"; }
   // The first bytes of its answer to GET /up; none: nobody answers there.
-  std::string up_answer(const tcp::endpoint& door) {
-    tcp::socket probe(io);
-    error_code error;
+  std::string up_answer(const net::tcp::endpoint& door) {
+    net::tcp::socket probe(io);
+    net::error_code error;
     probe.connect(door, error);
     if (error) return {};
     asio::write(probe, asio::buffer(std::string("GET /up HTTP/1.1\r\n\r\n")), error);
@@ -136,19 +136,19 @@
     one.ask(a_read());
     return wait_for([&] { return one.answers.size() == 1; }) && one.status() == 200;
   }
-  bool watched(tcp::acceptor& at) {
+  bool watched(net::tcp::acceptor& at) {
     bool came = false;
-    at.async_accept([&](error_code error, tcp::socket) { came = !error; });
+    at.async_accept([&](net::error_code error, net::tcp::socket) { came = !error; });
     return wait_for([&] { return came; });
   }
 
-  std::vector<tcp::acceptor> reserved_;
+  std::vector<net::tcp::acceptor> reserved_;
   std::filesystem::path config_;
-  tcp::endpoint listen_;
+  net::tcp::endpoint listen_;
   pid_t child_ = 0;
   rlim_t sockets_ = 256;
   std::int64_t longest_deadline_us_ = 8'000'000;
   nlohmann::json known_;  // before the start; null: the cache and the origin
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/daemon/slow_start_test.cpp
+++ b/tests/daemon/slow_start_test.cpp
@@ -15,7 +15,7 @@
 #include "loopback.h"
 #include "standin/platform.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using SteadyTime = std::chrono::steady_clock::time_point;
@@ -48,7 +48,7 @@
 // One client of one router: it asks at a steady pace, and leaves a turn out while it waits for an answer.
 class PacedClient {
  public:
-  PacedClient(asio::io_context& io, const tcp::endpoint& router, std::string text_key)
+  PacedClient(asio::io_context& io, const net::tcp::endpoint& router, std::string text_key)
       : client_(io, router), timer_(io), key_(std::move(text_key)) {
     turn();
   }
@@ -65,7 +65,7 @@
     }
     if (turns_ == kRequestsOfAClient) return;
     timer_.expires_after(kPace);
-    timer_.async_wait([this](error_code cancelled) {
+    timer_.async_wait([this](net::error_code cancelled) {
       if (!cancelled) turn();
     });
   }
@@ -103,7 +103,7 @@
   }
 
   // Starts a router that knows the list from its first moment, and returns the clients' address of it.
-  tcp::endpoint start_router(std::int64_t up_since_ms) {
+  net::tcp::endpoint start_router(std::int64_t up_since_ms) {
     constexpr std::size_t kSockets = 256;
     const std::string listen = "127.0.0.1:" + std::to_string(standin::free_port(io_));
     auto config = standin::router_config(listen, discovery_->address(), members(up_since_ms), kSockets);
@@ -131,10 +131,10 @@
     }
     return true;
   }
-  [[nodiscard]] bool wait_until_listening(const tcp::endpoint& router) {
+  [[nodiscard]] bool wait_until_listening(const net::tcp::endpoint& router) {
     return wait_for([&] {
-      tcp::socket probe(io_);
-      error_code error;
+      net::tcp::socket probe(io_);
+      net::error_code error;
       probe.connect(router, error);
       return !error;
     });
@@ -142,7 +142,7 @@
 
   // A key whose server is the one that starts later: found through a router to which all servers are warm.
   std::string find_key_of_starting_server() {
-    const tcp::endpoint router = start_router(0);
+    const net::tcp::endpoint router = start_router(0);
     if (!wait_until_listening(router)) return {};
     FakeClient client(io_, router);
     std::string key;
@@ -193,12 +193,12 @@
 
   start_server();
   const std::int64_t up_since_ms = wall_clock_ms();
-  std::vector<tcp::endpoint> routers;
+  std::vector<net::tcp::endpoint> routers;
   for (std::size_t i = 0; i < kRouters; ++i) routers.push_back(start_router(up_since_ms));
-  for (const tcp::endpoint& router : routers) ASSERT_TRUE(wait_until_listening(router));
+  for (const net::tcp::endpoint& router : routers) ASSERT_TRUE(wait_until_listening(router));
 
   std::vector<std::unique_ptr<PacedClient>> clients;
-  for (const tcp::endpoint& router : routers)
+  for (const net::tcp::endpoint& router : routers)
     clients.push_back(std::make_unique<PacedClient>(io_, router, key));
   const auto all_have_turned = [&](int turns) {
     return std::all_of(clients.begin(), clients.end(),
@@ -231,4 +231,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/body_stream_test.cpp
+++ b/tests/engine/body_stream_test.cpp
@@ -9,52 +9,52 @@
 namespace {
 
 TEST(BodyStream, AFastWriterIsStoppedAndCalledAgainOnceThereIsRoom) {
-  BodyStream stream(10, 4);
+  engine::BodyStream stream(10, 4);
   int rooms = 0;
-  stream.room = [&] { ++rooms; };
-  EXPECT_TRUE(stream.put("abc"));
-  EXPECT_FALSE(stream.put("de"));
+  stream.on_writable = [&] { ++rooms; };
+  EXPECT_TRUE(stream.write("abc"));
+  EXPECT_FALSE(stream.write("de"));
   EXPECT_EQ(rooms, 0);
   std::string out;
-  ASSERT_TRUE(stream.take(out));
+  ASSERT_TRUE(stream.read(out));
   EXPECT_EQ(out, "abcde");
   EXPECT_EQ(rooms, 1);
-  EXPECT_FALSE(stream.take(out));
+  EXPECT_FALSE(stream.read(out));
   EXPECT_EQ(rooms, 1);
 }
 
 TEST(BodyStream, ItsEndShowsOnceAllOfItWasTaken) {
-  BodyStream stream(3, 16);
-  stream.put("abc");
-  stream.end(BodyStream::State::whole);
-  EXPECT_EQ(stream.state(), BodyStream::State::open);
+  engine::BodyStream stream(3, 16);
+  stream.write("abc");
+  stream.end(engine::BodyStream::State::complete);
+  EXPECT_EQ(stream.state(), engine::BodyStream::State::open);
   std::string out;
-  ASSERT_TRUE(stream.take(out));
-  EXPECT_EQ(stream.state(), BodyStream::State::whole);
+  ASSERT_TRUE(stream.read(out));
+  EXPECT_EQ(stream.state(), engine::BodyStream::State::complete);
 }
 
 TEST(BodyStream, AnEndShortOfTheLengthIsACutWhateverTheWriterSays) {
-  BodyStream stream(4, 16);
-  stream.put("abc");
-  stream.end(BodyStream::State::whole);
-  EXPECT_EQ(stream.state(), BodyStream::State::cut);
+  engine::BodyStream stream(4, 16);
+  stream.write("abc");
+  stream.end(engine::BodyStream::State::complete);
+  EXPECT_EQ(stream.state(), engine::BodyStream::State::truncated);
   std::string out;
-  EXPECT_FALSE(stream.take(out));  // nothing more is passed on
+  EXPECT_FALSE(stream.read(out));  // nothing more is passed on
 }
 
 TEST(BodyStream, AReaderThatGoesStopsTheWriterOnce) {
-  const auto stream = std::make_shared<BodyStream>(9, 16);
+  const auto stream = std::make_shared<engine::BodyStream>(9, 16);
   int gone = 0;
-  stream->unwanted = [&] { ++gone; };
+  stream->on_reader_closed = [&] { ++gone; };
   {
-    BodyReader reader(stream);
-    BodyReader other = std::move(reader);
+    engine::BodyReader reader(stream);
+    engine::BodyReader other = std::move(reader);
     EXPECT_FALSE(reader);
-    stream->put("abc");
+    stream->write("abc");
   }
   EXPECT_EQ(gone, 1);
-  EXPECT_FALSE(stream->put("def"));
-  stream->end(BodyStream::State::whole);
+  EXPECT_FALSE(stream->write("def"));
+  stream->end(engine::BodyStream::State::complete);
   EXPECT_EQ(gone, 1);
 }
 
@@ -66,24 +66,24 @@
     std::string sent, got, part;
     const std::size_t most = 1 + random() % 50, length = random() % 500;
     for (std::size_t i = 0; i < length; ++i) sent += static_cast<char>(random());
-    BodyStream stream(length, most);
+    engine::BodyStream stream(length, most);
     bool stopped = false;
     std::size_t at = 0, longest = 0;
-    stream.room = [&] { stopped = false; };
-    while (stream.state() == BodyStream::State::open) {
+    stream.on_writable = [&] { stopped = false; };
+    while (stream.state() == engine::BodyStream::State::open) {
       if (!stopped && random() % 2 == 0) {
         const std::size_t size = std::min<std::size_t>(1 + random() % 20, length - at);
         longest = std::max(longest, size);
-        if (size > 0) stopped = !stream.put(std::string_view(sent).substr(at, size));
+        if (size > 0) stopped = !stream.write(std::string_view(sent).substr(at, size));
         at += size;
-        if (at == length) stream.end(BodyStream::State::whole);
-      } else if (stream.take(part)) {
+        if (at == length) stream.end(engine::BodyStream::State::complete);
+      } else if (stream.read(part)) {
         ASSERT_LE(part.size(), most + longest) << seed;
         got += part;
       }
     }
     ASSERT_EQ(got, sent) << seed;
-    ASSERT_EQ(stream.state(), BodyStream::State::whole) << seed;
+    ASSERT_EQ(stream.state(), engine::BodyStream::State::complete) << seed;
   }
 }
 
--- a/tests/engine/class_table_test.cpp
+++ b/tests/engine/class_table_test.cpp
@@ -8,50 +8,50 @@
 #include <random>
 #include <vector>
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 RequestClass rule(Time deadline, std::uint32_t attempts = 3) {
   RequestClass out;
-  out.aim = 1;
+  out.latency_objective = 1;
   out.deadline = deadline;
-  out.attempts = attempts;
+  out.max_attempts = attempts;
   return out;
 }
 
-std::uint32_t number_of(const ClassTable& table, const std::string& name) {
+std::uint32_t number_of(const engine::ClassTable& table, const std::string& name) {
   const auto& names = table.names();
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? kNone : static_cast<std::uint32_t>(found - names.begin());
 }
 
 TEST(ClassTable, WhatStaysKeepsItsNumberAndWhatChangesHasAnother) {
-  ClassTable table({rule(100), rule(200)}, {"read", "save"});
+  engine::ClassTable table({rule(100), rule(200)}, {"read", "save"});
   table.change({rule(250), rule(100)}, {"save", "read"});
   EXPECT_EQ(number_of(table, "read"), 0U);
   EXPECT_EQ(number_of(table, "save"), 1U);  // nothing was open under its old rules
   EXPECT_EQ(table.rules()[1].deadline, 250);
-  EXPECT_EQ(table.rules()[1].like, 1U);
-  table.opened(1);
+  EXPECT_EQ(table.rules()[1].similar_class, 1U);
+  table.request_opened(1);
   table.change({rule(100), rule(300)}, {"read", "save"});
   EXPECT_EQ(number_of(table, "save"), 2U);
   EXPECT_EQ(table.rules()[1].deadline, 250);  // for the one that is open
-  EXPECT_EQ(table.rules()[2].like, 1U);
+  EXPECT_EQ(table.rules()[2].similar_class, 1U);
   table.change({rule(100)}, {"read"});
   EXPECT_EQ(number_of(table, "save"), kNone);
   EXPECT_EQ(table.rules()[1].deadline, 250);
-  table.ended(1);
+  table.request_closed(1);
   table.change({rule(100), rule(1)}, {"read", "pay"});
   EXPECT_EQ(number_of(table, "pay"), 1U);
   EXPECT_EQ(table.rules().size(), 3U);
 }
 
 TEST(ClassTable, FewerAttemptsMakeEveryClassAnother) {
-  ClassTable table({rule(100, 3), rule(200, 3)}, {"read", "save"});
-  table.opened(0);
+  engine::ClassTable table({rule(100, 3), rule(200, 3)}, {"read", "save"});
+  table.request_opened(0);
   table.change({rule(100, 1), rule(200, 1)}, {"read", "save"});
-  EXPECT_EQ(table.rules()[0].attempts, 3U);
-  EXPECT_EQ(table.rules()[number_of(table, "read")].attempts, 1U);
+  EXPECT_EQ(table.rules()[0].max_attempts, 3U);
+  EXPECT_EQ(table.rules()[number_of(table, "read")].max_attempts, 1U);
   EXPECT_NE(number_of(table, "read"), 0U);
 }
 
@@ -60,7 +60,7 @@
 TEST(ClassTable, AThousandChangesKeepEveryOpenRequestsRulesAndStayBounded) {
   std::mt19937 random(29);
   const std::vector<std::string> all = {"read", "save", "pay", "look", "list"};
-  ClassTable table({rule(1)}, {"read"});
+  engine::ClassTable table({rule(1)}, {"read"});
   struct Open {
     std::uint32_t number;
     RequestClass rules;
@@ -80,18 +80,18 @@
       const std::uint32_t number = number_of(table, names[i]);
       ASSERT_NE(number, kNone);
       ASSERT_EQ(table.rules()[number].deadline, rules[i].deadline);
-      ASSERT_EQ(table.rules()[number].attempts, rules[i].attempts);
+      ASSERT_EQ(table.rules()[number].max_attempts, rules[i].max_attempts);
     }
     ASSERT_EQ(std::count(table.names().begin(), table.names().end(), "\n"),
               static_cast<std::ptrdiff_t>(table.names().size() - names.size()));
     for (unsigned n = random() % 4; n > 0; --n) {
       const std::uint32_t number = number_of(table, names[random() % names.size()]);
-      table.opened(number);
+      table.request_opened(number);
       open.push_back({number, table.rules()[number]});
     }
     while (open.size() > 10 || (!open.empty() && random() % 2 == 0)) {
       const std::size_t which = random() % open.size();
-      table.ended(open[which].number);
+      table.request_closed(open[which].number);
       open.erase(open.begin() + static_cast<std::ptrdiff_t>(which));
     }
     for (const Open& request : open) ASSERT_EQ(table.rules()[request.number], request.rules);
@@ -100,4 +100,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/clock_steps_test.cpp
+++ b/tests/engine/clock_steps_test.cpp
@@ -4,7 +4,7 @@
 
 #include "engine/hand_driven.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr Time kMs = 1'000, kSecond = 1'000'000, kHour = 3'600 * kSecond;
@@ -14,36 +14,37 @@
 struct ClockSteps : ::testing::TestWithParam<Time> {
   // A router that has run for 10 s.
   void begin(const std::function<void(Config&)>& adjust = {}) {
-    EngineSettings settings;
+    engine::EngineSettings settings;
     Config& config = settings.config;
-    config.aside = true;
+    config.cache_aside = true;
     config.origin_kind = 1;
     config.max_attempts = 3;
     config.can_cancel = true;
     config.answer_slack = 20 * kMs;
-    config.cold_share = 0.05;
-    config.cold_time = kColdTime;
+    config.slow_start_initial_share = 0.05;
+    config.slow_start_duration = kColdTime;
     config.classes = {{2 * kSecond, 8 * kSecond, 1, Effect::safe, Group::all, 0},
                       {2 * kSecond, 8 * kSecond, 1, Effect::keyed, Group::all, 5 * kSecond}};
     if (adjust) adjust(config);
     settings.seed = 7;
-    engine = std::make_unique<Engine>(time, settings, fleet, [](std::string_view) {});
-    const EndpointList known = list_of({{"c-1", 0}, {"c-2", 0}, {"c-3", 0}, {"c-4", 0}});
+    engine = std::make_unique<engine::Engine>(time, settings, fleet, [](std::string_view) {});
+    const engine::EndpointList known = list_of({{"c-1", 0}, {"c-2", 0}, {"c-3", 0}, {"c-4", 0}});
     engine->start(roster, known);
     engine->on_endpoint_list(known);
     time.advance(10 * kSecond);
   }
   void step() { time.step_wall_clock(GetParam()); }
 
-  static EndpointList list_of(const std::vector<std::pair<std::string, Time>>& caches, bool complete = true) {
-    EndpointList out;
+  static engine::EndpointList list_of(const std::vector<std::pair<std::string, Time>>& caches,
+                                      bool complete = true) {
+    engine::EndpointList out;
     out.complete = complete;
     for (const auto& [id, started] : caches) out.members.push_back(listed(id, 0, started));
     if (complete) out.members.push_back(listed("origin", 1, 0));
     return out;
   }
-  static ListedEndpoint listed(const std::string& id, std::uint32_t kind, Time started) {
-    ListedEndpoint out{id, "127.0.0.1:1", {}};
+  static engine::ListedEndpoint listed(const std::string& id, std::uint32_t kind, Time started) {
+    engine::ListedEndpoint out{id, "127.0.0.1:1", {}};
     out.member.identity = std::hash<std::string>{}(id);
     out.member.kind = kind;
     out.member.started = started;
@@ -54,18 +55,18 @@
   }
 
   RequestId ask(Class request_class, std::uint64_t key, Time remaining = 8 * kSecond) {
-    IncomingRequest incoming;
-    incoming.message = std::make_shared<Message>();
-    incoming.message->operation = request_class == kRead ? Operation::read : Operation::write;
+    engine::IncomingRequest incoming;
+    incoming.message = std::make_shared<engine::Message>();
+    incoming.message->operation = request_class == kRead ? engine::Operation::read : engine::Operation::write;
     incoming.request_class = request_class;
-    incoming.txn = ++txn;
+    incoming.transaction_id = ++transaction_id;
     incoming.key = key;
     incoming.has_key = true;
     incoming.remaining = remaining;
-    return engine->asked(asker, std::move(incoming));
+    return engine->on_request(asker, std::move(incoming));
   }
   void end(std::size_t sent, Outcome outcome) {
-    Answer answer;
+    engine::Answer answer;
     answer.body = "v";
     engine->on_attempt_ended(fleet.sent.at(sent).attempt, outcome, std::move(answer));
   }
@@ -97,8 +98,8 @@
   Fleet fleet{time};
   QuietRoster roster;
   std::shared_ptr<RecordingAsker> asker = std::make_shared<RecordingAsker>();
-  std::uint64_t txn = 0, last_key = 0;
-  std::unique_ptr<Engine> engine;
+  std::uint64_t transaction_id = 0, last_key = 0;
+  std::unique_ptr<engine::Engine> engine;
 };
 
 TEST_P(ClockSteps, AServerThatStartsAfterTheStepStartsSlowly) {
@@ -164,7 +165,7 @@
   EXPECT_EQ(replies(), 0U);
   time.advance(200 * kMs);
   ASSERT_EQ(replies(), 1U);
-  EXPECT_NE(asker->replies[0].second.kind, Reply::Kind::served);
+  EXPECT_NE(asker->replies[0].second.kind, engine::Response::Kind::served);
 }
 
 TEST_P(ClockSteps, TheWindowForRepeatsIsRealTime) {
@@ -192,19 +193,19 @@
 TEST_P(ClockSteps, AnEjectionIsRealTime) {
   begin();
   // Three failures in a row put a server off for 0.75 to 1.25 s.
-  for (std::uint64_t key = 1; engine->hosts().down == 0 && key < 200; ++key) {
+  for (std::uint64_t key = 1; engine->endpoint_counts().down == 0 && key < 200; ++key) {
     const std::size_t first = fleet.sent.size();
     ask(kRead, key * 0x9e3779b97f4a7c15U);
     for (std::size_t sent = first; sent < fleet.sent.size(); ++sent)
       end(sent, fleet.sent[sent].server == "c-1" ? Outcome::connect_failed : Outcome::served);
   }
-  ASSERT_EQ(engine->hosts().down, 1U);
+  ASSERT_EQ(engine->endpoint_counts().down, 1U);
   step();
   time.advance(700 * kMs);
   EXPECT_LT(part_of("c-1"), 60U);  // mostly off
   time.advance(2 * kSecond);
   EXPECT_GT(part_of("c-1"), 60U);
-  EXPECT_EQ(engine->hosts().down, 0U);
+  EXPECT_EQ(engine->endpoint_counts().down, 0U);
 }
 
 TEST_P(ClockSteps, TheGraceAtTheEndIsRealTime) {
@@ -214,7 +215,7 @@
   engine->add(front);
   ask(kRead, 3, 8 * kSecond);
   bool done = false;
-  engine->drain([&] { done = true; });
+  engine->shut_down([&] { done = true; });
   step();
   time.advance(400 * kMs);
   EXPECT_FALSE(front.stopped);
@@ -235,4 +236,4 @@
                          });
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -1,7 +1,7 @@
 // The engine on a hand-driven clock: one final answer whatever crosses what, the guard, drains.
 #include "engine/engine_fixture.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 TEST_F(EngineTest, AReadIsServedOnceAndItsTagIsTold) {
@@ -10,7 +10,7 @@
   end(0, Outcome::served, "tile");
   ASSERT_EQ(replies(), 1U);
   EXPECT_EQ(asker->replies[0].first, 41U);
-  EXPECT_EQ(reply().kind, Reply::Kind::served);
+  EXPECT_EQ(reply().kind, engine::Response::Kind::served);
   EXPECT_EQ(reply().answer.body, "tile");
 }
 
@@ -28,7 +28,7 @@
 TEST_F(EngineTest, ForAClientThatIsSeenToHaveGoneNoRetryBegins) {
   ask(kRead);
   asker->gone = true;
-  end(0, Outcome::full);
+  end(0, Outcome::overloaded);
   time.advance(10 * kSecond);
   EXPECT_EQ(fleet.sent.size(), 1U);
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
@@ -38,7 +38,7 @@
 // What waits for its connection asks right before its first byte.
 TEST_F(EngineTest, WhatIsAboutToBeWrittenMayNotBeWhereItsClientHasGoneOrItIsOver) {
   const RequestId request = ask(kRead);
-  const AttemptId attempt = fleet.sent.at(0).attempt;
+  const engine::AttemptId attempt = fleet.sent.at(0).attempt;
   ASSERT_TRUE(engine->may_write(attempt));
   EXPECT_LE(*engine->may_write(attempt), time.now() + 8 * kSecond);
   EXPECT_FALSE(engine->may_write({request, 7}));
@@ -54,7 +54,7 @@
 // The time of its client counts from its last byte.
 TEST_F(EngineTest, WhileABodyComesItsServerIsToldWhatItsClientWillHaveBehindIt) {
   const auto [request, body] = save_that_comes(kPay, 2 * kSecond);
-  const AttemptId attempt = fleet.sent.at(0).attempt;
+  const engine::AttemptId attempt = fleet.sent.at(0).attempt;
   EXPECT_LE(*engine->may_write(attempt), time.now() + 2 * kSecond);
   time.advance(10 * kSecond);
   EXPECT_LE(*engine->may_write(attempt), time.now() + 2 * kSecond);
@@ -88,8 +88,8 @@
 
 TEST_F(EngineTest, AClientThatLeftIsAnsweredNothingAndNothingIsSentForIt) {
   const RequestId id = ask(kRead);
-  engine->withdrawn(id);
-  engine->withdrawn(id);
+  engine->on_client_cancelled(id);
+  engine->on_client_cancelled(id);
   end(0, Outcome::served);
   time.advance(9 * kSecond);
   EXPECT_EQ(replies(), 0U);
@@ -103,7 +103,7 @@
   end(0, Outcome::miss);
   ASSERT_EQ(fleet.sent.size(), 2U);
   ASSERT_EQ(fleet.sent[1].server, "origin");
-  engine->withdrawn(id);
+  engine->on_client_cancelled(id);
   ASSERT_FALSE(fleet.sent[1].forgotten);
   end(1, Outcome::served, "late");
   EXPECT_EQ(replies(), 0U);
@@ -117,7 +117,7 @@
   EXPECT_EQ(fleet.sent[0].server, "origin");
   end(0, Outcome::reset);
   ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().kind, Reply::Kind::failed);
+  EXPECT_EQ(reply().kind, engine::Response::Kind::failed);
   EXPECT_TRUE(reply().may_have_run);
   time.advance(9 * kSecond);
   EXPECT_EQ(fleet.sent.size(), 1U);
@@ -132,7 +132,7 @@
     time.advance(kMs);
   }
   ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().kind, Reply::Kind::refused);
+  EXPECT_EQ(reply().kind, engine::Response::Kind::rejected);
   EXPECT_FALSE(reply().may_have_run);
 }
 
@@ -156,13 +156,13 @@
 
 TEST_F(EngineTest, AnIdThatIsOpenIsTakenByNobodyElse) {
   ASSERT_NE(ask(kRead), 0U);
-  --txn;
+  --transaction_id;
   EXPECT_EQ(ask(kRead), 0U);
   end(0, Outcome::served);
-  --txn;
+  --transaction_id;
   EXPECT_EQ(ask(kRead), 0U);  // a moment too late
   time.advance(3 * kSecond);
-  --txn;
+  --transaction_id;
   EXPECT_NE(ask(kRead), 0U);
 }
 
@@ -182,7 +182,7 @@
   end(0, Outcome::served);
   ASSERT_GE(replies(), 1U);
   EXPECT_EQ(asker->replies.back().first, 1U);
-  EXPECT_EQ(asker->replies.back().second.kind, Reply::Kind::served);
+  EXPECT_EQ(asker->replies.back().second.kind, engine::Response::Kind::served);
   EXPECT_TRUE(fleet.gone.contains(server));
 }
 
@@ -190,7 +190,7 @@
   ask(kRead, 5, 8 * kSecond);
   front.waiting = 1;
   bool done = false;
-  engine->drain([&] { done = true; });
+  engine->shut_down([&] { done = true; });
   EXPECT_EQ(front.drains, 1);
   time.advance(600 * kMs);
   EXPECT_TRUE(front.stopped);
@@ -204,7 +204,7 @@
 }
 
 TEST_F(EngineTest, WhatCachesMissedIsStoredThereUnlessAWriteToTheKeyCrossedTheRead) {
-  fleet.wants_values = true;
+  fleet.wants_cache_fills = true;
   engine.reset();
   build();
   const auto read = [&] {
@@ -282,7 +282,7 @@
       end(first, Outcome::miss);
       ASSERT_EQ(fleet.sent.size(), first + 3);
       ASSERT_EQ(fleet.sent.back().server, "origin");
-      answered ? end(first + 1, Outcome::served) : engine->withdrawn(request);
+      answered ? end(first + 1, Outcome::served) : engine->on_client_cancelled(request);
       EXPECT_EQ(fleet.sent[first + 2].taken_back, dials) << answered;
       EXPECT_FALSE(fleet.sent[first + 2].forgotten);
       EXPECT_EQ(not_sent() - before, dials ? 1U : 0U);
@@ -298,7 +298,7 @@
   engine->process_suspended(3 * kSecond);  // left out of `time`, as the client's clock does
   ASSERT_EQ(replies(), 1U);
   EXPECT_EQ(asker->replies[0].first, 1U);
-  EXPECT_EQ(reply().kind, Reply::Kind::failed);
+  EXPECT_EQ(reply().kind, engine::Response::Kind::failed);
   EXPECT_TRUE(reply().late);
   EXPECT_EQ(fleet.sent.size(), before);  // no copy for the time that nobody saw
   time.advance(5 * kSecond);             // of eight, three were gone
@@ -310,9 +310,9 @@
 TEST_F(EngineTest, WhatAListSaysOfDeparturesHoldsAtOnceAfterAPauseAndAtAnyTime) {
   engine->process_suspended(3 * kSecond);
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::draining}, {"c-2", Phase::ready}}, true));
-  EXPECT_EQ(fleet.nothing_from("c-1"), time.now());
+  EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
   engine->on_endpoint_list(list(3, false, {{"c-2", Phase::draining}}));
-  EXPECT_EQ(fleet.nothing_from("c-2"), time.now());
+  EXPECT_EQ(fleet.sending_stops_at("c-2"), time.now());
 }
 
 // ---- Windows of repeats
@@ -342,7 +342,7 @@
 
 // The repeat could not be made just before the window's end; the next try, after its wait, would be too late.
 TEST_F(EngineTest, AWaitThatOutlastsTheWindowEndsTheRequestWithoutARepeat) {
-  build([](Config& config) { config.classes[kSave].window = 500 * kMs; });
+  build([](Config& config) { config.classes[kSave].idempotency_window = 500 * kMs; });
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
   ask(kSave);
   time.advance(100 * kMs);
@@ -353,7 +353,7 @@
   time.advance(1'000 * kMs);
   EXPECT_EQ(fleet.sent.size(), 2U);
   ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().kind, Reply::Kind::failed);
+  EXPECT_EQ(reply().kind, engine::Response::Kind::failed);
   EXPECT_TRUE(reply().may_have_run);
 }
 
@@ -363,7 +363,7 @@
   ask(kSave);
   const Time first = time.now();
   Config next;
-  next.aside = true;
+  next.cache_aside = true;
   next.origin_kind = 1;
   next.max_attempts = 3;
   next.classes = {{2 * kSecond, 8 * kSecond, 1, Effect::safe, Group::all, 0},
@@ -384,7 +384,7 @@
   });
   ask(kRead, 0, kSecond);
   bool done = false;
-  engine->drain([&] { done = true; });
+  engine->shut_down([&] { done = true; });
   front.waiting = 1;
   time.advance(400 * kMs);
   ask(kRead, 1, kSecond);
@@ -399,40 +399,40 @@
 TEST_F(EngineTest, LeftOutByHandNothingMayBeginFromTheSameMomentWhateverTheListSays) {
   time.advance(kSecond);
   engine->set_override("c-1", true, 0);
-  EXPECT_EQ(fleet.nothing_from("c-1"), time.now());
-  EXPECT_EQ(fleet.nothing_from("c-2"), kNever);
+  EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
+  EXPECT_EQ(fleet.sending_stops_at("c-2"), kNever);
   const Time said = time.now();
   time.advance(kSecond);
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}, {"c-2", Phase::ready}}, true));
-  EXPECT_EQ(fleet.nothing_from("c-1"), said);
+  EXPECT_EQ(fleet.sending_stops_at("c-1"), said);
   // It leaves the list and comes back, as another transport.
   engine->on_endpoint_list(list(3, true, {{"c-2", Phase::ready}}, true));
   EXPECT_TRUE(fleet.gone.contains("c-1"));
-  EXPECT_FALSE(engine->knows("c-1"));
+  EXPECT_FALSE(engine->lists_cache("c-1"));
   time.advance(kSecond);
   engine->on_endpoint_list(list(4, true, {{"c-1", Phase::ready}, {"c-2", Phase::ready}}, true));
-  EXPECT_EQ(fleet.nothing_from("c-1"), time.now());
-  EXPECT_EQ(engine->hosts().listed, 2U);
-  EXPECT_EQ(engine->hosts().down, 1U);
+  EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
+  EXPECT_EQ(engine->endpoint_counts().listed, 2U);
+  EXPECT_EQ(engine->endpoint_counts().down, 1U);
   for (std::uint64_t key = 0; key < 50; ++key) ask(kRead, 0, 8 * kSecond, key);
   time.advance(1'500 * kMs);  // copies too
   EXPECT_FALSE(fleet.sent.empty());
   for (const Sent& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
   engine->set_override("c-1", false, time.now());
-  EXPECT_EQ(fleet.nothing_from("c-1"), kNever);
+  EXPECT_EQ(fleet.sending_stops_at("c-1"), kNever);
 }
 
 TEST_F(EngineTest, CalledBackWhileTheListSaysThatItDrainsItGetsNothing) {
   engine->set_override("c-1", true, 0);
   engine->on_endpoint_list(list(2, false, {{"c-1", Phase::draining}}));
   engine->set_override("c-1", false, time.now());
-  EXPECT_LE(fleet.nothing_from("c-1"), time.now());
+  EXPECT_LE(fleet.sending_stops_at("c-1"), time.now());
   for (std::uint64_t key = 0; key < 50; ++key) ask(kRead, 0, 8 * kSecond, key);
   for (const Sent& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
 }
 
 TEST_F(EngineTest, WhatItMissedIsNotKeptAtAServerThatIsOut) {
-  fleet.wants_values = true;
+  fleet.wants_cache_fills = true;
   build();
   ask(kRead);
   const std::string first = fleet.sent.at(0).server;
@@ -444,31 +444,31 @@
 }
 
 TEST_F(EngineTest, AFrontThatComesWhileClientsAreSentAwayHearsItAndAllHearTheEnd) {
-  engine->send_clients_away(true);
-  engine->send_clients_away(true);
+  engine->set_draining(true);
+  engine->set_draining(true);
   EXPECT_EQ(front.drains, 1);
   IdleFront late;
   engine->add(late);
   EXPECT_EQ(late.drains, 1);
-  engine->send_clients_away(false);
+  engine->set_draining(false);
   EXPECT_EQ(front.ends + late.ends, 2);
 }
 
 TEST_F(EngineTest, TheFiguresCountEachEndOnceAndWhatLeftNowhere) {
   const RequestId left = ask(kRead, 0, 8 * kSecond, 1);
   ask(kRead, 0, 8 * kSecond, 2);
-  EXPECT_EQ(engine->figures().in_flight(), 2U);
-  engine->withdrawn(left);
-  EXPECT_EQ(engine->figures().in_flight(), 1U);
+  EXPECT_EQ(engine->metrics().in_flight(), 2U);
+  engine->on_client_cancelled(left);
+  EXPECT_EQ(engine->metrics().in_flight(), 1U);
   end(1, Outcome::served);
-  EXPECT_EQ(engine->figures().in_flight(), 1U);  // until the answer is out
+  EXPECT_EQ(engine->metrics().in_flight(), 1U);  // until the answer is out
   asker->replies.clear();
-  EXPECT_EQ(engine->figures().in_flight(), 0U);
-  engine->turned_away(kRead);
-  const auto& ends = engine->figures().classes().begin()->second;
-  EXPECT_EQ(ends.success, 1U);
-  EXPECT_EQ(ends.busy, 1U);
-  EXPECT_EQ(ends.failure, 0U);
+  EXPECT_EQ(engine->metrics().in_flight(), 0U);
+  engine->on_rejected_unread(kRead);
+  const auto& ends = engine->metrics().classes().begin()->second;
+  EXPECT_EQ(ends.served, 1U);
+  EXPECT_EQ(ends.rejected, 1U);
+  EXPECT_EQ(ends.failed, 0U);
 }
 
 // Its time runs from the last byte of the body, and not from the first.
@@ -476,13 +476,13 @@
   const auto [id, upload] = save_that_comes(kPay, kSecond);
   time.advance(5 * kSecond);
   EXPECT_EQ(replies(), 0U);
-  upload->end(BodyStream::State::whole);
+  upload->end(engine::BodyStream::State::complete);
   engine->on_body_complete(id);
   time.advance(900 * kMs);
   EXPECT_EQ(replies(), 0U);
   time.advance(200 * kMs);
   ASSERT_EQ(replies(), 1U);
-  EXPECT_NE(reply().kind, Reply::Kind::served);
+  EXPECT_NE(reply().kind, engine::Response::Kind::served);
 }
 
 TEST_F(EngineTest, OfABodyThatIsSpentNothingIsSentAgain) {
@@ -490,15 +490,15 @@
     fleet.sent.clear();
     const auto upload = save_that_comes(kind, 8 * kSecond).second;
     ASSERT_EQ(fleet.sent.size(), 1U);
-    upload->put("half");
+    upload->write("half");
     std::string taken;
-    upload->take(taken);
+    upload->read(taken);
     const std::size_t before = replies();
     end(0, Outcome::connect_failed);
     EXPECT_EQ(replies(), before + 1);  // at once
     time.advance(2 * kSecond);
     EXPECT_EQ(fleet.sent.size(), 1U);
-    EXPECT_EQ(asker->replies.back().second.kind, Reply::Kind::refused);
+    EXPECT_EQ(asker->replies.back().second.kind, engine::Response::Kind::rejected);
   }
 }
 
@@ -506,7 +506,7 @@
 // then on.
 TEST_F(EngineTest, TheModuleDecidesByTheRoutersThatItWasToldOfLast) {
   build([](Config& config) {
-    config.dial_time_out = 250 * kMs;
+    config.connect_timeout = 250 * kMs;
     config.keep_alive = 60 * kSecond;
     config.handshake_cost = 0.01;
     config.connection_cost = 0.09;
@@ -528,4 +528,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/hand_driven.h
+++ b/tests/engine/hand_driven.h
@@ -12,15 +12,15 @@
 
 #include "engine/engine.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
-class HandDriven final : public TimeSource {
+class HandDriven final : public engine::TimeSource {
  public:
   Time now() override { return now_; }
   Time wall_time() override { return now_ + wall_steps_; }
   /// The wall clock steps, forward or back; the monotonic one runs on.
   void step_wall_clock(Time by) { wall_steps_ += by; }
-  std::unique_ptr<Timer> timer(std::function<void()> due) override {
+  std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
     return std::make_unique<HandTimer>(*this, std::move(due));
   }
   // Moves on, calling each timer at its time, in the order of their times; of two at one time the one that
@@ -42,7 +42,7 @@
   void stall(Time by) { now_ += by; }
 
  private:
-  struct HandTimer final : Timer {
+  struct HandTimer final : engine::Timer {
     HandTimer(HandDriven& owner, std::function<void()> due)
         : owner_(owner), due_(std::move(due)), number_(++owner_.made_) {
       owner_.timers_.emplace(number_, this);
@@ -63,30 +63,30 @@
 
 struct Sent {
   std::string server;
-  AttemptId attempt;
-  std::shared_ptr<const Message> message;
+  engine::AttemptId attempt;
+  std::shared_ptr<const engine::Message> message;
   Time at, begin_by;
   bool forgotten = false;
   bool closed = false;  // forgotten as overdue: its connection is not waited for
   bool taken_back = false;
 };
 
-class Fleet final : public Transports {
+class Fleet final : public engine::UpstreamFactory {
  public:
   explicit Fleet(HandDriven& time) : time_(time) {}
-  std::unique_ptr<Transport> make(const std::string& name, std::uint32_t) override {
+  std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t) override {
     return std::make_unique<Server>(*this, name);
   }
-  Time nothing_from(const std::string& name) const { return by_name_.at(name)->nothing_from(); }
+  Time sending_stops_at(const std::string& name) const { return by_name_.at(name)->sending_stops_at(); }
   std::vector<Sent> sent;
   std::vector<std::pair<std::string, std::string>> kept;  // server, value
   std::set<std::string> gone;                             // whose transport was given up
-  bool wants_values = false;
+  bool wants_cache_fills = false;
   int closed_idle = 0;          // times that all which were idle at a server were closed
   std::set<std::string> dials;  // whose connections are still being made: nothing goes out to them
 
  private:
-  struct Server final : Transport {
+  struct Server final : engine::Upstream {
     Server(Fleet& owner, std::string name) : owner_(owner), name_(std::move(name)) {
       owner_.by_name_[name_] = this;
     }
@@ -95,25 +95,26 @@
       owner_.by_name_.erase(name_);
     }
     void set_address(const std::string&) override {}
-    void send(AttemptId attempt, std::shared_ptr<const Message> message, Time, Time begin_by) override {
+    void send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time,
+              Time begin_by) override {
       owner_.sent.push_back({name_, attempt, std::move(message), owner_.time_.now(), begin_by});
     }
-    void forget(AttemptId attempt, Forget why) override {
+    void cancel(engine::AttemptId attempt, engine::CancelReason reason) override {
       for (Sent& sent : owner_.sent)
         if (sent.attempt == attempt) {
           sent.forgotten = true;
-          sent.closed = why == Forget::overdue;
+          sent.closed = reason == engine::CancelReason::timed_out;
         }
     }
-    bool cancel_unsent(AttemptId attempt) override {
+    bool cancel_unsent(engine::AttemptId attempt) override {
       if (!owner_.dials.contains(name_)) return false;
       for (Sent& sent : owner_.sent) sent.taken_back |= sent.attempt == attempt;
       return true;
     }
     void close_idle(Time unused_since) override { owner_.closed_idle += unused_since == kNever ? 1 : 0; }
     bool close_oldest_idle() override { return false; }
-    bool wants_values() const override { return owner_.wants_values; }
-    void keep(const std::string&, const std::string& value) override {
+    bool wants_cache_fills() const override { return owner_.wants_cache_fills; }
+    void fill_cache(const std::string&, const std::string& value) override {
       owner_.kept.emplace_back(name_, value);
     }
     Fleet& owner_;
@@ -123,28 +124,30 @@
   std::map<std::string, Server*> by_name_;
 };
 
-struct RecordingAsker final : ResponseSink {
-  void reply(std::uint64_t tag, Reply reply) override { replies.emplace_back(tag, std::move(reply)); }
+struct RecordingAsker final : engine::ResponseSink {
+  void respond(std::uint64_t tag, engine::Response reply) override {
+    replies.emplace_back(tag, std::move(reply));
+  }
   bool client_gone() override { return gone; }
-  std::vector<std::pair<std::uint64_t, Reply>> replies;
+  std::vector<std::pair<std::uint64_t, engine::Response>> replies;
   bool gone = false;  // it can be seen, and nobody has told
 };
 
-struct QuietRoster final : EndpointDiscovery {
+struct QuietRoster final : engine::EndpointDiscovery {
   void watch() override { ++watches; }
   int watches = 0;
 };
 
-struct IdleFront final : Front {
-  void drain() override { ++drains; }
+struct IdleFront final : engine::Downstream {
+  void on_drain_started() override { ++drains; }
   void stop_accepting() override { stopped = true; }
   std::size_t unanswered() const override { return waiting; }
-  std::size_t open() const override { return 0; }
+  std::size_t open_connections() const override { return 0; }
   int drains = 0;
-  void end_drain() override { ++ends; }
+  void on_drain_ended() override { ++ends; }
   int ends = 0;
   bool stopped = false;
   std::size_t waiting = 0;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/message_pool_test.cpp
+++ b/tests/engine/message_pool_test.cpp
@@ -6,24 +6,24 @@
 namespace {
 
 TEST(MessagePool, AMessageIsUsedAgainEmpty) {
-  MessagePool pool;
+  engine::MessagePool pool;
   auto one = pool.take();
-  const Message* const first = one.get();
-  one->operation = Operation::write;
+  const engine::Message* const first = one.get();
+  one->operation = engine::Operation::write;
   one->target = "/save/1";
   one->idempotency_key = "k";
   one->words = {"SET"};
-  one->in_parts = true;
+  one->accepts_streaming = true;
   one.reset();
   const auto two = pool.take();
   EXPECT_EQ(two.get(), first);
-  EXPECT_EQ(two->operation, Operation::read);
+  EXPECT_EQ(two->operation, engine::Operation::read);
   EXPECT_TRUE(two->target.empty() && two->idempotency_key.empty() && two->words.empty());
-  EXPECT_FALSE(two->in_parts);
+  EXPECT_FALSE(two->accepts_streaming);
 }
 
 TEST(MessagePool, WhatOneClientMadeLargeIsNotKept) {
-  MessagePool pool;
+  engine::MessagePool pool;
   auto one = pool.take();
   one->body.assign(60'000, 'x');
   one.reset();
@@ -31,9 +31,9 @@
 }
 
 TEST(MessagePool, AMessageMayOutliveItsPool) {
-  std::shared_ptr<Message> last;
+  std::shared_ptr<engine::Message> last;
   {
-    MessagePool pool;
+    engine::MessagePool pool;
     last = pool.take();
     last->key = "still here, though the pool has gone";
   }
--- a/tests/engine/production_test.cpp
+++ b/tests/engine/production_test.cpp
@@ -5,7 +5,7 @@
 #include "engine/engine_fixture.h"
 #include "engine/scripted_fleet.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr Time kHour = 3'600 * kSecond, kDay = 24 * kHour;
@@ -66,7 +66,7 @@
     for (std::uint64_t key = 0; key < 6; ++key) {
       ask(kRead, 0, 8 * kSecond, key);
       EXPECT_LE(answered_after(silent), kObjective) << silent << ", key " << key;
-      EXPECT_EQ(asker->replies.back().second.kind, Reply::Kind::served);
+      EXPECT_EQ(asker->replies.back().second.kind, engine::Response::Kind::served);
     }
     time.advance(10 * kSecond);
     next_ = fleet.sent.size();
@@ -115,7 +115,7 @@
     end_new(Outcome::served);
   }
   ASSERT_EQ(replies(), before + 12);
-  for (std::size_t i = before; i < replies(); ++i) EXPECT_EQ(reply(i).kind, Reply::Kind::served);
+  for (std::size_t i = before; i < replies(); ++i) EXPECT_EQ(reply(i).kind, engine::Response::Kind::served);
 }
 
 // ---- Attempts that fail at once
@@ -128,8 +128,8 @@
 class FailingAtOnce : public EngineTest, public ::testing::WithParamInterface<int> {
  protected:
   static Failing param() {
-    constexpr std::array outcomes = {Outcome::connect_failed, Outcome::reset, Outcome::full, Outcome::error,
-                                     Outcome::spoilt};
+    constexpr std::array outcomes = {Outcome::connect_failed, Outcome::reset, Outcome::overloaded,
+                                     Outcome::error, Outcome::malformed};
     const auto number = static_cast<std::size_t>(GetParam());
     return {static_cast<Class>(number / outcomes.size()), outcomes.at(number % outcomes.size())};
   }
@@ -151,7 +151,7 @@
     time.advance(kMs);
   }
   EXPECT_EQ(replies(), 1U);
-  EXPECT_NE(reply().kind, Reply::Kind::served);
+  EXPECT_NE(reply().kind, engine::Response::Kind::served);
   EXPECT_GE(fleet.sent.size(), 1U);
   EXPECT_EQ(engine->counts().deadline_guards, 0U);
 }
@@ -175,7 +175,7 @@
 TEST_F(EngineTest, ARepeatLeavesALongestHoldUpToTheEndOfItsWindow) {
   constexpr Time kHoldUp = 150 * kMs;
   for (const Time window : {1'500 * kMs, 5 * kSecond}) {
-    build([&](Config& config) { config.classes[kSave].window = window; });
+    build([&](Config& config) { config.classes[kSave].idempotency_window = window; });
     fleet.sent.clear();
     const Time first = time.now();
     ask(kSave);
@@ -192,7 +192,7 @@
  protected:
   Scripted() { engine.reset(); }
   ~Scripted() override { engine.reset(); }
-  void build_scripted(std::vector<Trouble> troubles, const EndpointList& known) {
+  void build_scripted(std::vector<Trouble> troubles, const engine::EndpointList& known) {
     scripted_ = std::make_unique<ScriptedFleet>(time, 11, std::move(troubles));
     build_on(*scripted_, known);
     scripted_->report_to(*engine);
@@ -254,24 +254,24 @@
         changes.emplace_back("c-" + std::to_string(leaves - 1), Phase::gone);
         changes.emplace_back("new-" + std::to_string(leaves - 1), Phase::ready);
       }
-      EndpointList news = list(++revision, false, changes);
-      for (ListedEndpoint& one : news.members)
+      engine::EndpointList news = list(++revision, false, changes);
+      for (engine::ListedEndpoint& one : news.members)
         if (one.id.starts_with("new-")) one.member.started = time.now();
       engine->on_endpoint_list(news);
     }
-    const Counters before = engine->counts();
+    const engine::Counters before = engine->counts();
     for (std::uint64_t i = 0; i < 2; ++i) {
       ask(kRead, 0, 8 * kSecond, (static_cast<std::uint64_t>(tenth) * 2 + i) % 150 * 0x9e3779b97f4a7c15U);
       time.advance(50 * kMs);
     }
-    const Counters& after = engine->counts();
+    const engine::Counters& after = engine->counts();
     slots.push_back(
         {after.requests - before.requests, after.refused - before.refused, after.attempts - before.attempts});
   }
   EXPECT_EQ(windows_that_reject_all(slots), 0U);
-  const Counters& all = engine->counts();
+  const engine::Counters& all = engine->counts();
   EXPECT_LT(all.refused * 20, all.requests);  // and hardly any is, at any time
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/scripted_fleet.h
+++ b/tests/engine/scripted_fleet.h
@@ -6,7 +6,7 @@
 
 #include "engine/hand_driven.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 struct Trouble {
   enum class Kind : std::uint8_t { stall, reset, spoilt, full, refused, flush, slow } kind;
@@ -15,7 +15,7 @@
   int per_thousand = 1'000;
 };
 
-class ScriptedFleet final : public Transports {
+class ScriptedFleet final : public engine::UpstreamFactory {
  public:
   ScriptedFleet(HandDriven& time, std::uint64_t seed, std::vector<Trouble> troubles)
       : time_(time),
@@ -23,8 +23,8 @@
         start_(time.now()),
         troubles_(std::move(troubles)),
         timer_(time.timer([this] { play(); })) {}
-  void report_to(AttemptObserver& outcomes) { outcomes_ = &outcomes; }
-  std::unique_ptr<Transport> make(const std::string& name, std::uint32_t kind) override {
+  void report_to(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
+  std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override {
     return std::make_unique<Server>(*this, name, kind == 1);
   }
   bool at_rest() const { return out_.empty(); }
@@ -39,23 +39,26 @@
   struct Event {
     Time at;
     std::uint64_t number;
-    AttemptId attempt;
+    engine::AttemptId attempt;
     Outcome outcome;
     std::string body;
     bool operator>(const Event& other) const {
       return std::tie(at, number) > std::tie(other.at, other.number);
     }
   };
-  struct Server final : Transport {
+  struct Server final : engine::Upstream {
     Server(ScriptedFleet& owner, std::string name, bool origin)
         : owner_(owner), name_(std::move(name)), origin_(origin) {}
     void set_address(const std::string&) override {}
-    void send(AttemptId attempt, std::shared_ptr<const Message> message, Time, Time) override {
-      if (owner_.time_.now() >= nothing_from_) return owner_.later(1, attempt, Outcome::not_sent, {});
+    void send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time,
+              Time) override {
+      if (owner_.time_.now() >= sending_stops_at_) return owner_.later(1, attempt, Outcome::not_sent, {});
       owner_.sent(name_, origin_, attempt, *message);
     }
-    bool cancel_unsent(AttemptId) override { return false; }
-    void forget(AttemptId attempt, Forget) override { owner_.out_.erase({attempt.request, attempt.number}); }
+    bool cancel_unsent(engine::AttemptId) override { return false; }
+    void cancel(engine::AttemptId attempt, engine::CancelReason) override {
+      owner_.out_.erase({attempt.request, attempt.number});
+    }
     void close_idle(Time) override {}
     bool close_oldest_idle() override { return false; }
     ScriptedFleet& owner_;
@@ -73,13 +76,14 @@
                mix(std::hash<std::string>{}(server) + 3 * std::hash<std::string>{}(key) + turn * 7919));
   }
 
-  void sent(const std::string& server, bool origin, AttemptId attempt, const Message& message) {
+  void sent(const std::string& server, bool origin, engine::AttemptId attempt,
+            const engine::Message& message) {
     const Time since = time_.now() - start_;
     ++requests[server];
     last_send[server] = since;
     const std::uint64_t turn = ++asked[{server, message.key}];
     const std::uint64_t luck = draw(server, message.key, turn);
-    const bool write = is_write(message.operation);
+    const bool write = engine::is_write(message.operation);
     Outcome outcome = Outcome::served;
     Time takes = 1'000 + static_cast<Time>(luck % 4'000) * (origin ? 6 : 1);
     Time& filled = filled_[{server, message.key}];
@@ -96,17 +100,17 @@
         case Trouble::Kind::stall: takes += trouble.to - since; break;
         case Trouble::Kind::slow: takes *= 20; break;
         case Trouble::Kind::reset: outcome = Outcome::reset; break;
-        case Trouble::Kind::spoilt: outcome = Outcome::spoilt; break;
-        case Trouble::Kind::full: outcome = Outcome::full; break;
+        case Trouble::Kind::spoilt: outcome = Outcome::malformed; break;
+        case Trouble::Kind::full: outcome = Outcome::overloaded; break;
         case Trouble::Kind::refused: outcome = Outcome::connect_failed; break;
         case Trouble::Kind::flush: outcome = write ? outcome : Outcome::miss; break;
       }
     }
-    if (write && outcome != Outcome::full && outcome != Outcome::connect_failed)
-      ++saves[message.idempotency_key.empty() ? message.txn : message.idempotency_key];
+    if (write && outcome != Outcome::overloaded && outcome != Outcome::connect_failed)
+      ++saves[message.idempotency_key.empty() ? message.transaction_id : message.idempotency_key];
     later(takes, attempt, outcome, outcome == Outcome::served ? "value of " + message.key : "");
   }
-  void later(Time by, AttemptId attempt, Outcome outcome, std::string body) {
+  void later(Time by, engine::AttemptId attempt, Outcome outcome, std::string body) {
     out_.emplace(attempt.request, attempt.number);
     events_.push({time_.now() + by, ++number_, attempt, outcome, std::move(body)});
     timer_->set(events_.top().at);
@@ -116,7 +120,7 @@
       const Event event = events_.top();
       events_.pop();
       if (out_.erase({event.attempt.request, event.attempt.number}) == 0) continue;  // forgotten
-      Answer answer;
+      engine::Answer answer;
       answer.body = event.body;
       outcomes_->on_attempt_ended(event.attempt, event.outcome, std::move(answer));
     }
@@ -127,12 +131,12 @@
   std::uint64_t seed_;
   Time start_;
   std::vector<Trouble> troubles_;
-  AttemptObserver* outcomes_ = nullptr;
+  engine::AttemptObserver* outcomes_ = nullptr;
   std::set<std::pair<RequestId, std::uint32_t>> out_;
   std::map<std::pair<std::string, std::string>, Time> filled_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::uint64_t number_ = 0;
-  std::unique_ptr<Timer> timer_;
+  std::unique_ptr<engine::Timer> timer_;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/engine/server_starts_test.cpp
+++ b/tests/engine/server_starts_test.cpp
@@ -5,16 +5,16 @@
 
 #include "engine/hand_driven.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr Time kSecond = 1'000'000, kHour = 3'600 * kSecond;
 
-EndpointList list_of(std::vector<std::pair<std::string, Time>> servers, bool complete = false) {
-  EndpointList out;
+engine::EndpointList list_of(std::vector<std::pair<std::string, Time>> servers, bool complete = false) {
+  engine::EndpointList out;
   out.complete = complete;
   for (const auto& [id, started] : servers) {
-    ListedEndpoint listed{id, "127.0.0.1:1", {}};
+    engine::ListedEndpoint listed{id, "127.0.0.1:1", {}};
     listed.member.started = started;
     out.members.push_back(listed);
   }
@@ -25,7 +25,7 @@
 struct ServerStartsTest : ::testing::TestWithParam<Time> {
   ServerStartsTest() {
     const Time long_ago = time.wall_time() - kHour;
-    const EndpointList known = list_of({{"a", long_ago}, {"b", long_ago}, {"c", long_ago}}, true);
+    const engine::EndpointList known = list_of({{"a", long_ago}, {"b", long_ago}, {"c", long_ago}}, true);
     starts.known_at_start(known);
     starts.on_endpoint_list(known);
     time.advance(60 * kSecond);
@@ -34,7 +34,7 @@
   Time age_of(const std::string& id) { return time.now() - starts.start_of(id); }
 
   HandDriven time;
-  ServerStarts starts{time};
+  engine::ServerStarts starts{time};
 };
 using ServerStartsSteps = ServerStartsTest;
 
@@ -72,7 +72,7 @@
 }
 
 TEST_F(ServerStartsTest, AServerThatGoesAndComesBackUnderTheSameStartKeepsItsDate) {
-  EndpointList gone = list_of({{"a", 0}});
+  engine::EndpointList gone = list_of({{"a", 0}});
   gone.members[0].member.phase = Phase::gone;
   starts.on_endpoint_list(gone);
   time.advance(10 * kSecond);
@@ -91,14 +91,14 @@
 TEST_F(ServerStartsTest, ServersThatComeAndGoAllDayAreForgotten) {
   const Time started = time.wall_time();
   tell("first", started);
-  EndpointList gone = list_of({{"first", started}});
+  engine::EndpointList gone = list_of({{"first", started}});
   gone.members[0].member.phase = Phase::gone;
   starts.on_endpoint_list(gone);
   EXPECT_EQ(starts.start_of("first"), started);
-  for (std::size_t i = 0; i <= ServerStarts::kMaxGone; ++i) {
+  for (std::size_t i = 0; i <= engine::ServerStarts::kMaxGone; ++i) {
     const std::string id = "s-" + std::to_string(i);
     tell(id, started);
-    EndpointList list = list_of({{id, started}});
+    engine::EndpointList list = list_of({{id, started}});
     list.members[0].member.phase = Phase::gone;
     starts.on_endpoint_list(list);
   }
@@ -118,7 +118,7 @@
 // Two readings of two clocks differ by some microseconds.
 TEST_P(ServerStartsSteps, AReadingJustAheadOfOursIsOfThisMoment) {
   time.step_wall_clock(GetParam());
-  for (const Time ahead : {Time{0}, Time{1}, WallClockHistory::kLeastStep})
+  for (const Time ahead : {Time{0}, Time{1}, engine::WallClockHistory::kLeastStep})
     EXPECT_EQ(starts.start_at(time.wall_time() + ahead), time.now());
 }
 
@@ -169,9 +169,9 @@
 TEST_P(ServerStartsSteps, AStepBeforeTheStartTakesNoNewServerForWarm) {
   const Time before_the_step = time.wall_time();
   time.step_wall_clock(GetParam());
-  ServerStarts fresh(time);
+  engine::ServerStarts fresh(time);
   const Time after_the_step = time.wall_time();
-  const EndpointList known = list_of({{"a", 0}, {"after", after_the_step}}, true);
+  const engine::EndpointList known = list_of({{"a", 0}, {"after", after_the_step}}, true);
   fresh.known_at_start(known);
   fresh.on_endpoint_list(known);
   EXPECT_EQ(time.now() - fresh.start_of("after"), 0);
@@ -200,4 +200,4 @@
                          });
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/faults/faulty_router.h
+++ b/tests/faults/faulty_router.h
@@ -21,7 +21,7 @@
 #include "faults/fault_counts.h"
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 /// What fails in a router's process.
 struct FaultPlan {
@@ -175,25 +175,25 @@
   }
 
   /// An address for a router. It stays bound here, without listening: nobody else is given its port.
-  tcp::endpoint free_address() {
-    tcp::acceptor& bound = reserved_.emplace_back(io);
-    bound.open(tcp::v4());
-    bound.set_option(tcp::acceptor::reuse_address(true));
+  net::tcp::endpoint free_address() {
+    net::tcp::acceptor& bound = reserved_.emplace_back(io);
+    bound.open(net::tcp::v4());
+    bound.set_option(net::tcp::acceptor::reuse_address(true));
     bound.bind(any_port());
     return bound.local_endpoint();
   }
   nlohmann::json members() const {
     return list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}});
   }
-  nlohmann::json config(const tcp::endpoint& listen) const {
+  nlohmann::json config(const net::tcp::endpoint& listen) const {
     nlohmann::json out = config_json(text_of(discovery.local_endpoint()), members());
     out["listen"] = text_of(listen);
     return out;
   }
   /// Whether GET /up on a new connection is answered with 200. Waits for it no longer than a moment.
-  bool is_up(const tcp::endpoint& address) {
-    tcp::socket probe(io);
-    error_code error;
+  bool is_up(const net::tcp::endpoint& address) {
+    net::tcp::socket probe(io);
+    net::error_code error;
     probe.connect(address, error);
     if (error) return false;
     FakeClient client(std::move(probe));
@@ -203,7 +203,7 @@
       quiet(5);
     return !client.answers.empty() && client.status() == 200;
   }
-  [[nodiscard]] bool becomes_ready(FaultyRouter& router, const tcp::endpoint& address) {
+  [[nodiscard]] bool becomes_ready(FaultyRouter& router, const net::tcp::endpoint& address) {
     return wait_for([&] { return router.ended() || is_up(address); }) && !router.ended();
   }
   [[nodiscard]] bool ends(FaultyRouter& router) {
@@ -213,7 +213,7 @@
  private:
   /// Whoever watches is told the list and then signs of life.
   void accept_watches() {
-    discovery.async_accept([this](error_code error, tcp::socket socket) {
+    discovery.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (error) return;
       watches_.push_back(std::make_shared<Peer>(std::move(socket)));
       const auto watch = watches_.back();
@@ -228,7 +228,7 @@
   }
   void keep_watches() {
     alive_.expires_after(std::chrono::seconds(1));
-    alive_.async_wait([this](error_code cancelled) {
+    alive_.async_wait([this](net::error_code cancelled) {
       if (cancelled) return;
       for (const auto& watch : watches_) watch->write("1\r\n\n\r\n");
       keep_watches();
@@ -236,8 +236,8 @@
   }
 
   asio::steady_timer alive_{io};
-  std::vector<tcp::acceptor> reserved_;
+  std::vector<net::tcp::acceptor> reserved_;
   std::vector<std::shared_ptr<Peer>> watches_;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/faults/fleet_test.cpp
+++ b/tests/faults/fleet_test.cpp
@@ -1,7 +1,7 @@
 // The fleet's datagrams while calls on their sockets fail: the view settles, and nothing spins.
 #include "faults/faulty_router.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using faults::Call;
@@ -11,7 +11,7 @@
   static constexpr std::size_t kRouters = 3;
 
   struct Member {
-    tcp::endpoint listen, management;
+    net::tcp::endpoint listen, management;
     std::unique_ptr<FaultyRouter> process;
   };
 
@@ -39,8 +39,8 @@
   }
   /// How many routers a router knows to be alive, itself among them; 0: it can't be asked.
   std::size_t alive_at(const Member& member) {
-    tcp::socket socket(io);
-    error_code error;
+    net::tcp::socket socket(io);
+    net::error_code error;
     socket.connect(member.management, error);
     if (error) return 0;
     asio::write(socket, asio::buffer(std::string("FLEET\n")), error);
@@ -114,4 +114,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
