--- a/tests/faults/load_test.cpp
+++ b/tests/faults/load_test.cpp
@@ -4,7 +4,7 @@
 
 #include "faults/faulty_router.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using faults::Call;
@@ -32,7 +32,8 @@
 /// with no answer is sent again on a new connection.
 class LoadClient {
  public:
-  LoadClient(asio::io_context& io, const tcp::endpoint& to, std::vector<std::string> requests, Tally& tally)
+  LoadClient(asio::io_context& io, const net::tcp::endpoint& to, std::vector<std::string> requests,
+             Tally& tally)
       : io_(io), to_(to), requests_(std::move(requests)), tally_(tally), pause_(io) {
     connect();
   }
@@ -53,8 +54,8 @@
   void connect() {
     answered_here_ = 0;
     got_.clear();
-    socket_ = std::make_unique<tcp::socket>(io_);
-    socket_->async_connect(to_, [this, alive = alive_](error_code error) {
+    socket_ = std::make_unique<net::tcp::socket>(io_);
+    socket_->async_connect(to_, [this, alive = alive_](net::error_code error) {
       if (!*alive) return;
       if (!error) return ask();
       ++tally_.not_connected;
@@ -67,7 +68,7 @@
   }
   void connect_later() {
     pause_.expires_after(kPause);
-    pause_.async_wait([this, alive = alive_](error_code cancelled) {
+    pause_.async_wait([this, alive = alive_](net::error_code cancelled) {
       if (!cancelled && *alive) connect();
     });
   }
@@ -81,14 +82,16 @@
     read();
   }
   void read() {
-    socket_->async_read_some(asio::buffer(chunk_), [this, alive = alive_](error_code error, std::size_t got) {
-      if (!*alive) return;
-      got_.append(chunk_.data(), got);
-      if (const std::string answer = take_message(got_); !answer.empty()) return answered(answer);
-      if (!error) return read();
-      ++(answered_here_ == 0 ? tally_.unread : tally_.crossed);
-      connect_later();
-    });
+    socket_->async_read_some(asio::buffer(chunk_),
+                             [this, alive = alive_](net::error_code error, std::size_t got) {
+                               if (!*alive) return;
+                               got_.append(chunk_.data(), got);
+                               if (const std::string answer = take_message(got_); !answer.empty())
+                                 return answered(answer);
+                               if (!error) return read();
+                               ++(answered_here_ == 0 ? tally_.unread : tally_.crossed);
+                               connect_later();
+                             });
   }
   void answered(const std::string& answer) {
     tally_.count(std::stoi(answer.substr(9, 3)));
@@ -99,10 +102,10 @@
   }
 
   asio::io_context& io_;
-  tcp::endpoint to_;
+  net::tcp::endpoint to_;
   std::vector<std::string> requests_;
   Tally& tally_;
-  std::unique_ptr<tcp::socket> socket_;
+  std::unique_ptr<net::tcp::socket> socket_;
   asio::steady_timer pause_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::array<char, 4096> chunk_{};
@@ -111,7 +114,7 @@
   std::size_t answered_here_ = 0;
   bool is_end_expected_ = false;
   bool is_done_ = false;
-  error_code ignored_;
+  net::error_code ignored_;
 };
 
 /// Of ten requests seven are reads, two saves with a key, one is a write that must not run twice.
@@ -177,7 +180,7 @@
     std::multiset<std::string> ran;
     for (const std::string& request : origin.requests)
       if (request.rfind("PUT /pay/", 0) == 0) ran.insert(request.substr(request.find("X-Txn: "), 23));
-    for (const std::string& txn : ran) EXPECT_EQ(ran.count(txn), 1U) << txn;
+    for (const std::string& transaction_id : ran) EXPECT_EQ(ran.count(transaction_id), 1U) << transaction_id;
   }
   void report(const std::string& what) {
     const std::uint64_t asked = router_->summed("asked").value_or(0) + router_->summed("shed").value_or(0);
@@ -214,7 +217,7 @@
     clients_.clear();
   }
 
-  tcp::endpoint address_;
+  net::tcp::endpoint address_;
   Tally tally_;
   std::unique_ptr<FaultyRouter> router_;
   std::vector<std::unique_ptr<LoadClient>> clients_;
@@ -309,4 +312,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -1,7 +1,7 @@
 // A router's start while system calls fail: what may pass is tried again, what can't ends the process.
 #include "faults/faulty_router.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using faults::Call;
@@ -25,9 +25,9 @@
   std::uint64_t faulted = 0;
   for (std::uint64_t first = 1; first <= kRouters; first += kAtOnce) {
     const auto began = std::chrono::steady_clock::now();
-    std::vector<std::pair<std::unique_ptr<FaultyRouter>, tcp::endpoint>> routers;
+    std::vector<std::pair<std::unique_ptr<FaultyRouter>, net::tcp::endpoint>> routers;
     for (std::uint64_t seed = first; seed < first + kAtOnce; ++seed) {
-      const tcp::endpoint address = free_address();
+      const net::tcp::endpoint address = free_address();
       routers.emplace_back(
           std::make_unique<FaultyRouter>(
               std::to_string(seed), config(address),
@@ -53,7 +53,7 @@
        {"loop/1x2:EMFILE", "loop/1x2:ENFILE", "loop/1x2:ENOMEM", "socket/1x4:EMFILE", "socket/1x4:ENFILE",
         "socket/1x4:ENOBUFS", "socket/1x4:ENOMEM", "bind/1x4:EAGAIN", "bind/1x4:ENOBUFS", "bind/1x4:ENOMEM",
         "listen/1x4:ENOBUFS", "watch/1x4:ENOMEM", "watch/1x4:ENOSPC", "connect/1x4:ENETUNREACH"}) {
-    const tcp::endpoint address = free_address();
+    const net::tcp::endpoint address = free_address();
     FaultyRouter router("moment", config(address), {fault});
     EXPECT_TRUE(becomes_ready(router, address)) << fault << "\n" << router.log();
     EXPECT_GE(router.counts().all_faults(), 1U) << fault;
@@ -64,7 +64,7 @@
 }
 
 TEST_F(RouterUnderFaults, AnAddressThatCannotBeHadEndsTheProcessAtOnceWithItsReason) {
-  const tcp::endpoint address = free_address();
+  const net::tcp::endpoint address = free_address();
   for (const auto& [fault, reason] :
        {std::pair("bind/1:EADDRINUSE", "Address already in use"),
         std::pair("bind/1:EADDRNOTAVAIL", "Cannot assign requested address"),
@@ -74,14 +74,14 @@
     EXPECT_TRUE(ended_for(router, 1, "listen on " + text_of(address) + ": " + reason)) << fault;
   }
   // And with no fault at all, on an address that is taken.
-  const tcp::acceptor taken(io, any_port());
+  const net::tcp::acceptor taken(io, any_port());
   FaultyRouter router("taken", config(taken.local_endpoint()), {""});
   ASSERT_TRUE(ends(router));
   EXPECT_TRUE(ended_for(router, 1, "Address already in use"));
 }
 
 TEST_F(RouterUnderFaults, AnAddressThatIsTakenBetweenTwoAttemptsEndsTheProcess) {
-  const tcp::acceptor taken(io, any_port());
+  const net::tcp::acceptor taken(io, any_port());
   FaultyRouter router("late", config(taken.local_endpoint()), {"socket/1x3:EMFILE"});
   ASSERT_TRUE(ends(router));
   EXPECT_TRUE(ended_for(router, 1, "Address already in use"));
@@ -98,13 +98,13 @@
 }
 
 TEST_F(RouterUnderFaults, AManagementAddressIsTriedAgainAndSaysServingOnceClientsCanCome) {
-  const tcp::endpoint address = free_address();
-  const tcp::endpoint management = free_address();
+  const net::tcp::endpoint address = free_address();
+  const net::tcp::endpoint management = free_address();
   FaultyRouter router("health", config(address), {"bind/1x7:ENOBUFS"},
                       {{"NODE_MANAGEMENT", text_of(management)}});
   const auto health = [&] {
-    tcp::socket socket(io);
-    error_code error;
+    net::tcp::socket socket(io);
+    net::error_code error;
     socket.connect(management, error);
     if (error) return std::string();
     asio::write(socket, asio::buffer(std::string("HEALTH\n")), error);
@@ -123,7 +123,7 @@
 
 // The process before holds the listening socket too; requests wait in its queue.
 TEST_F(RouterUnderFaults, APassedSocketThatFailsForAMomentIsTriedAgain) {
-  tcp::acceptor door(io, any_port());
+  net::tcp::acceptor door(io, any_port());
   const int kept = ::dup(3);  // what the test itself has there
   ASSERT_EQ(::dup2(door.native_handle(), 3), 3);
   ::fcntl(3, F_SETFD, 0);
@@ -136,12 +136,12 @@
 }
 
 TEST_F(RouterUnderFaults, ADiscoveryThatIsMovedWhileSocketsFailIsWatched) {
-  const tcp::endpoint address = free_address();
+  const net::tcp::endpoint address = free_address();
   FaultyRouter router("reload", config(address), {"socket/1:EMFILE", 1, "", false});
   ASSERT_TRUE(becomes_ready(router, address)) << router.log();
-  tcp::acceptor next(io, any_port());
+  net::tcp::acceptor next(io, any_port());
   bool is_watched = false;
-  next.async_accept([&](error_code error, tcp::socket) { is_watched = !error; });
+  next.async_accept([&](net::error_code error, net::tcp::socket) { is_watched = !error; });
   nlohmann::json moved = config(address);
   moved["discovery"] = text_of(next.local_endpoint());
   router.configure(moved);
@@ -154,4 +154,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/faults/wait_test.cpp
+++ b/tests/faults/wait_test.cpp
@@ -1,7 +1,7 @@
 // Waits and accepts that fail: nothing spins, and nothing waits for an event that does not come.
 #include "faults/faulty_router.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using faults::Call;
@@ -24,7 +24,7 @@
   }
   std::uint64_t calls(Call call) { return router_->counts().calls(call); }
 
-  tcp::endpoint address_;
+  net::tcp::endpoint address_;
   std::unique_ptr<FaultyRouter> router_;
 };
 
@@ -195,4 +195,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -7,7 +7,7 @@
 #include "engine/hand_driven.h"
 #include "shares/wire.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using fleet::Limits;
@@ -47,14 +47,14 @@
 Shares told;
 int changes = 0, said = 0;
 std::unique_ptr<Limits> limits;
-};  // namespace streampick::node::test
+};  // namespace streampick::test
 
 TEST(FleetLimits, UntilItBeginsNothingOfAHardLimitIsUsedAndAnEvenPartOfASoftOne) {
   Alone router(1, 16);
-  EXPECT_EQ(router.told.origin_floor, 0);
+  EXPECT_EQ(router.told.origin_reserved, 0);
   EXPECT_EQ(router.told.quotas, std::vector<double>{25});  // of four, as the settings say
   router.limits->begin();
-  EXPECT_EQ(router.told.origin_floor, 1);  // of sixteen a quarter needs no lease
+  EXPECT_EQ(router.told.origin_reserved, 1);  // of sixteen a quarter needs no lease
 }
 
 TEST(FleetLimits, WhatIsAskedAndWhatWaitsIsClaimed) {
@@ -70,10 +70,10 @@
   EXPECT_NEAR(router.told.quotas[0], 50 * 1.1 + 2, 1.5);
   EXPECT_NEAR(router.told.quotas[1], 2, 0.5);
   EXPECT_EQ(router.told.origin_leased, 8);  // nine, of which the floor is one
-  EXPECT_GT(router.told.origin_until, router.time.now());
+  EXPECT_GT(router.told.origin_lease_end, router.time.now());
   // A lease that nobody renews is compared with the clock by the module itself: it is told of nothing.
   router.limits->leave(true);
-  EXPECT_EQ(router.told.origin_floor + router.told.origin_leased, 0);
+  EXPECT_EQ(router.told.origin_reserved + router.told.origin_leased, 0);
 }
 
 TEST(FleetLimits, OneThatGoesOnByItselfKeepsItsFloorsAndEvenParts) {
@@ -81,11 +81,11 @@
   router.limits->begin();
   router.time.advance(20 * kSecond);
   router.limits->leave(false);
-  EXPECT_EQ(router.told.origin_floor, 1);
+  EXPECT_EQ(router.told.origin_reserved, 1);
   EXPECT_EQ(router.told.origin_leased, 0);
   EXPECT_EQ(router.told.quotas, std::vector<double>{100});  // the view has one router
   router.limits->leave(true);
-  EXPECT_EQ(router.told.origin_floor, 0);
+  EXPECT_EQ(router.told.origin_reserved, 0);
 }
 
 // Of more tenants than may be told those beyond keep their even part.
@@ -128,4 +128,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -17,7 +17,7 @@
 #include "testbed/stream_relay.h"
 #include "testbed/views.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using namespace membership;
@@ -169,7 +169,8 @@
 
 // At SIGHUP as at the start: what may be out for longer than homes reckon with is turned down.
 TEST(ShareOptions, AClassThatLastsLongerThanWorkIsTurnedDown) {
-  NodeSettings settings = parse_settings(config_json("127.0.0.1:9", list_json(1, true, {})).dump());
+  platform::NodeSettings settings =
+      platform::parse_settings(config_json("127.0.0.1:9", list_json(1, true, {})).dump());
   fleet::ShareOptions options;
   options.on = true;
   for (const RequestClass& kind : settings.settings.config.classes)
@@ -265,8 +266,8 @@
   testbed::Faults faults(2, 1);
   testbed::StreamRelay relay(io, faults, 0, 1, server.endpoint());
   const auto connect = [&] {
-    tcp::socket socket(io);
-    socket.connect(*parse_endpoint(relay.address()));
+    net::tcp::socket socket(io);
+    socket.connect(*net::parse_endpoint(relay.address()));
     auto peer = std::make_shared<Peer>(std::move(socket));
     peer->read([](Peer&) {});
     return peer;
@@ -467,18 +468,18 @@
     config["name"] = "n1";
     config["settings"]["Balancers"] = 12;
     config["settings"]["PolicyLimits"]["PeerMessages"] = true;
-    Options options =
-        parse_options("[fleet]\nlisten = \"" + own + "\"\nperiod_ms = 50\nhold_ms = 0\n" + also, "o.toml");
-    settings = parse_settings(config.dump());
-    resolve(options, settings);
+    platform::Options options = platform::parse_options(
+        "[fleet]\nlisten = \"" + own + "\"\nperiod_ms = 50\nhold_ms = 0\n" + also, "o.toml");
+    settings = platform::parse_settings(config.dump());
+    platform::resolve(options, settings);
     fleet::resolve(options.fleet, settings, options.file);
-    host = std::make_unique<Host>(io, clock, settings, options);
+    host = std::make_unique<daemon::Host>(io, clock, settings, options);
   }
   nlohmann::json view() {
     const std::string text = host->operators().answer({management::Command::Kind::fleet});
     return nlohmann::json::parse(text.substr(0, text.find('\n')));
   }
-  bool reload() { return host->reload(parse_settings(config.dump())); }
+  bool reload() { return host->reload(platform::parse_settings(config.dump())); }
   nlohmann::json config;
   int writes = 0;
 };
@@ -556,7 +557,7 @@
   const auto heard = [&] {
     std::array<char, 1'500> buffer{};
     udp::endpoint from;
-    error_code error;
+    net::error_code error;
     return peer.receive_from(asio::buffer(buffer), from, 0, error) > 0 && !error;
   };
   write("nowhere\n");  // the old addresses stay, and it goes on
@@ -566,4 +567,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/grpc/route_test.cpp
+++ b/tests/grpc/route_test.cpp
@@ -128,16 +128,16 @@
   };
   EXPECT_EQ(code({.status = Status::served}), StatusCode::OK);
   EXPECT_EQ(code({.status = Status::failed, .late = true}), StatusCode::DEADLINE_EXCEEDED);
-  EXPECT_EQ(code({.status = Status::absent}), StatusCode::NOT_FOUND);
+  EXPECT_EQ(code({.status = Status::not_found}), StatusCode::NOT_FOUND);
   EXPECT_EQ(code({.status = Status::failed}), StatusCode::UNKNOWN);
-  EXPECT_EQ(code({.status = Status::withdrawn}, true), StatusCode::CANCELLED);
-  EXPECT_EQ(code({.status = Status::withdrawn}), StatusCode::UNAVAILABLE);
+  EXPECT_EQ(code({.status = Status::cancelled}, true), StatusCode::CANCELLED);
+  EXPECT_EQ(code({.status = Status::cancelled}), StatusCode::UNAVAILABLE);
   EXPECT_EQ(code({.status = Status::invalid}), StatusCode::INVALID_ARGUMENT);
-  const Answer refused = answer_of({.status = Status::refused, .retry_after = 1'200us}, false);
+  const Answer refused = answer_of({.status = Status::rejected, .retry_after = 1'200us}, false);
   EXPECT_EQ(refused.status.error_code(), StatusCode::UNAVAILABLE);
   ASSERT_EQ(refused.trailing.size(), 1U);
   EXPECT_EQ(refused.trailing[0], std::make_pair(std::string("grpc-retry-pushback-ms"), std::string("2")));
-  EXPECT_EQ(answer_of({.status = Status::refused, .retry_after = 1'200us}, false, true).status.error_code(),
+  EXPECT_EQ(answer_of({.status = Status::rejected, .retry_after = 1'200us}, false, true).status.error_code(),
             StatusCode::DEADLINE_EXCEEDED);
   const Answer torn = answer_of({.status = Status::failed, .may_have_run = true}, false);
   ASSERT_EQ(torn.trailing.size(), 1U);
--- a/tests/grpc/stubs_test.cpp
+++ b/tests/grpc/stubs_test.cpp
@@ -141,7 +141,7 @@
   });
   EXPECT_EQ(stub->ReadTile(&context, tile(1), &response).error_code(), StatusCode::CANCELLED);
   other.join();
-  EXPECT_EQ(client->counts().withdrawn, 1U);
+  EXPECT_EQ(client->counts().cancelled, 1U);
 }
 
 TEST_F(GrpcStubs, WhatIsCancelledBeforeItBeginsSendsNothing) {
@@ -158,7 +158,7 @@
   EXPECT_GT(std::atoi(trailing(context, "grpc-retry-pushback-ms").c_str()), 0);
   client->drain(1s);
   EXPECT_EQ(read(2).error_code(), StatusCode::UNAVAILABLE);
-  EXPECT_EQ(client->counts().withdrawn, 1U);
+  EXPECT_EQ(client->counts().cancelled, 1U);
 }
 
 TEST_F(GrpcStubs, WhatCanNotBeAKeyOrATenantIsAnInvalidArgument) {
@@ -257,7 +257,8 @@
   EXPECT_EQ(all, kThreads * kEach);
   const ClientCounts counts = client->counts();
   EXPECT_EQ(counts.open, 0U);
-  EXPECT_EQ(counts.calls, counts.served + counts.refused + counts.failed + counts.withdrawn + counts.invalid);
+  EXPECT_EQ(counts.calls,
+            counts.served + counts.rejected + counts.failed + counts.cancelled + counts.invalid);
   EXPECT_EQ(counts.served, static_cast<std::uint64_t>(codes[StatusCode::OK]));
   EXPECT_GT(codes[StatusCode::OK], kThreads * kEach / 3);
 }
--- a/tests/http1/accounting_test.cpp
+++ b/tests/http1/accounting_test.cpp
@@ -2,7 +2,7 @@
 #include "http1/one_server.h"
 #include "raw_client.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 // Resets, breaks off, spoils, turns away and stays silent, in turn with good answers.
@@ -13,7 +13,7 @@
 
  private:
   void accept() {
-    acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    acceptor_.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (error) return;
       peers_.push_back(std::make_shared<Peer>(std::move(socket)));
       peers_.back()->read([this](Peer& peer) {
@@ -34,11 +34,11 @@
     }
   }
   static void reset(Peer& peer) {
-    error_code ignored;
+    net::error_code ignored;
     peer.socket.set_option(asio::socket_base::linger(true, 0), ignored);
     peer.close();
   }
-  tcp::acceptor acceptor_;
+  net::tcp::acceptor acceptor_;
   std::vector<std::shared_ptr<Peer>> peers_;
   std::uint64_t requests_ = 0;
 };
@@ -46,7 +46,8 @@
 // Asks for one thing after the other, on a new connection where the router ended the one before.
 class Asking {
  public:
-  Asking(asio::io_context& io, tcp::endpoint to, std::size_t all) : io_(io), to_(std::move(to)), all_(all) {}
+  Asking(asio::io_context& io, net::tcp::endpoint to, std::size_t all)
+      : io_(io), to_(std::move(to)), all_(all) {}
   // Goes on as far as it can; true: all is answered.
   bool go_on() {
     if (client_ && client_->answers.size() > seen_) {
@@ -75,7 +76,7 @@
 
  private:
   asio::io_context& io_;
-  tcp::endpoint to_;
+  net::tcp::endpoint to_;
   std::size_t all_, asked_ = 0, answered_ = 0, unanswered_ = 0, seen_ = 0;
   std::unique_ptr<FakeClient> client_;
   std::string last_;
@@ -93,8 +94,8 @@
             1, true,
             {{"s-1", first.address()}, {"s-2", second.address()}, {"s-o", source.address(), "origin"}}));
     config["limits"]["sockets"] = sockets;
-    settings = parse_settings(config.dump());
-    host = std::make_unique<Host>(io, clock, settings);
+    settings = platform::parse_settings(config.dump());
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   // All are answered, once each; `meanwhile` is done again and again.
   void ask_all(const std::function<void()>& meanwhile) {
@@ -112,7 +113,7 @@
       EXPECT_EQ(one->answered(), kEach);
       EXPECT_EQ(one->unanswered(), 0U);
     }
-    const Counters& counts = host->counts();
+    const engine::Counters& counts = host->counts();
     EXPECT_GE(counts.requests, kClients * kEach);
     EXPECT_EQ(counts.deadline_guards, 0U);
     EXPECT_EQ(counts.requests - counts.cancelled_by_client, counts.served + counts.refused + counts.failed);
@@ -163,4 +164,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/clients_test.cpp
+++ b/tests/http1/clients_test.cpp
@@ -4,7 +4,7 @@
 
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 // ---- Bad input
@@ -314,8 +314,8 @@
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
   config["limits"]["sockets"] = 64;  // at most 22 of them for clients
-  settings = parse_settings(config.dump());
-  host = std::make_unique<Host>(io, clock, settings);
+  settings = platform::parse_settings(config.dump());
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   std::vector<std::unique_ptr<FakeClient>> all;
   for (int i = 0; i < 40; ++i) {
     all.push_back(client());
@@ -362,8 +362,8 @@
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
   config["limits"]["sockets"] = 64;  // at most 22 of them for clients
-  settings = parse_settings(config.dump());
-  host = std::make_unique<Host>(io, clock, settings);
+  settings = platform::parse_settings(config.dump());
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   const auto usual = client();
   usual->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return usual->answers.size() == 1; }));
@@ -390,8 +390,8 @@
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
   config["limits"]["sockets"] = 64;  // at most 22 of them for clients
-  settings = parse_settings(config.dump());
-  host = std::make_unique<Host>(io, clock, settings);
+  settings = platform::parse_settings(config.dump());
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   std::vector<std::unique_ptr<FakeClient>> all, silent;
   for (int i = 0; i < 16; ++i) {
     all.push_back(client());
@@ -408,4 +408,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/crossings_test.cpp
+++ b/tests/http1/crossings_test.cpp
@@ -2,12 +2,12 @@
 // a scripted peer, never waited for.
 #include "http1/one_server.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 class Crossing : public ToOneServer {
  protected:
-  Crossing() { record.dial_time_out = 30'000'000; }
+  Crossing() { record.connect_timeout = 30'000'000; }
   // The n-th request's connection, the server having it.
   Peer& asked(std::size_t n) {
     EXPECT_TRUE(wait_for([&] { return cache.requests.size() == n; }));
@@ -50,7 +50,7 @@
   EXPECT_EQ(&asked(2), &first);
   first.write(response(200, "first again"));
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 2; }));
-  EXPECT_EQ(record.ended[1].second, Outcome::spoilt);
+  EXPECT_EQ(record.ended[1].second, Outcome::malformed);
   EXPECT_TRUE(record.bodies[1].empty());
   EXPECT_EQ(record.connections, 0U);
   send(2);
@@ -161,7 +161,7 @@
   upstream.set_address(full.address());
   send(0);
   quiet(20);
-  upstream.send_nothing_from(clock.now());
+  upstream.stop_sending_at(clock.now());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::not_sent);
   EXPECT_EQ(record.connections, 0U);  // the dial ended with it
@@ -200,4 +200,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/deadline_test.cpp
+++ b/tests/http1/deadline_test.cpp
@@ -5,7 +5,7 @@
 #include "http1/one_server.h"
 #include "raw_client.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using Steady = std::chrono::steady_clock;
@@ -151,7 +151,7 @@
   HalfAHead() {
     forward->target = "/read/" + std::string(8'000'000, 'x');
     upstream.set_address(text_of(slow.local_endpoint()));
-    slow.async_accept(peer, [](error_code) {});
+    slow.async_accept(peer, [](net::error_code) {});
   }
   // Reads on until the end of the head or of the connection; true: the head came whole.
   bool head_comes() {
@@ -160,7 +160,7 @@
     std::string last;
     bool ended = false;
     const bool done = wait_for([&] {
-      error_code error;
+      net::error_code error;
       const std::size_t got = peer.read_some(asio::buffer(chunk), error);
       last =
           last.substr(last.size() - std::min<std::size_t>(last.size(), 3)) + std::string(chunk.data(), got);
@@ -170,8 +170,8 @@
     EXPECT_TRUE(done);
     return !ended;
   }
-  tcp::acceptor slow{io, any_port()};
-  tcp::socket peer{io};
+  net::tcp::acceptor slow{io, any_port()};
+  net::tcp::socket peer{io};
 };
 
 TEST_F(HalfAHead, ThatTheRestFollowsSoonLeavesWhole) {
@@ -200,4 +200,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/ends_test.cpp
+++ b/tests/http1/ends_test.cpp
@@ -2,7 +2,7 @@
 // and what stood unread in the socket, has its answer.
 #include "http1/leaving.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 const std::string kOk = "HTTP/1.1 200 ";
@@ -10,14 +10,14 @@
 class Ends : public Leaving {
  protected:
   // Rests of clients and the number from which there is a crowd, as a test needs them.
-  void start_with(const std::function<void(NodeSettings&)>& change, int sockets = 256) {
+  void start_with(const std::function<void(platform::NodeSettings&)>& change, int sockets = 256) {
     nlohmann::json config =
         config_json(text_of(discovery.local_endpoint()),
                     list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
     config["limits"]["sockets"] = sockets;
-    settings = parse_settings(config.dump());
+    settings = platform::parse_settings(config.dump());
     change(settings);
-    host = std::make_unique<Host>(io, clock, settings);
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   bool has_answers(Raw& one, std::size_t count) {
     return wait_for([&] {
@@ -26,7 +26,7 @@
     });
   }
   std::size_t requests() const { return cache.requests.size() + origin.requests.size(); }
-  void send_clients_away() {
+  void set_draining() {
     host->operators().answer({management::Command::Kind::leave, {}}, [](const std::string&) {});
   }
   // The first server's answer to the request that it has, and then bytes of the client's, both there before
@@ -42,7 +42,8 @@
 
 TEST_F(Ends, ARequestThatComesAsItsConnectionsRestEndsIsServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  start_with([](NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
+  start_with(
+      [](platform::NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(has_answers(one, 1));
@@ -67,14 +68,15 @@
 // One that crosses the end is read and dropped: its client sends it again elsewhere.
 TEST_F(Ends, ARequestThatCrossesTheEndOfARestIsNotSentOn) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  start_with([](NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
+  start_with(
+      [](platform::NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(ended(one));
   one.write(a_read());
   quiet(50);
   one.write(a_read());
-  error_code error;
+  net::error_code error;
   std::array<char, 16> chunk{};
   EXPECT_EQ(one.socket.read_some(asio::buffer(chunk), error), 0U);
   EXPECT_EQ(error, asio::error::eof);  // no reset, which could take an answer with it
@@ -106,7 +108,7 @@
 }
 
 TEST_F(Ends, ARequestThatIsUnreadWhenTheOneBeforeItIsAnsweredIsAnsweredTooInACrowd) {
-  start_with([](NodeSettings& all) { all.overload.crowd = 0.01; });  // of four connections
+  start_with([](platform::NodeSettings& all) { all.overload.crowd = 0.01; });  // of four connections
   // Each on a connection of its own, so that the last one's is known.
   cache.answer = [](const std::string&) { return response(200, "x", "Connection: close\r\n"); };
   std::vector<std::unique_ptr<Raw>> crowd;
@@ -185,7 +187,8 @@
 
 TEST_F(Ends, WhoGivesItsPlaceToOthersHasNoRequestUnread) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  start_with([](NodeSettings& all) { all.overload.crowd = 1; }, 64);  // at most 22 of them for clients
+  start_with([](platform::NodeSettings& all) { all.overload.crowd = 1; },
+             64);  // at most 22 of them for clients
   const std::size_t places =
       host->descriptors().total() - host->descriptors().floor(overload::Descriptors::Side::servers);
   std::vector<std::unique_ptr<Raw>> resting;
@@ -241,7 +244,7 @@
   quiet(20);
   asking.deliver(a_read());  // unread in the kernel's hands
   Raw fresh(io, host->address());
-  send_clients_away();
+  set_draining();
   resting.write(a_read());  // the end is on its way, and not seen yet
   ASSERT_TRUE(ended(resting));
   EXPECT_EQ(resting.end, asio::error::eof);
@@ -343,7 +346,7 @@
   }
   quiet(300);
   EXPECT_EQ(one->answers.size(), answers);
-  const Counters& counts = host->counts();
+  const engine::Counters& counts = host->counts();
   EXPECT_EQ(counts.served + counts.refused + counts.failed, answers);
 }
 
@@ -380,4 +383,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/held_up_test.cpp
+++ b/tests/http1/held_up_test.cpp
@@ -5,7 +5,7 @@
 #include "http1/one_server.h"
 #include "raw_client.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr std::size_t kEnough = 3;  // more reads than the first limit on cache work lets out at one server
@@ -27,7 +27,7 @@
   // What blocks the loop ahead of the engine's timers that fall due while it is not run.
   void block_ahead_of_timers(const std::function<void()>& block) {
     blocker.expires_after(std::chrono::microseconds(0));
-    blocker.async_wait([block](error_code) { block(); });
+    blocker.async_wait([block](net::error_code) { block(); });
   }
   // The client goes while the loop is not run, and the engine's timers fall due.
   void client_goes_and_timers_fall_due(RawClient& one) {
@@ -105,8 +105,8 @@
 }
 
 TEST_P(HeldUp, ARetryWhoseTimerIsDueBesideTheEndIsNotSent) {
-  tcp::acceptor shut(io, any_port());
-  const tcp::endpoint nowhere = shut.local_endpoint();
+  net::tcp::acceptor shut(io, any_port());
+  const net::tcp::endpoint nowhere = shut.local_endpoint();
   shut.close();
   start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", text_of(nowhere), "origin"}}));
   RawClient one(io, host->address());
@@ -116,7 +116,7 @@
   };
   ASSERT_TRUE(wait_for([&] { return failed() == 1; }));
   const std::uint64_t dials = host->links().dials;
-  tcp::acceptor back(io, nowhere);
+  net::tcp::acceptor back(io, nowhere);
   client_goes_and_timers_fall_due(one);
   expect_nothing_more(0);
   EXPECT_EQ(host->links().dials, dials);
@@ -167,8 +167,8 @@
                   list_json(1, true, {{"s-1", full.address()}, {"s-o", origin.address(), "origin"}}));
   config["settings"]["PolicyLimits"]["DialTimeoutUs"] = 20'000'000;
   config["settings"]["PolicyLimits"]["SecondCopies"] = false;
-  settings = parse_settings(config.dump());
-  host = std::make_unique<Host>(io, clock, settings);
+  settings = platform::parse_settings(config.dump());
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   RawClient one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(wait_for([&] { return host->links().dials == 1; }));
@@ -199,11 +199,11 @@
   const std::size_t before = cache.requests.size();
   one.write(a_read());
   if (GetParam().way == RawClient::Way::fin) one.write(std::string(10'000, 'x'));
-  one.socket.shutdown(tcp::socket::shutdown_send);
+  one.socket.shutdown(net::tcp::socket::shutdown_send);
   ::usleep(kHoldUpUs);
   quiet(300);
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), before);
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/leaving.h
+++ b/tests/http1/leaving.h
@@ -9,7 +9,7 @@
 #include "loopback.h"
 #include "raw_client.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 class Leaving : public Loopback {
  protected:
@@ -29,7 +29,7 @@
   void run_before_what_is_due(int milliseconds, std::function<void()> event) {
     asio::steady_timer first(io, std::chrono::steady_clock::time_point{});
     bool ran = false;
-    first.async_wait([&](error_code) {
+    first.async_wait([&](net::error_code) {
       event();
       ran = true;
     });
@@ -44,4 +44,4 @@
   bool done = false;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/leaving_test.cpp
+++ b/tests/http1/leaving_test.cpp
@@ -8,7 +8,7 @@
 
 #include "http1/one_server.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr std::size_t kEnough = 3;  // more reads than the first limit on cache work lets out at one server
@@ -152,7 +152,7 @@
   bool stop = false;
   std::thread flood([&] {
     const std::string much(64 * 1024, 'x');
-    error_code error;
+    net::error_code error;
     while (!stop && !error) asio::write(one.socket, asio::buffer(much), error);
   });
   quiet(50);
@@ -171,8 +171,8 @@
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
   for (auto& profile : config["settings"]["Profiles"]) profile["HardLimitUs"] = 1'000'000;
-  settings = parse_settings(config.dump());
-  host = std::make_unique<Host>(io, clock, settings);
+  settings = platform::parse_settings(config.dump());
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   std::vector<std::unique_ptr<FakeClient>> all;
   const auto ask = [&] {
     all.push_back(client());
@@ -199,7 +199,7 @@
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
-  one.socket.shutdown(tcp::socket::shutdown_send);
+  one.socket.shutdown(net::tcp::socket::shutdown_send);
   ASSERT_TRUE(wait_for([&] { return host->counts().cancelled_by_client == 1; }));
   ASSERT_TRUE(ended(one));
   expect_nothing_more(1);
@@ -245,7 +245,7 @@
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   one.socket.non_blocking(true);
   const std::string much(64 * 1024, 'x');
-  error_code error;
+  net::error_code error;
   for (int full = 0; full < 20; error ? ++full : 0) {  // until nobody takes any more
     one.socket.write_some(asio::buffer(much), error);
     quiet(1);
@@ -264,7 +264,7 @@
   start();
   host->links().most_large = 1'050'000;  // for the answer, and for nothing that is sent ahead
   Raw one(io);
-  one.socket.open(tcp::v4());
+  one.socket.open(net::tcp::v4());
   one.socket.set_option(asio::socket_base::receive_buffer_size(4'096));
   one.socket.connect(host->address());
   one.write(a_read());
@@ -326,8 +326,8 @@
 
 // The origin can't be reached; the next try comes after a wait.
 TEST_P(Waiting, ForTheNextTryItIsNeverSentOn) {
-  tcp::acceptor shut(io, any_port());
-  const tcp::endpoint nowhere = shut.local_endpoint();
+  net::tcp::acceptor shut(io, any_port());
+  const net::tcp::endpoint nowhere = shut.local_endpoint();
   shut.close();
   start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", text_of(nowhere), "origin"}}));
   Raw one(io, host->address());
@@ -338,9 +338,9 @@
   ASSERT_TRUE(wait_for([&] { return failed() == 1; }));
   const std::uint64_t dials = host->links().dials;
   client_goes(one);
-  tcp::acceptor back(io, nowhere);
+  net::tcp::acceptor back(io, nowhere);
   bool dialled = false;
-  back.async_accept([&](error_code error, tcp::socket) { dialled = !error; });
+  back.async_accept([&](net::error_code error, net::tcp::socket) { dialled = !error; });
   quiet(1'000);
   EXPECT_EQ(host->links().dials, dials);
   EXPECT_FALSE(dialled);
@@ -354,8 +354,8 @@
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", full.address()}, {"s-o", origin.address(), "origin"}}));
   config["settings"]["PolicyLimits"]["DialTimeoutUs"] = 20'000'000;
-  settings = parse_settings(config.dump());
-  host = std::make_unique<Host>(io, clock, settings);
+  settings = platform::parse_settings(config.dump());
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(wait_for([&] { return host->links().dials == 1; }));
@@ -366,4 +366,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/one_server.h
+++ b/tests/http1/one_server.h
@@ -10,17 +10,17 @@
 #include "http1/transport.h"
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
-struct Record final : Links, AttemptObserver {
-  void on_attempt_ended(AttemptId attempt, Outcome outcome, Answer answer) override {
+struct Record final : net::Links, engine::AttemptObserver {
+  void on_attempt_ended(engine::AttemptId attempt, Outcome outcome, engine::Answer answer) override {
     ended.emplace_back(attempt, outcome);
     bodies.push_back(answer.body);
   }
-  std::optional<Time> may_write(AttemptId) override {
+  std::optional<Time> may_write(engine::AttemptId) override {
     return wanted ? std::optional<Time>(kNever) : std::nullopt;
   }
-  std::vector<std::pair<AttemptId, Outcome>> ended;
+  std::vector<std::pair<engine::AttemptId, Outcome>> ended;
   std::vector<std::string> bodies;
   bool wanted = true;  // false: the clients of all attempts have gone
 };
@@ -29,7 +29,7 @@
 class FullListener {
  public:
   explicit FullListener(asio::io_context& io) : io_(io), acceptor_(io) {
-    acceptor_.open(tcp::v4());
+    acceptor_.open(net::tcp::v4());
     acceptor_.bind(any_port());
     acceptor_.listen(0);
     fill();
@@ -38,12 +38,12 @@
   void fill() {
     for (int i = 0; i < 2; ++i) {
       fill_.emplace_back(io_);
-      fill_.back().async_connect(acceptor_.local_endpoint(), [](error_code) {});
+      fill_.back().async_connect(acceptor_.local_endpoint(), [](net::error_code) {});
     }
   }
   // Takes one of those that wait, which is not answered: another one's handshake may be.
   void take_one() {
-    acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    acceptor_.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (!error) keep(std::move(socket));
     });
   }
@@ -51,8 +51,8 @@
   // From here on all are taken; requests are kept, none is answered. A handshake that was held back is tried
   // again by the kernel a second after the first time.
   void open() {
-    error_code ignored;
-    for (tcp::socket& one : fill_) one.close(ignored);
+    net::error_code ignored;
+    for (net::tcp::socket& one : fill_) one.close(ignored);
     accept();
   }
   std::size_t requests() const {
@@ -63,19 +63,19 @@
 
  private:
   void accept() {
-    acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    acceptor_.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (error) return;
       keep(std::move(socket));
       accept();
     });
   }
-  void keep(tcp::socket socket) {
+  void keep(net::tcp::socket socket) {
     peers.push_back(std::make_shared<Peer>(std::move(socket)));
     peers.back()->read([](Peer&) {});
   }
   asio::io_context& io_;
-  tcp::acceptor acceptor_;
-  std::vector<tcp::socket> fill_;
+  net::tcp::acceptor acceptor_;
+  std::vector<net::tcp::socket> fill_;
 };
 
 class ToOneServer : public Loopback {
@@ -83,7 +83,7 @@
   ToOneServer() {
     record.most_connections = 16;
     forward->target = "/read/1";
-    forward->txn = "9b1f03aa5c7e2d41";
+    forward->transaction_id = "9b1f03aa5c7e2d41";
     upstream.set_address(cache.address());
     quiet(20);  // the listener's queue fills
   }
@@ -92,9 +92,9 @@
   }
 
   Record record;
-  std::shared_ptr<Message> forward = std::make_shared<Message>();
+  std::shared_ptr<engine::Message> forward = std::make_shared<engine::Message>();
   FullListener full{io};
-  Upstream upstream{io, clock, record, record, "s-1"};
+  http1::Upstream upstream{io, clock, record, record, "s-1"};
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/parts_test.cpp
+++ b/tests/http1/parts_test.cpp
@@ -1,39 +1,39 @@
 // Answers that are passed on as they come, and connections of cancelled attempts, over loopback sockets.
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 class Parts : public Loopback {
  protected:
   void begin(std::size_t whole = 64 * 1024, std::uint64_t longest = 64 << 20) {
-    settings = parse_settings(
+    settings = platform::parse_settings(
         config_json(
             text_of(discovery.local_endpoint()),
             list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}))
             .dump());
     settings.overload.whole_answer = whole;
     settings.overload.longest_answer = longest;
-    host = std::make_unique<Host>(io, clock, settings);
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   std::string head(std::size_t length) {
     return "HTTP/1.1 200 X\r\nContent-Type: image/x\r\nContent-Length: " + std::to_string(length) +
            "\r\n\r\n";
   }
   // A client that reads only when told to.
-  tcp::socket asks(const std::string& text) {
-    tcp::socket socket(io);
+  net::tcp::socket asks(const std::string& text) {
+    net::tcp::socket socket(io);
     socket.connect(host->address());
     asio::write(socket, asio::buffer(text));
     return socket;
   }
   // What came to the client by its end.
-  std::string rest_of(tcp::socket& socket) {
+  std::string rest_of(net::tcp::socket& socket) {
     std::string out;
     std::array<char, 65536> chunk{};
     bool ended = false;
     std::function<void()> next = [&] {
-      socket.async_read_some(asio::buffer(chunk), [&](error_code error, std::size_t got) {
+      socket.async_read_some(asio::buffer(chunk), [&](net::error_code error, std::size_t got) {
         out.append(chunk.data(), got);
         error ? void(ended = true) : next();
       });
@@ -46,7 +46,7 @@
   static std::string a_last_read() {
     return request_text("GET", "/read/7f3a9c21e0b4d655", "read", "", "8.0", "Connection: close\r\n");
   }
-  const Links::Streams& streams() { return host->links().streams; }
+  const net::Links::Streams& streams() { return host->links().streams; }
 };
 
 TEST_F(Parts, TheFirstPartIsPassedOnWhileTheRestIsStillToCome) {
@@ -91,10 +91,10 @@
 TEST_F(Parts, AnAnswerOf32MiBIsPassedOnWithoutBeingSetFree) {
   start();
   const std::string body = pattern(32 << 20);
-  tcp::socket one = asks(a_last_read());
+  net::tcp::socket one = asks(a_last_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   const std::string answer = head(body.size()) + body;
-  asio::async_write(cache.peers[0]->socket, asio::buffer(answer), [](error_code, std::size_t) {});
+  asio::async_write(cache.peers[0]->socket, asio::buffer(answer), [](net::error_code, std::size_t) {});
   const std::string got = rest_of(one);
   EXPECT_TRUE(got.substr(got.find("\r\n\r\n") + 4) == body);
   EXPECT_EQ(*host->links().large, 0U);
@@ -161,7 +161,7 @@
 TEST_F(Parts, ASlowReaderHoldsTheServerBackAndWhatWaitsIsBounded) {
   begin();
   const std::string body = pattern(48 << 20);
-  tcp::socket slow = asks(a_last_read());
+  net::tcp::socket slow = asks(a_last_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   const std::string answer = head(body.size()) + body;
   std::size_t written = 0;
@@ -169,7 +169,7 @@
     if (written == answer.size()) return;
     const std::size_t part = std::min<std::size_t>(answer.size() - written, 65'536);
     cache.peers[0]->socket.async_write_some(asio::buffer(answer.data() + written, part),
-                                            [&](error_code error, std::size_t took) {
+                                            [&](net::error_code error, std::size_t took) {
                                               written += took;
                                               if (!error) more();
                                             });
@@ -190,7 +190,7 @@
 
 TEST_F(Parts, AnAnswerThatBreaksInItsMidstIsSeenToBeCutAndIsNotAskedForAgain) {
   begin();
-  tcp::socket one = asks(a_last_read());
+  net::tcp::socket one = asks(a_last_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(head(200'000) + pattern(100'000));
   ASSERT_TRUE(wait_for([&] { return streams().begun == 1; }));
@@ -207,7 +207,7 @@
 TEST_F(Parts, WithoutALengthItGoesOnInChunksAndACutEndsWithoutTheLastOne) {
   begin();
   for (const bool cut : {false, true}) {
-    tcp::socket one = asks(a_last_read());
+    net::tcp::socket one = asks(a_last_read());
     ASSERT_TRUE(wait_for([&] { return cache.requests.size() == (cut ? 2U : 1U); }));
     const std::string body = pattern(100'000);
     char size[16];
@@ -229,7 +229,7 @@
 
 TEST_F(Parts, AClientThatGoesInTheMidstEndsTheServersConnectionToo) {
   begin();
-  tcp::socket one = asks(a_read());
+  net::tcp::socket one = asks(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(head(1 << 20) + pattern(100'000));
   ASSERT_TRUE(wait_for([&] { return streams().begun == 1; }));
@@ -264,7 +264,7 @@
   one->ask(request_text("GET", "/read/1", "read", "", "0.8"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_NE(one->status(), 200);
-  EXPECT_GT(host->counts().outcomes[static_cast<std::size_t>(Outcome::spoilt)], 0U);
+  EXPECT_GT(host->counts().outcomes[static_cast<std::size_t>(Outcome::malformed)], 0U);
   const std::string body = pattern(500'000);
   cache.answer = [&](const std::string&) { return response(200, body); };
   host->links().most_large = 100'000;  // for one part that waits, not for the whole
@@ -332,4 +332,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/upload_test.cpp
+++ b/tests/http1/upload_test.cpp
@@ -2,7 +2,7 @@
 // sockets.
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 class Upload : public Loopback {
@@ -19,7 +19,7 @@
   // Written as the other side takes it.
   void send(FakeClient& to, std::string text) {
     const auto held = std::make_shared<std::string>(std::move(text));
-    asio::async_write(to.peer->socket, asio::buffer(*held), [held](error_code, std::size_t) {});
+    asio::async_write(to.peer->socket, asio::buffer(*held), [held](net::error_code, std::size_t) {});
   }
 };
 
@@ -140,19 +140,19 @@
 
 TEST_F(Upload, AServerThatTakesNothingHoldsItsClientBack) {
   start();
-  tcp::acceptor deaf(io, any_port());
+  net::tcp::acceptor deaf(io, any_port());
   const auto known = list_json(
       1, true, {{"s-cache", cache.address()}, {"s-origin", text_of(deaf.local_endpoint()), "origin"}});
   Loopback::start(known);
-  tcp::socket taken(io);
+  net::tcp::socket taken(io);
   bool came = false;
-  deaf.async_accept(taken, [&](error_code error) { came = !error; });
+  deaf.async_accept(taken, [&](net::error_code error) { came = !error; });
   const auto one = client();
   const auto text = std::make_shared<std::string>(head("Content-Length: 33554432") + pattern(32 << 20));
   std::size_t written = 0;
   std::function<void()> more = [&, text] {
     one->peer->socket.async_write_some(asio::buffer(*text) + written,
-                                       [&, text](error_code error, std::size_t took) {
+                                       [&, text](net::error_code error, std::size_t took) {
                                          written += took;
                                          if (!error && written < text->size()) more();
                                        });
@@ -266,4 +266,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/http1/upstream_test.cpp
+++ b/tests/http1/upstream_test.cpp
@@ -3,7 +3,7 @@
 
 #include "http1/one_server.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 TEST_F(Loopback, RequestsOneAfterAnotherUseOneConnection) {
@@ -51,7 +51,7 @@
 
 class OneServer : public ToOneServer {
  protected:
-  OneServer() { record.dial_time_out = 250'000; }
+  OneServer() { record.connect_timeout = 250'000; }
 };
 
 TEST_F(OneServer, ADialThatIsNotMadeInTimeNeverRan) {
@@ -64,7 +64,7 @@
 }
 
 TEST_F(OneServer, AnAttemptThatWaitsForADialTakesTheConnectionThatComesFreeFirst) {
-  record.dial_time_out = 60'000'000;
+  record.connect_timeout = 60'000'000;
   upstream.set_address(full.address());
   send(0);
   const auto ours = [&]() -> Peer* {
@@ -95,7 +95,7 @@
 
 TEST_F(OneServer, NothingIsWrittenPastTheGraceOfADrain) {
   send(0);  // its connection is not made before the loop runs
-  upstream.send_nothing_from(clock.now());
+  upstream.stop_sending_at(clock.now());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::not_sent);
   quiet();
@@ -105,7 +105,7 @@
 TEST_F(OneServer, AForgottenAttemptClosesItsConnectionAndReportsNothing) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
-  upstream.forget({1, 0}, Transport::Forget::overdue);
+  upstream.cancel({1, 0}, engine::CancelReason::timed_out);
   ASSERT_TRUE(wait_for([&] { return cache.open() == 0; }));
   EXPECT_TRUE(record.ended.empty());
 }
@@ -210,7 +210,7 @@
     ASSERT_TRUE(wait_for([&] { return cache.requests.size() == i + 1; }));
     cache.peers[i]->write(forms[i]);
     ASSERT_TRUE(wait_for([&] { return record.ended.size() == i + 1; })) << forms[i].substr(0, 80);
-    EXPECT_EQ(record.ended[i].second, Outcome::spoilt) << forms[i].substr(0, 80);
+    EXPECT_EQ(record.ended[i].second, Outcome::malformed) << forms[i].substr(0, 80);
     EXPECT_EQ(record.connections, 0U);
   }
 }
@@ -241,12 +241,12 @@
 }
 
 TEST_F(OneServer, AnAnswerThatComesBeforeItsRequestIsOutIsNotServed) {
-  forward->operation = Operation::write;
+  forward->operation = engine::Operation::write;
   forward->body.assign(32 * 1024 * 1024, 'x');  // more than the sockets between can hold
-  tcp::acceptor strict(io, any_port());
+  net::tcp::acceptor strict(io, any_port());
   upstream.set_address(text_of(strict.local_endpoint()));
-  tcp::socket taken(io);
-  strict.async_accept(taken, [](error_code) {});
+  net::tcp::socket taken(io);
+  strict.async_accept(taken, [](net::error_code) {});
   send(0);
   ASSERT_TRUE(wait_for([&] { return taken.is_open() && taken.available() > 0; }));
   asio::write(taken, asio::buffer(response(200, "early")));
@@ -254,13 +254,13 @@
   EXPECT_TRUE(record.ended.empty());
   std::vector<char> sink(1024 * 1024);
   std::function<void()> take = [&] {
-    taken.async_read_some(asio::buffer(sink), [&](error_code error, std::size_t) {
+    taken.async_read_some(asio::buffer(sink), [&](net::error_code error, std::size_t) {
       if (!error) take();
     });
   };
   take();
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
-  EXPECT_EQ(record.ended[0].second, Outcome::spoilt);  // all of it went out: it may have run
+  EXPECT_EQ(record.ended[0].second, Outcome::malformed);  // all of it went out: it may have run
   EXPECT_TRUE(record.bodies[0].empty());
   quiet();
 }
@@ -270,7 +270,7 @@
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(response(400));
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
-  EXPECT_EQ(record.ended[0].second, Outcome::rejected);
+  EXPECT_EQ(record.ended[0].second, Outcome::invalid_request);
   EXPECT_EQ(record.connections, 1U);
 }
 
@@ -285,12 +285,12 @@
 
 TEST_F(OneServer, AServerThatStopsReadingHalfwayNeverRanTheRequest) {
   // More than the sockets between can hold, so that the last byte is never written.
-  forward->operation = Operation::write;
+  forward->operation = engine::Operation::write;
   forward->body.assign(32 * 1024 * 1024, 'x');
-  tcp::acceptor strict(io, any_port());
+  net::tcp::acceptor strict(io, any_port());
   upstream.set_address(text_of(strict.local_endpoint()));
-  tcp::socket taken(io);
-  strict.async_accept(taken, [](error_code) {});
+  net::tcp::socket taken(io);
+  strict.async_accept(taken, [](net::error_code) {});
   send(0);
   ASSERT_TRUE(wait_for([&] { return taken.is_open(); }));
   quiet();
@@ -300,4 +300,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -18,7 +18,7 @@
 #include "platform/options.h"
 #endif
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
@@ -208,9 +208,9 @@
 // What is said against an options file beside this configuration; empty: nothing.
 inline std::string options_error(const std::string& toml, const nlohmann::json& config) {
   try {
-    Options options = parse_options(toml, "o.toml");
-    NodeSettings settings = parse_settings(config.dump());
-    resolve(options, settings);
+    platform::Options options = platform::parse_options(toml, "o.toml");
+    platform::NodeSettings settings = platform::parse_settings(config.dump());
+    platform::resolve(options, settings);
 #ifdef STREAMPICK_WITH_FLEET
     fleet::resolve(options.fleet, settings, options.file);
     fleet::resolve(options.shares, options.fleet, settings, options.file);
@@ -266,8 +266,8 @@
  protected:
   // A cache server and an origin, and the router between them and the clients.
   void start(const nlohmann::json& known) {
-    settings = parse_settings(config_json(text_of(discovery.local_endpoint()), known).dump());
-    host = std::make_unique<Host>(io, clock, settings);
+    settings = platform::parse_settings(config_json(text_of(discovery.local_endpoint()), known).dump());
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   void start() {
     start(list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}));
@@ -312,12 +312,12 @@
 
   asio::io_context io{1};
   Time wall_steps = 0;  // of the wall clock, forward or back
-  Clock clock{io, [this] { return system_wall_time() + wall_steps; }};
+  net::Clock clock{io, [this] { return net::system_wall_time() + wall_steps; }};
   FakeServer cache{io}, origin{io};
   tcp::acceptor discovery{io, any_port()};
-  NodeSettings settings;
-  std::unique_ptr<Host> host;
+  platform::NodeSettings settings;
+  std::unique_ptr<daemon::Host> host;
   std::shared_ptr<Peer> agent;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/management/operators_test.cpp
+++ b/tests/management/operators_test.cpp
@@ -4,7 +4,7 @@
 
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using json = nlohmann::json;
@@ -19,17 +19,17 @@
                           {"s-origin", origin.address(), "origin"}}));
   }
   void begin_with(const nlohmann::json& known) {
-    settings = parse_settings(config_json(text_of(discovery.local_endpoint()), known).dump());
+    settings = platform::parse_settings(config_json(text_of(discovery.local_endpoint()), known).dump());
     auto& listen = settings.management.emplace();
     listen = any_port();
-    host = std::make_unique<Host>(io, clock, settings);
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   // What is answered to these bytes by the connection's end.
   std::string says(const std::string& bytes, bool half_close = false) {
     Caller caller(io, *host->operators().address());
     caller.peer->write(bytes);
-    error_code ignored;
-    if (half_close) caller.peer->socket.shutdown(tcp::socket::shutdown_send, ignored);
+    net::error_code ignored;
+    if (half_close) caller.peer->socket.shutdown(net::tcp::socket::shutdown_send, ignored);
     EXPECT_TRUE(wait_for([&] { return caller.peer->ended; }));
     return caller.peer->got;
   }
@@ -40,8 +40,8 @@
     return json::parse(text.substr(0, text.find('\n')));
   }
   struct Caller {
-    Caller(asio::io_context& io, const tcp::endpoint& to) {
-      tcp::socket socket(io);
+    Caller(asio::io_context& io, const net::tcp::endpoint& to) {
+      net::tcp::socket socket(io);
       socket.connect(to);
       peer = std::make_shared<Peer>(std::move(socket));
       peer->read([](Peer&) {});
@@ -245,9 +245,9 @@
   json config = config_json(text_of(discovery.local_endpoint()), known);
   config["settings"]["Guarantees"]["ColdShare"] = 0.1;
   config["settings"]["Guarantees"]["ColdUs"] = 600'000'000;
-  settings = parse_settings(config.dump());
+  settings = platform::parse_settings(config.dump());
   settings.management.emplace() = any_port();
-  host = std::make_unique<Host>(io, clock, settings);
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   ask_for(200);
   const std::size_t warm = cache.requests.size();
   ASSERT_GT(warm, 50U);
@@ -269,9 +269,9 @@
     json config = config_json(text_of(discovery.local_endpoint()), known);
     config["settings"]["Guarantees"]["ColdShare"] = 0.1;
     config["settings"]["Guarantees"]["ColdUs"] = 600'000'000;
-    settings = parse_settings(config.dump());
+    settings = platform::parse_settings(config.dump());
     settings.management.emplace() = any_port();
-    host = std::make_unique<Host>(io, clock, settings);
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   // Of 200 reads, those that came to s-cache: half of them where both are warm.
   std::size_t part_of_cache() {
@@ -353,9 +353,9 @@
 
 TEST_F(Managed, WhoDoesNotTakeItsAnswerAwayIsDropped) {
   begin();
-  std::vector<std::unique_ptr<tcp::socket>> deaf;
+  std::vector<std::unique_ptr<net::tcp::socket>> deaf;
   for (int i = 0; i < 5; ++i) {
-    deaf.push_back(std::make_unique<tcp::socket>(io));
+    deaf.push_back(std::make_unique<net::tcp::socket>(io));
     deaf.back()->connect(*host->operators().address());
     asio::write(*deaf.back(), asio::buffer(std::string("DUMP\n")));
   }
@@ -366,14 +366,14 @@
 // Refused before the engine sees them, they are refused all the same.
 TEST_F(Managed, WhatIsTurnedAwayUnreadStandsUnderBusy) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  settings = parse_settings(
+  settings = platform::parse_settings(
       config_json(
           text_of(discovery.local_endpoint()),
           list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}))
           .dump());
   settings.management.emplace() = any_port();
   settings.overload.late = 2'000;
-  host = std::make_unique<Host>(io, clock, settings);
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   LoopLoad load(io);
   std::size_t served = 0, refused = 0;
   const auto one = client();
@@ -410,7 +410,7 @@
   constexpr std::size_t kClients = 40, kEach = 10;
   std::vector<std::unique_ptr<FakeClient>> all;
   for (std::size_t i = 0; i < kClients; ++i) all.push_back(client());
-  std::map<std::string, Figures::Ends> got;
+  std::map<std::string, engine::RequestMetrics::ClassCounts> got;
   for (std::size_t round = 0; round < kEach; ++round) {
     for (std::size_t i = 0; i < kClients; ++i) {
       const std::string lane = i % 3 == 0 ? "save" : i % 3 == 1 ? "pay" : "read";
@@ -424,9 +424,9 @@
                          [&](const auto& one) { return one->answers.size() == round + 1; });
     }));
     for (std::size_t i = 0; i < kClients; ++i) {
-      Figures::Ends& ends = got[i % 3 == 0 ? "save" : i % 3 == 1 ? "pay" : "read"];
+      engine::RequestMetrics::ClassCounts& ends = got[i % 3 == 0 ? "save" : i % 3 == 1 ? "pay" : "read"];
       const int status = all[i]->status(round);
-      ++(status == 200 ? ends.success : status == 503 || status == 429 ? ends.busy : ends.failure);
+      ++(status == 200 ? ends.served : status == 503 || status == 429 ? ends.rejected : ends.failed);
     }
   }
   // Cancelled copies may still be on their way to where they are counted.
@@ -437,13 +437,13 @@
   }));
   const auto dump = host->operators().dump();
   for (const std::string name : {"read", "save", "pay"}) {
-    EXPECT_EQ(dump.classes.at(name).success, got[name].success) << name;
-    EXPECT_EQ(dump.classes.at(name).busy, got[name].busy) << name;
-    EXPECT_EQ(dump.classes.at(name).failure, got[name].failure) << name;
+    EXPECT_EQ(dump.classes.at(name).served, got[name].served) << name;
+    EXPECT_EQ(dump.classes.at(name).rejected, got[name].rejected) << name;
+    EXPECT_EQ(dump.classes.at(name).failed, got[name].failed) << name;
   }
-  EXPECT_GT(got["pay"].failure, 0U);
-  EXPECT_GT(got["read"].success, 0U);
+  EXPECT_GT(got["pay"].failed, 0U);
+  EXPECT_GT(got["read"].served, 0U);
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/net/clock_test.cpp
+++ b/tests/net/clock_test.cpp
@@ -5,7 +5,7 @@
 
 #include "engine/server_starts.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr Time kMs = 1'000, kSecond = 1'000'000, kHour = 3'600 * kSecond;
@@ -21,7 +21,7 @@
 
   Time steps = 0;
   boost::asio::io_context io{1};
-  Clock clock{io, [this] { return system_wall_time() + steps; }};
+  net::Clock clock{io, [this] { return net::system_wall_time() + steps; }};
 };
 
 TEST_P(ClockSteps, MonotonicTimeRunsOnAndWallTimeFollows) {
@@ -37,17 +37,17 @@
 TEST_P(ClockSteps, ATimerIsDueInRealTime) {
   bool due = false;
   const auto timer = clock.timer([&] { due = true; });
-  const auto start = Clock::Steady::now();
+  const auto start = net::Clock::Steady::now();
   step();
   timer->set(now() + 50 * kMs);
   while (!due) io.run_one();
-  const auto took = Clock::Steady::now() - start;
+  const auto took = net::Clock::Steady::now() - start;
   EXPECT_GE(took, std::chrono::milliseconds(50));
   EXPECT_LT(took, std::chrono::seconds(4));  // less than any step
 }
 
 TEST_P(ClockSteps, ByItAServersStartIsDatedAsItIs) {
-  ServerStarts starts(clock);
+  engine::ServerStarts starts(clock);
   step();
   const Time started = clock.wall_time();
   EXPECT_NEAR(static_cast<double>(now() - starts.start_at(started)), 0, kNear);
@@ -62,7 +62,7 @@
 TEST(WallOffset, AThreadHeldUpBetweenTwoReadingsIsNoStep) {
   Time monotonic = 0, wall = 1'000'000;
   int readings = 0;
-  const auto offset = wall_offset(
+  const auto offset = net::wall_offset(
       [&] {
         // Held up for a minute within the first sample.
         if (++readings == 1) monotonic += 60 * kSecond, wall += 60 * kSecond;
@@ -74,4 +74,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/overload/crowd_test.cpp
+++ b/tests/overload/crowd_test.cpp
@@ -6,7 +6,7 @@
 
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 class Crowd : public Loopback {
@@ -18,7 +18,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
   }
   std::uint64_t answered() const {
-    const Counters& counts = host->counts();
+    const engine::Counters& counts = host->counts();
     return counts.served + counts.refused + counts.failed;
   }
   static std::size_t times(const std::string& text, const std::string& part) {
@@ -30,7 +30,7 @@
 
 // A client that goes on working: asks again once it is answered, and on a new connection when its own ended.
 struct Worker {
-  Worker(asio::io_context& context, const tcp::endpoint& address) : io(context), to(address) {}
+  Worker(asio::io_context& context, const net::tcp::endpoint& address) : io(context), to(address) {}
   void step() {
     bool again = !client;
     if (client && !client->answers.empty()) {
@@ -51,7 +51,7 @@
     asked = true;
   }
   asio::io_context& io;
-  tcp::endpoint to;
+  net::tcp::endpoint to;
   std::unique_ptr<FakeClient> client;
   bool asked = false;
   int served = 0, refused = 0, lost = 0;
@@ -130,14 +130,14 @@
 
 TEST_F(Crowd, WhileTheLoopIsBehindReadsAreTurnedAwayUnreadAndSavesThatAreSparedAreNot) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
-  settings = parse_settings(
+  settings = platform::parse_settings(
       config_json(
           text_of(discovery.local_endpoint()),
           list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}))
           .dump());
   settings.overload.late = 2'000;
   settings.overload.spared = {"save"};
-  host = std::make_unique<Host>(io, clock, settings);
+  host = std::make_unique<daemon::Host>(io, clock, settings);
   LoopLoad load(io);
   std::size_t shed = 0, saved = 0;
   const auto reader = client(), saver = client();
@@ -166,4 +166,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/platform/node_settings_test.cpp
+++ b/tests/platform/node_settings_test.cpp
@@ -1,11 +1,11 @@
 // The configuration as it is read.
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 TEST(NodeSettings, AreReadAsTheWiresAreAndUnknownKeysAreSkipped) {
-  const NodeSettings settings = parse_settings(
+  const platform::NodeSettings settings = platform::parse_settings(
       config_json("127.0.0.1:9",
                   list_json(41, true, {{"s-1", "127.0.0.1:8", "origin", "terminating", 1'700}}))
           .dump());
@@ -13,9 +13,9 @@
   EXPECT_EQ(settings.name, "n1");
   EXPECT_EQ(settings.sockets, 256U);
   EXPECT_EQ(config.origin_kind, 1U);
-  EXPECT_TRUE(config.aside && config.can_copy && config.can_cancel && !config.must_ask);
+  EXPECT_TRUE(config.cache_aside && config.can_hedge && config.can_cancel && !config.polls_discovery);
   EXPECT_EQ(config.max_retry_after, 2'000'000);
-  EXPECT_EQ(config.dial_time_out, 250'000);
+  EXPECT_EQ(config.connect_timeout, 250'000);
   EXPECT_EQ(settings.settings.drain_grace, 2'000'000);
   ASSERT_EQ(config.classes.size(), 3U);
   EXPECT_EQ(config.classes[1].effect, Effect::keyed);
@@ -44,7 +44,7 @@
   nlohmann::json config = config_json(
       "127.0.0.1:9", list_json(41, true, {{"s-1", "127.0.0.1:8", "origin", "terminating", 1'700}}));
   config["settings"]["Tenants"] = {{{"Name", "acme"}, {"QuotaPerS", 10}}};
-  EXPECT_NO_THROW(parse_settings(config.dump()));
+  EXPECT_NO_THROW(platform::parse_settings(config.dump()));
   const nlohmann::json::json_pointer at(GetParam().at);
   if (GetParam().value != nullptr) {
     config[at] = nlohmann::json::parse(GetParam().value);
@@ -53,7 +53,7 @@
   }
   std::string told;
   try {
-    parse_settings(config.dump());
+    platform::parse_settings(config.dump());
   } catch (const std::exception& error) {
     told = error.what();
   }
@@ -191,7 +191,7 @@
 TEST(NodeSettings, ThatAreNoJsonAreToldByTheirLine) {
   const auto told = [](const std::string& text) -> std::string {
     try {
-      parse_settings(text);
+      platform::parse_settings(text);
     } catch (const std::exception& error) {
       return error.what();
     }
@@ -203,4 +203,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/platform/reload_test.cpp
+++ b/tests/platform/reload_test.cpp
@@ -7,7 +7,7 @@
 #include "loopback.h"
 #include "net/log.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using json = nlohmann::json;
@@ -25,8 +25,8 @@
     start_with(config_);
   }
   void start_with(const json& config) {
-    settings = parse_settings(config.dump());
-    host = std::make_unique<Host>(io, clock, settings);
+    settings = platform::parse_settings(config.dump());
+    host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   bool reload(const std::string& text) {
     std::ofstream(file_, std::ios::trunc) << text;
@@ -62,8 +62,8 @@
   ASSERT_TRUE(reload(without));
   EXPECT_EQ(status_of(request_text("GET", "/look/1", "look")), 400);
   const auto figures = host->operators().dump();
-  EXPECT_EQ(figures.classes.at("look").success, 1U);
-  EXPECT_EQ(figures.classes.at("pay").success, 2U);
+  EXPECT_EQ(figures.classes.at("look").served, 1U);
+  EXPECT_EQ(figures.classes.at("pay").served, 2U);
   EXPECT_EQ(figures.reconfig_ok, 3U);
   EXPECT_EQ(figures.reconfig_failed, 0U);
 }
@@ -144,10 +144,10 @@
   bad.push_back(nan);
   std::vector<std::string> said;
   {
-    LogSink sink([&](std::string_view text) { said.emplace_back(text); });
+    net::LogSink sink([&](std::string_view text) { said.emplace_back(text); });
     // So many lines a second at most are logged: those of other tests are not to count.
     quiet(1'100);
-    log("a new second");
+    net::log("a new second");
     for (const std::string& text : bad) {
       said.clear();
       EXPECT_FALSE(reload(text)) << text;
@@ -173,9 +173,9 @@
     ASSERT_TRUE(wait_for([&] { return one->answers.size() == static_cast<std::size_t>(i) + 1; }));
     ASSERT_EQ(one->status(static_cast<std::size_t>(i)), 200);
   }
-  EXPECT_EQ(host->operators().dump().classes.at("read").success, 200U);
+  EXPECT_EQ(host->operators().dump().classes.at("read").served, 200U);
   EXPECT_EQ(host->operators().dump().classes.size(), 3U);
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/plugin/calls_test.cpp
+++ b/tests/plugin/calls_test.cpp
@@ -11,27 +11,31 @@
 namespace streampick::plugin {
 namespace {
 
-using node::Reply;
+using engine::Response;
 
-struct Engine final : node::Requests {
+struct Engine final : engine::RequestHandler {
   struct One {
-    std::shared_ptr<node::ResponseSink> asker;
-    node::IncomingRequest incoming;
+    std::shared_ptr<engine::ResponseSink> asker;
+    engine::IncomingRequest incoming;
     bool withdrawn = false;
   };
-  RequestId asked(const std::shared_ptr<node::ResponseSink>& asker, node::IncomingRequest incoming) override {
+  RequestId on_request(const std::shared_ptr<engine::ResponseSink>& asker,
+                       engine::IncomingRequest incoming) override {
     if (full) return 0;
     all.push_back({asker, std::move(incoming)});
     if (at_once) {
-      all.back().asker->reply(all.back().incoming.tag, {.kind = Reply::Kind::refused, .retry_after = 5});
+      all.back().asker->respond(all.back().incoming.tag,
+                                {.kind = Response::Kind::rejected, .retry_after = 5});
     }
     return all.size();
   }
-  void withdrawn(RequestId request) override {
+  void on_client_cancelled(RequestId request) override {
     EXPECT_FALSE(all.at(request - 1).withdrawn);
     all.at(request - 1).withdrawn = true;
   }
-  void reply(std::size_t i, Reply reply) { all.at(i).asker->reply(all.at(i).incoming.tag, std::move(reply)); }
+  void reply(std::size_t i, Response reply) {
+    all.at(i).asker->respond(all.at(i).incoming.tag, std::move(reply));
+  }
   std::deque<One> all;
   bool full = false, at_once = false;
 };
@@ -72,26 +76,26 @@
       const std::size_t which = random() % all.size();
       switch (random() % 5) {
         case 0: calls->cancel(all[which]); break;
-        case 1: engine.reply(which, {.kind = Reply::Kind::served}); break;
-        case 2: engine.reply(which, {.kind = Reply::Kind::failed}); break;
-        case 3: engine.reply(which, {.kind = Reply::Kind::refused}); break;
+        case 1: engine.reply(which, {.kind = Response::Kind::served}); break;
+        case 2: engine.reply(which, {.kind = Response::Kind::failed}); break;
+        case 3: engine.reply(which, {.kind = Response::Kind::rejected}); break;
         default: now += 100; break;
       }
     }
   }
   calls->close();
   for (const auto& one : all) EXPECT_EQ(one->ends.size(), 1U);
-  EXPECT_EQ(calls->open(), 0U);
+  EXPECT_EQ(calls->open_connections(), 0U);
   const Calls::Counts& counts = calls->counts();
-  EXPECT_EQ(counts.served + counts.refused + counts.failed + counts.withdrawn, 3'000U);
-  EXPECT_GT(counts.withdrawn, 0U);
+  EXPECT_EQ(counts.served + counts.rejected + counts.failed + counts.cancelled, 3'000U);
+  EXPECT_GT(counts.cancelled, 0U);
 }
 
 TEST_F(PluginCalls, ThatTheEngineAnswersAtOnceAreNotWithdrawnLater) {
   engine.at_once = true;
   const auto one = call();
   ASSERT_EQ(one->ends.size(), 1U);
-  EXPECT_EQ(one->ends[0].status, Status::refused);
+  EXPECT_EQ(one->ends[0].status, Status::rejected);
   calls->cancel(one);
   EXPECT_EQ(one->ends.size(), 1U);
   EXPECT_FALSE(engine.all[0].withdrawn);
@@ -101,8 +105,8 @@
   const auto read = call(false, {.deadline = std::chrono::milliseconds(10)});
   const auto save = call(true, {.deadline = std::chrono::milliseconds(10)});
   now += 10'001;
-  engine.reply(0, {.kind = Reply::Kind::served});
-  engine.reply(1, {.kind = Reply::Kind::served});
+  engine.reply(0, {.kind = Response::Kind::served});
+  engine.reply(1, {.kind = Response::Kind::served});
   EXPECT_TRUE(read->ends.at(0).status == Status::failed && read->ends[0].late && !read->ends[0].may_have_run);
   EXPECT_TRUE(save->ends.at(0).status == Status::failed && save->ends[0].late && save->ends[0].may_have_run);
   // Its time was over before it came here at all.
@@ -126,20 +130,20 @@
 }
 
 TEST_F(PluginCalls, ThatWereNotAskedToTheEndAreNotAbsent) {
-  const auto code = [](Reply reply, bool save = false, bool late = false) {
+  const auto code = [](Response reply, bool save = false, bool late = false) {
     return result_of(std::move(reply), save, late).status;
   };
   const auto nothing = [] {
-    Reply out{.kind = Reply::Kind::served};
-    out.answer.form = node::Answer::Form::nothing;
+    Response out{.kind = Response::Kind::served};
+    out.answer.form = engine::Answer::Form::nothing;
     return out;
   };
-  EXPECT_EQ(code({.kind = Reply::Kind::failed, .absent = true}), Status::absent);
-  EXPECT_EQ(code(nothing()), Status::absent);
+  EXPECT_EQ(code({.kind = Response::Kind::failed, .not_found = true}), Status::not_found);
+  EXPECT_EQ(code(nothing()), Status::not_found);
   EXPECT_EQ(code(nothing(), true), Status::served);  // a write's answer may hold nothing
-  EXPECT_EQ(code({.kind = Reply::Kind::refused, .absent = true}), Status::refused);
-  EXPECT_EQ(code({.kind = Reply::Kind::failed, .late = true, .absent = true}), Status::failed);
-  EXPECT_EQ(code({.kind = Reply::Kind::failed, .absent = true}, true), Status::failed);
+  EXPECT_EQ(code({.kind = Response::Kind::rejected, .not_found = true}), Status::rejected);
+  EXPECT_EQ(code({.kind = Response::Kind::failed, .late = true, .not_found = true}), Status::failed);
+  EXPECT_EQ(code({.kind = Response::Kind::failed, .not_found = true}, true), Status::failed);
   EXPECT_EQ(code(nothing(), false, true), Status::failed);
 }
 
--- a/tests/plugin/client_test.cpp
+++ b/tests/plugin/client_test.cpp
@@ -134,7 +134,7 @@
   for (std::thread& thread : threads) thread.join();
   EXPECT_TRUE(client.drain(10s));
   const ClientCounts counts = client.counts();
-  EXPECT_EQ(counts.served + counts.refused + counts.failed, kThreads * kEach);
+  EXPECT_EQ(counts.served + counts.rejected + counts.failed, kThreads * kEach);
   EXPECT_GT(counts.served, kThreads * kEach / 2);
 }
 
@@ -153,7 +153,7 @@
   }
   ASSERT_TRUE(client.drain(10s));
   while (!ends.each_once()) std::this_thread::yield();
-  EXPECT_GT(ends.count(Status::withdrawn), 0);
+  EXPECT_GT(ends.count(Status::cancelled), 0);
 }
 
 TEST(PluginClient, ADrainWaitsForTheOpenCallsAndWithdrawsWhatIsLeft) {
@@ -169,7 +169,7 @@
   EXPECT_FALSE(other.drain(50ms));
   while (!ends.each_once()) std::this_thread::sleep_for(1ms);
   EXPECT_EQ(ends.count(Status::served), 1);
-  EXPECT_EQ(ends.count(Status::withdrawn), 2);
+  EXPECT_EQ(ends.count(Status::cancelled), 2);
 }
 
 TEST(PluginClient, ADrainWaitsForTheCallbacksToo) {
@@ -193,7 +193,7 @@
     for (std::size_t i = 0; i < 20; ++i) client.get("k" + std::to_string(i), {}, ends.of(i));
   }
   EXPECT_TRUE(ends.each_once());
-  EXPECT_EQ(ends.count(Status::withdrawn), 20);
+  EXPECT_EQ(ends.count(Status::cancelled), 20);
 }
 
 TEST(PluginClient, ItCanBeEndedFromWithinItsOwnCallbacks) {
@@ -226,7 +226,7 @@
   auto told = other.get_future();
   EXPECT_EQ(told.wait_for(10s), std::future_status::ready);
   EXPECT_EQ(client.get("d").get().status, Status::served);  // a future needs no thread at all
-  EXPECT_EQ(client.counts().threw, 1U);
+  EXPECT_EQ(client.counts().callback_exceptions, 1U);
   go_on.count_down();
   EXPECT_TRUE(client.drain(10s));
 }
@@ -245,7 +245,7 @@
   for (auto& call : stuck) EXPECT_NE(call.get().status, Status::served);
   const ClientCounts first = one.counts(), second = two.counts();
   EXPECT_EQ(first.served, 200U);
-  EXPECT_EQ(first.refused + first.failed, 0U);
+  EXPECT_EQ(first.rejected + first.failed, 0U);
   EXPECT_EQ(second.served, 0U);
   EXPECT_EQ(second.calls, 50U);
 }
@@ -253,14 +253,14 @@
 TEST(PluginClient, MoreCallsThanMayBeOpenAreRefusedAtOnce) {
   StandinFleet fleet(2, 300ms);
   ClientSettings settings = fleet.settings;
-  settings.most_calls = 5;
+  settings.max_open_calls = 5;
   Client client(settings);
   std::vector<std::future<Result>> calls;
   for (int i = 0; i < 8; ++i) calls.push_back(client.get("k"));
   int busy = 0;
   for (auto& call : calls) {
     const Result result = call.get();
-    if (result.status != Status::refused || result.reason.empty()) continue;
+    if (result.status != Status::rejected || result.reason.empty()) continue;
     ++busy;
     EXPECT_GT(result.retry_after.count(), 0);
   }
@@ -300,12 +300,12 @@
 TEST(PluginClient, ThatRestsHoldsNothingIsWokenByNothingAndReadsTheListBeforeItSendsAgain) {
   StandinFleet fleet;
   ClientSettings settings = fleet.settings;
-  settings.rest_after = 100ms;
+  settings.idle_after = 100ms;
   Client client(settings);
   std::vector<std::uint64_t> before(3);
   for (int i = 0; i < 60; ++i) ASSERT_EQ(client.get("k" + std::to_string(i)).get().status, Status::served);
   for (std::size_t i = 0; i < before.size(); ++i) EXPECT_GT(before[i] = fleet.requests_at(i), 0U);
-  while (client.counts().rests == 0) std::this_thread::sleep_for(1ms);
+  while (client.counts().idle_periods == 0) std::this_thread::sleep_for(1ms);
   while (fleet.watches() > 0) std::this_thread::sleep_for(1ms);
   EXPECT_EQ(client.counts().connections, 0U);
   // The turns of the client's thread are counted by that thread, each asking for them being one: between two
@@ -326,7 +326,7 @@
   before[1] = fleet.requests_at(1);
   for (int i = 0; i < 60; ++i) ASSERT_EQ(client.get("k" + std::to_string(i)).get().status, Status::served);
   EXPECT_EQ(fleet.requests_at(1), before[1]);
-  EXPECT_GE(client.counts().rests, 1U);
+  EXPECT_GE(client.counts().idle_periods, 1U);
 }
 
 TEST(PluginClient, WhereTheListIsAskedForItDoesNotRest) {
@@ -335,18 +335,18 @@
   auto config = nlohmann::json::parse(settings.config);
   config["settings"]["RegistryMode"] = "ask";
   settings.config = config.dump();
-  settings.rest_after = 20ms;
+  settings.idle_after = 20ms;
   Client client(settings);
   ASSERT_EQ(client.get("a").get().status, Status::served);
   std::this_thread::sleep_for(200ms);
-  EXPECT_EQ(client.counts().rests, 0U);
+  EXPECT_EQ(client.counts().idle_periods, 0U);
   EXPECT_EQ(client.get("b").get().status, Status::served);
 }
 
 TEST(PluginClient, ThatRestsBetweenEachTwoCallsStillEndsEachOnceAndInTime) {
   StandinFleet fleet;
   ClientSettings settings = fleet.settings;
-  settings.rest_after = 5ms;
+  settings.idle_after = 5ms;
   Client client(settings);
   Ends ends(40);
   for (std::size_t i = 0; i < 40; ++i) {
@@ -356,7 +356,7 @@
   EXPECT_TRUE(client.drain(10s));
   while (!ends.each_once()) std::this_thread::sleep_for(1ms);
   EXPECT_EQ(ends.count(Status::served), 40);
-  EXPECT_GT(client.counts().rests, 5U);
+  EXPECT_GT(client.counts().idle_periods, 5U);
 }
 
 }  // namespace
--- a/tests/plugin/equal_test.cpp
+++ b/tests/plugin/equal_test.cpp
@@ -33,7 +33,7 @@
   int served = 0, refused = 0, failed = 0;
   std::uint64_t attempts = 0;
   void count(Status status) {
-    ++(status == Status::served ? served : status == Status::refused ? refused : failed);
+    ++(status == Status::served ? served : status == Status::rejected ? refused : failed);
   }
   void add(const Figures& other) {
     served += other.served;
@@ -117,7 +117,7 @@
         status = stub->ReadTile(&context, request, &response);
       }
       out.count(status.ok()                                            ? Status::served
-                : status.error_code() == grpc::StatusCode::UNAVAILABLE ? Status::refused
+                : status.error_code() == grpc::StatusCode::UNAVAILABLE ? Status::rejected
                                                                        : Status::failed);
     }
     return out;
@@ -154,7 +154,7 @@
                                      .remaining = std::chrono::duration<double>(scenario.deadline).count(),
                                      .save = save,
                                      .value = save ? "mark" : ""});
-      out.count(status == 200 ? Status::served : status == 503 ? Status::refused : Status::failed);
+      out.count(status == 200 ? Status::served : status == 503 ? Status::rejected : Status::failed);
     }
     return out;
   });
--- a/tests/plugin/held_up_test.cpp
+++ b/tests/plugin/held_up_test.cpp
@@ -52,7 +52,7 @@
   void expect_no_hedge() {
     std::this_thread::sleep_for(600ms);
     EXPECT_EQ(fleet.requests(), before + 1);
-    EXPECT_EQ(client->counts().withdrawn, 1U);
+    EXPECT_EQ(client->counts().cancelled, 1U);
   }
   static constexpr std::chrono::milliseconds kHedgeAfter{320};
 
--- a/tests/plugin/host_main.cpp
+++ b/tests/plugin/host_main.cpp
@@ -38,9 +38,9 @@
 void count(test::Report& report, const Result& result) {
   ++report.ends;
   report.served += result.status == Status::served ? 1 : 0;
-  report.refused += result.status == Status::refused ? 1 : 0;
+  report.refused += result.status == Status::rejected ? 1 : 0;
   report.failed += result.status == Status::failed ? 1 : 0;
-  report.withdrawn += result.status == Status::withdrawn ? 1 : 0;
+  report.withdrawn += result.status == Status::cancelled ? 1 : 0;
   report.late += result.late ? 1 : 0;
 }
 
@@ -83,7 +83,7 @@
       for (int i = 0; i < calls; ++i) count(report, ask(i).get());
     const ClientCounts counts = client.counts();
     report.attempts = counts.attempts;
-    report.pauses = counts.pauses;
+    report.pauses = counts.suspensions;
   }
   return ::write(3, &report, sizeof report) == sizeof report ? 0 : 1;
 }
--- a/tests/plugin/resp_servers_test.cpp
+++ b/tests/plugin/resp_servers_test.cpp
@@ -67,9 +67,9 @@
     std::this_thread::sleep_for(1ms);
   EXPECT_EQ(on([&] { return servers[0]->stores + servers[1]->stores; }), 1U);
   const Result none = client.get("nowhere").get();
-  EXPECT_TRUE(none.status == Status::absent && none.absent);
+  EXPECT_TRUE(none.status == Status::not_found && none.not_found);
   EXPECT_FALSE(none.reason.empty());
-  EXPECT_EQ(client.counts().absent, 1U);
+  EXPECT_EQ(client.counts().not_found, 1U);
   EXPECT_EQ(client.counts().failed, 0U);
   EXPECT_EQ(client.put("mark", "ink").get().status, Status::served);
   EXPECT_EQ(on([&] { return servers[2]->values["mark"]; }), "ink");
--- a/tests/plugin/virtual_test.cpp
+++ b/tests/plugin/virtual_test.cpp
@@ -14,8 +14,8 @@
 namespace streampick::test {
 namespace {
 
-using namespace node;
-using namespace node::test;
+using namespace engine;
+
 constexpr Time kMs = 1'000, kSecond = 1'000'000;
 
 struct Change {
@@ -61,7 +61,7 @@
   friend bool operator==(const End& a, const End& b) {
     const auto all = [](const End& end) {
       const Result& r = end.result;
-      return std::make_tuple(end.at, end.ends, r.status, r.value, r.late, r.absent, r.may_have_run,
+      return std::make_tuple(end.at, end.ends, r.status, r.value, r.late, r.not_found, r.may_have_run,
                              r.retry_after);
     };
     return all(a) == all(b);
@@ -75,14 +75,14 @@
 Settings settings_of_both() {
   Settings out;
   Config& config = out.config;
-  config.aside = true;
+  config.cache_aside = true;
   config.origin_kind = 1;
   config.max_attempts = 3;
-  config.can_cancel = config.can_copy = true;
+  config.can_cancel = config.can_hedge = true;
   config.max_retry_after = 2 * kSecond;
   config.answer_slack = 20 * kMs;
-  config.cold_share = 0.2;
-  config.cold_time = 5 * kSecond;
+  config.slow_start_initial_share = 0.2;
+  config.slow_start_duration = 5 * kSecond;
   config.classes = {{200 * kMs, 2 * kSecond, 1, Effect::safe, Group::all, 0},
                     {400 * kMs, 2 * kSecond, 2, Effect::keyed, Group::all, 5 * kSecond},
                     {400 * kMs, 2 * kSecond, 2, Effect::unsafe, Group::all, 0}};
@@ -107,9 +107,9 @@
   void watch() override {}
 
   // `transports`: the fleet, or what stands before it.
-  void begin(Transports& transports, Front& front, std::function<bool()> rests) {
+  void begin(UpstreamFactory& transports, Downstream& front, std::function<bool()> is_idle) {
     EngineSettings own{settings.config, 7};
-    own.rests = std::move(rests);
+    own.is_idle = std::move(is_idle);
     engine = std::make_unique<Engine>(time, own, transports, [](std::string_view) {});
     fleet.report_to(*engine);
     engine->add(front);
@@ -163,7 +163,7 @@
     Daemon* owner = nullptr;
     std::size_t place = 0;
     bool save = false;
-    void reply(std::uint64_t, Reply reply) override {
+    void respond(std::uint64_t, Response reply) override {
       owner->ended(place, plugin::result_of(std::move(reply), save, false));
     }
   };
@@ -176,20 +176,20 @@
     incoming.message = std::make_shared<Message>();
     incoming.message->operation = planned.save ? Operation::write : Operation::read;
     incoming.message->key = planned.key;
-    incoming.message->txn = std::to_string(i);
+    incoming.message->transaction_id = std::to_string(i);
     if (planned.request_class == 1) incoming.message->idempotency_key = "save-" + std::to_string(i);
     incoming.request_class = planned.request_class;
-    incoming.txn = 0x9000 + i;
+    incoming.transaction_id = 0x9000 + i;
     incoming.key = key_number(planned.key);
     incoming.has_key = true;
     incoming.remaining = planned.patience;
-    engine->asked(asker, std::move(incoming));
+    engine->on_request(asker, std::move(incoming));
   }
   IdleFront front;
 };
 
 // As the client library does.
-struct Plugin final : Side, private Transports {
+struct Plugin final : Side, private UpstreamFactory {
   explicit Plugin(const Scenario& scenario) : Side(scenario) {
     calls = std::make_unique<plugin::Calls>(settings, 99, [this] { return time.now(); });
     begin(*this, *calls, [this] { return fleet.at_rest(); });
@@ -200,7 +200,7 @@
     std::size_t place = 0;
     void ended(Result result) override { owner->ended(place, std::move(result)); }
   };
-  std::unique_ptr<Transport> make(const std::string& name, std::uint32_t kind) override {
+  std::unique_ptr<Upstream> make(const std::string& name, std::uint32_t kind) override {
     return std::make_unique<plugin::HeldTransport>(fleet.make(name, kind),
                                                    [this] { return resume.may_send(time.now()); });
   }
--- a/tests/policy/admission_queue_test.cpp
+++ b/tests/policy/admission_queue_test.cpp
@@ -14,9 +14,9 @@
 struct NullSink final : ActionSink {
   void send(RequestId, ServerId, Time) override {}
   void cancel(RequestId, std::uint32_t) override {}
-  void refuse(RequestId, Time) override {}
+  void reject(RequestId, Time) override {}
   void fail(RequestId) override {}
-  void watch_members() override {}
+  void poll_discovery() override {}
 };
 
 // Ends what falls back, as an execution without an origin does.
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -28,7 +28,7 @@
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 500; ++id) {
     host.request(id, 0, id);
-    host.result(host.sends.size() - 1, Outcome::full);
+    host.result(host.sends.size() - 1, Outcome::overloaded);
     ASSERT_EQ(host.sends_of(id), 2U);
     host.result(host.sends.size() - 1, Outcome::served);
     host.advance(20 * kMs);
@@ -86,7 +86,7 @@
   for (RequestId other = 2'000; other < 2'400; ++other) {
     host.request(other, 0, other);
     ASSERT_EQ(host.sends_of(other), 1U);
-    host.result(host.sends.size() - 1, Outcome::full);
+    host.result(host.sends.size() - 1, Outcome::overloaded);
     host.advance(2 * kMs);
     if (other == 2'000) host.request(1, 0, 1);
     if (host.sends_of(1) > 0 || host.ended.contains(1)) break;
@@ -100,7 +100,7 @@
 TEST(Admission, UnderCongestionTheTenantOverItsQuotaIsShedFirst) {
   Config config = FakeHost::hedging_config();
   config.tenants = {{20}, {2'000}};
-  config.can_copy = false;
+  config.can_hedge = false;
   FakeHost host(config);
   std::map<std::uint32_t, int> refused;
   for (RequestId id = 1; id <= 400; ++id) {
--- a/tests/policy/fake_host.h
+++ b/tests/policy/fake_host.h
@@ -30,11 +30,11 @@
     config.origin_kind = 9;
     config.routers = 2;
     config.max_attempts = 4;
-    config.aside = true;
+    config.cache_aside = true;
     config.answer_slack = 20 * kMs;
     config.max_retry_after = 1'000 * kMs;
-    config.cold_share = 0.2;
-    config.cold_time = 20'000 * kMs;
+    config.slow_start_initial_share = 0.2;
+    config.slow_start_duration = 20'000 * kMs;
     config.classes = {
         {1'000 * kMs, 4'000 * kMs, 5, Effect::safe, Group::all, 0},
         {1'500 * kMs, 4'000 * kMs, 2, Effect::keyed, Group::all, 2'000 * kMs},
@@ -47,7 +47,7 @@
   // The same, where attempts can be cancelled and hedged.
   static Config hedging_config() {
     Config config = aside_config();
-    config.can_copy = true;
+    config.can_hedge = true;
     config.can_cancel = true;
     return config;
   }
@@ -56,7 +56,7 @@
   static Config connection_cost_config(std::uint32_t routers) {
     Config config = hedging_config();
     config.routers = routers;
-    config.dial_time_out = 250 * kMs;
+    config.connect_timeout = 250 * kMs;
     config.keep_alive = 60'000 * kMs;
     config.connection_cost = 0.03;
     return config;
@@ -102,7 +102,7 @@
     out.attempt = sent.attempt;
     out.server = sent.server;
     out.outcome = outcome;
-    out.took = now - sent.at;
+    out.duration = now - sent.at;
     out.request_over = ended.contains(sent.request);
     router.on_result(now, out);
   }
@@ -131,10 +131,10 @@
     if (ended.contains(request)) sent_after_end = true;
   }
   void cancel(RequestId request, std::uint32_t attempt) override { cancels.emplace_back(request, attempt); }
-  void refuse(RequestId request, Time) override { end(request, "refused"); }
+  void reject(RequestId request, Time) override { end(request, "refused"); }
   void fail(RequestId request) override { end(request, "failed"); }
   void close_idle(ServerId server) override { closes.emplace_back(server, now); }
-  void watch_members() override { watches.push_back(now); }
+  void poll_discovery() override { watches.push_back(now); }
 
   std::size_t sends_of(RequestId request) const {
     std::size_t count = 0;
--- a/tests/policy/idle_connections_test.cpp
+++ b/tests/policy/idle_connections_test.cpp
@@ -11,9 +11,9 @@
 struct NullSink final : ActionSink {
   void send(RequestId, ServerId, Time) override {}
   void cancel(RequestId, std::uint32_t) override {}
-  void refuse(RequestId, Time) override {}
+  void reject(RequestId, Time) override {}
   void fail(RequestId) override {}
-  void watch_members() override {}
+  void poll_discovery() override {}
 };
 
 // Where connections are kept for good one that is never used again stands first in its queue for good.
--- a/tests/policy/limits_test.cpp
+++ b/tests/policy/limits_test.cpp
@@ -29,7 +29,8 @@
     EXPECT_TRUE(budget.try_retry(Outcome::error));
   }
   EXPECT_FALSE(budget.try_retry(Outcome::timeout));
-  for (const Outcome free : {Outcome::full, Outcome::connect_failed, Outcome::not_sent, Outcome::miss}) {
+  for (const Outcome free :
+       {Outcome::overloaded, Outcome::connect_failed, Outcome::not_sent, Outcome::miss}) {
     EXPECT_TRUE(budget.try_retry(free));
   }
   budget.on_first_attempt();
@@ -84,7 +85,7 @@
   EXPECT_EQ(limit.usual_latency(), 1'000);
   limit.record_answer(attempt, result, kObjective, {.in_flight = 1, .has_queued_reads = false}, 2'000);
   EXPECT_EQ(limit.value(), 4.25);  // not in use
-  result.outcome = Outcome::full;
+  result.outcome = Outcome::overloaded;
   limit.record_answer(attempt, result, kObjective, {.in_flight = 3, .has_queued_reads = false}, 3'000);
   limit.record_answer(attempt, result, kObjective, {.in_flight = 3, .has_queued_reads = false}, 3'100);
   EXPECT_DOUBLE_EQ(limit.value(), 4.25 * 0.8);
@@ -103,9 +104,9 @@
   OriginLimit limit;
   EXPECT_TRUE(limit.lease_allows(0, 1'000'000));
   Shares shares;
-  shares.origin_floor = 1;
+  shares.origin_reserved = 1;
   shares.origin_leased = 2;
-  shares.origin_until = 100;
+  shares.origin_lease_end = 100;
   limit.set_lease(shares);
   EXPECT_TRUE(limit.lease_allows(99, 2));
   EXPECT_FALSE(limit.lease_allows(99, 3));
--- a/tests/policy/request_execution_test.cpp
+++ b/tests/policy/request_execution_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(RequestExecution, NoHedgesWhereASecondAttemptIsNotAllowed) {
   Config config = FakeHost::hedging_config();
-  config.can_copy = false;
+  config.can_hedge = false;
   FakeHost host(config);
   host.request(1, 0, 5);
   host.advance(3'000 * kMs);
@@ -42,7 +42,7 @@
 TEST(RequestExecution, UnsafeRequestsAreRetriedOnlyWhenNothingRan) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 3, 5);
-  host.result(0, Outcome::full);
+  host.result(0, Outcome::overloaded);
   EXPECT_EQ(host.sends_of(1), 2U);
   host.result(1, Outcome::reset);
   EXPECT_EQ(host.sends_of(1), 2U);
@@ -86,7 +86,7 @@
 TEST(RequestExecution, ACancelledRequestIsLeftAlone) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 5);
-  host.router.on_withdrawn(host.now, 1);
+  host.router.on_cancelled(host.now, 1);
   host.result(0, Outcome::cancelled);
   host.advance(5'000 * kMs);
   EXPECT_EQ(host.sends.size(), 1U);
@@ -100,7 +100,7 @@
   for (int round = 0; round < 40; ++round) {
     host.request(++id, 0, 42);
     const std::size_t first = host.sends.size() - 1;
-    host.result(first, Outcome::spoilt);
+    host.result(first, Outcome::malformed);
     ASSERT_EQ(host.sends.size(), first + 2);
     EXPECT_EQ(host.sends[first + 1].server, host.sends[first].server);
     ++asked[host.sends[first].server];
@@ -134,14 +134,14 @@
   for (int i = 0; i < 30; ++i) {
     for (std::size_t send = 0; send < host.sends.size(); ++send)
       if (host.sends[send].live)
-        host.result(send, host.sends[send].server == bad ? Outcome::spoilt : Outcome::served);
+        host.result(send, host.sends[send].server == bad ? Outcome::malformed : Outcome::served);
     host.request(++id, 0, 42);
   }
   EXPECT_NE(host.sends.back().server, bad);
 }
 
 TEST(BrokenAnswers, AnUnsafeRequestIsNotRetriedAndOneWithAnIdempotencyKeyOnlyWithinItsWindow) {
-  for (const Outcome how : {Outcome::spoilt, Outcome::reset}) {
+  for (const Outcome how : {Outcome::malformed, Outcome::reset}) {
     FakeHost host(FakeHost::hedging_config());
     for (const std::uint32_t request_class : {2U, 3U}) {
       host.request(request_class, request_class, 42);
@@ -165,7 +165,7 @@
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 10; ++id) {
     host.request(id, 0, 42);
-    host.result(host.sends.size() - 1, Outcome::rejected);
+    host.result(host.sends.size() - 1, Outcome::invalid_request);
     EXPECT_EQ(host.ended[id], "failed");
     EXPECT_EQ(host.sends.back().server, host.sends.front().server);
   }
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -15,7 +15,7 @@
 // grow. They are spread, so that a fleet does not come back as one.
 TEST(Discovery, PollsAgainAfterFailuresWithIntervalsThatStayShortAndDiffer) {
   Config config = FakeHost::hedging_config();
-  config.must_ask = true;
+  config.polls_discovery = true;
   FakeHost host(config);
   host.router.on_members(host.now, Update::stale, host.list);
   std::vector<Time> gaps;
@@ -61,10 +61,12 @@
   };
   EXPECT_EQ(reason([](Config&) {}), "");
   EXPECT_NE(reason([](Config& c) { c.classes.clear(); }).find("no request class"), std::string::npos);
-  EXPECT_NE(reason([](Config& c) { c.classes[1].aim = 0; }).find("class 1: aim"), std::string::npos);
+  EXPECT_NE(reason([](Config& c) { c.classes[1].latency_objective = 0; }).find("class 1: aim"),
+            std::string::npos);
   EXPECT_NE(reason([](Config& c) { c.classes[0].deadline = -1; }).find("deadline"), std::string::npos);
   EXPECT_NE(reason([](Config& c) { c.max_attempts = 0; }).find("max_attempts"), std::string::npos);
-  EXPECT_NE(reason([](Config& c) { c.cold_share = 1.5; }).find("cold_share"), std::string::npos);
+  EXPECT_NE(reason([](Config& c) { c.slow_start_initial_share = 1.5; }).find("cold_share"),
+            std::string::npos);
   EXPECT_NE(reason([](Config& c) { c.keep_alive = -1; }).find("negative"), std::string::npos);
   EXPECT_NE(reason([](Config& c) { c.origin_kind = kNone; }).find("origin_kind"), std::string::npos);
   Config none;
--- a/tests/policy/shares_test.cpp
+++ b/tests/policy/shares_test.cpp
@@ -23,9 +23,9 @@
   FakeHost host(config, 12);
   const auto may_use = [&](double floor, double leased, Time until) {
     Shares own;
-    own.origin_floor = floor;
+    own.origin_reserved = floor;
     own.origin_leased = leased;
-    own.origin_until = until;
+    own.origin_lease_end = until;
     host.router.on_shares(host.now, own);
   };
   may_use(1, 1, host.now + 100 * kMs);
@@ -33,8 +33,8 @@
   for (int i = 0; i < 8; ++i) host.request(++id, 0, id * 7919);
   miss_all(host);
   EXPECT_EQ(at_origin(host), 2U);
-  EXPECT_EQ(host.router.origin_work().out, 2);
-  EXPECT_EQ(host.router.origin_work().waiting, 6U);
+  EXPECT_EQ(host.router.origin_work().in_flight, 2);
+  EXPECT_EQ(host.router.origin_work().queued, 6U);
   // The lease has ended, and nothing was told since: an answer makes no room beyond the floor.
   host.now += 100 * kMs;
   for (std::size_t i = 0; i < host.sends.size(); ++i)
--- a/tests/policy/slots_test.cpp
+++ b/tests/policy/slots_test.cpp
@@ -8,7 +8,7 @@
 
 Config with_hedging() {
   Config config = FakeHost::aside_config();
-  config.can_copy = config.can_cancel = true;
+  config.can_hedge = config.can_cancel = true;
   return config;
 }
 
--- a/tests/policy/slow_start_world.h
+++ b/tests/policy/slow_start_world.h
@@ -60,7 +60,7 @@
   double hot_share = 0;                      ///< of all requests: one key whose server is the starting one
   Time hot_after = 0;                        ///< from this time after the start on
   double failed_share = 0;                   ///< of attempts, so that they are retried
-  std::vector<Outcome> failures = {Outcome::reset, Outcome::error, Outcome::full};  ///< how those end
+  std::vector<Outcome> failures = {Outcome::reset, Outcome::error, Outcome::overloaded};  ///< how those end
   bool fills = false;            ///< look-aside caches with an origin; the starting one is empty
   bool uneven = false;           ///< one router in ten gets five times the traffic of the others
   bool routers_restart = false;  ///< all routers start with the server
@@ -133,9 +133,9 @@
     void cancel(RequestId request, std::uint32_t attempt) override {
       world.finish_at(world.now_, *this, request, attempt, kNone, Outcome::cancelled);
     }
-    void refuse(RequestId request, Time) override { attempts.erase(request); }
+    void reject(RequestId request, Time) override { attempts.erase(request); }
     void fail(RequestId request) override { attempts.erase(request); }
-    void watch_members() override {}
+    void poll_discovery() override {}
     SlowStartWorld& world;
     std::size_t number;
     Time told_of = 0;  // the last start that this router has been told of
@@ -193,18 +193,18 @@
     Config out;
     out.routers = static_cast<std::uint32_t>(scenario_.routers);
     out.max_attempts = 3;
-    out.aside = scenario_.fills;
+    out.cache_aside = scenario_.fills;
     out.origin_kind = scenario_.fills ? kOriginKind : kNone;
     out.can_cancel = true;
-    out.can_copy = true;
+    out.can_hedge = true;
     out.answer_slack = 20 * kWorldMillisecond;
     out.max_retry_after = 2 * kWorldSecond;
-    out.dial_time_out = 250 * kWorldMillisecond;
+    out.connect_timeout = 250 * kWorldMillisecond;
     out.keep_alive = 60 * kWorldSecond;
-    out.cold_share = kColdShare;
-    out.cold_time = kColdTime;
-    out.fall_multiple = scenario_.overload_factor;
-    out.fall_time = kLoadWindow;
+    out.slow_start_initial_share = kColdShare;
+    out.slow_start_duration = kColdTime;
+    out.slow_start_overload_factor = scenario_.overload_factor;
+    out.slow_start_overload_window = kLoadWindow;
     out.classes = {{800 * kWorldMillisecond, kPatience, 5, Effect::safe, Group::all, 0}};
     return out;
   }
@@ -214,9 +214,9 @@
     struct FirstServer final : ActionSink {
       void send(RequestId, ServerId server, Time) override { first = server; }
       void cancel(RequestId, std::uint32_t) override {}
-      void refuse(RequestId, Time) override {}
+      void reject(RequestId, Time) override {}
       void fail(RequestId) override {}
-      void watch_members() override {}
+      void poll_discovery() override {}
       ServerId first = kNone;
     };
     FirstServer sink;
@@ -226,7 +226,7 @@
       const std::uint64_t key = random_();
       probe.on_request(kBegin, make_request(id, key, kBegin));
       if (sink.first == kStarting) return key;
-      probe.on_withdrawn(kBegin, id);
+      probe.on_cancelled(kBegin, id);
       AttemptResult withdrawn;
       withdrawn.request = id;
       withdrawn.server = sink.first;
@@ -357,7 +357,7 @@
     out.attempt = result.attempt;
     out.server = result.server;
     out.outcome = result.outcome;
-    out.took = 50 * kWorldMillisecond;
+    out.duration = 50 * kWorldMillisecond;
     if (result.outcome == Outcome::served) {
       host.attempts.erase(result.request);
       if (result.server == scenario_.servers) store(open_[result.request]);
--- a/tests/policy/world.h
+++ b/tests/policy/world.h
@@ -99,9 +99,9 @@
     Time takes = 1 + static_cast<Time>(random_() % static_cast<std::uint64_t>(2 * shape_.work));
     if (server == kWorldOrigin) takes *= 4;
     if (luck < static_cast<std::uint64_t>(shape_.trouble)) {
-      constexpr Outcome kinds[] = {Outcome::error,          Outcome::full,   Outcome::reset,
-                                   Outcome::connect_failed, Outcome::spoilt, Outcome::timeout,
-                                   Outcome::rejected};
+      constexpr Outcome kinds[] = {Outcome::error,          Outcome::overloaded, Outcome::reset,
+                                   Outcome::connect_failed, Outcome::malformed,  Outcome::timeout,
+                                   Outcome::invalid_request};
       outcome = kinds[random_() % 7];
     }
     const Time since = now_ - kStart;
@@ -124,7 +124,7 @@
     found->second.outcome = Outcome::cancelled;
     at(now_, Kind::result, request, attempt);
   }
-  void refuse(RequestId request, Time retry_after) override {
+  void reject(RequestId request, Time retry_after) override {
     ++tally_.refused;
     act(3, request, 0, retry_after);
     if (shape_.come_back && retry_after > 0 && again_.insert(request).second)
@@ -137,7 +137,7 @@
     end(request);
   }
   void close_idle(ServerId server) override { act(5, 0, server, 0); }
-  void watch_members() override { act(6, 0, 0, 0); }
+  void poll_discovery() override { act(6, 0, 0, 0); }
 
  private:
   enum class Kind : std::uint8_t { arrival, result, leave, change, again };
@@ -168,16 +168,16 @@
     out.origin_kind = 9;
     out.routers = 2;
     out.max_attempts = 3;
-    out.aside = true;
+    out.cache_aside = true;
     out.can_cancel = true;
-    out.can_copy = true;
+    out.can_hedge = true;
     out.answer_slack = 20 * kWorldMs;
     out.max_retry_after = 2'000 * kWorldMs;
-    out.dial_time_out = 250 * kWorldMs;
+    out.connect_timeout = 250 * kWorldMs;
     out.keep_alive = 60'000 * kWorldMs;
     out.connection_cost = 0.03;
-    out.cold_share = 0.2;
-    out.cold_time = 10'000 * kWorldMs;
+    out.slow_start_initial_share = 0.2;
+    out.slow_start_duration = 10'000 * kWorldMs;
     out.classes = {{200 * kWorldMs, 1'000 * kWorldMs, 5, Effect::safe, Group::all, 0},
                    {400 * kWorldMs, 900 * kWorldMs, 2, Effect::keyed, Group::all, 500 * kWorldMs},
                    {400 * kWorldMs, 900 * kWorldMs, 1, Effect::unsafe, Group::all, 0}};
@@ -217,7 +217,7 @@
     Time& next = *std::min_element(free.begin(), free.end());
     const Time waits = std::max<Time>(0, next - now_);
     if (waits > length * shape_.line / slots) {
-      outcome = Outcome::full;
+      outcome = Outcome::overloaded;
       takes = kWorldMs;
       return;
     }
@@ -244,7 +244,7 @@
       case Kind::change: return change();
       case Kind::again: return ask(false);
       case Kind::leave:
-        if (open_.erase(event.request) > 0) router_.on_withdrawn(now_, event.request);
+        if (open_.erase(event.request) > 0) router_.on_cancelled(now_, event.request);
         return;
       case Kind::result: break;
     }
@@ -257,8 +257,8 @@
     result.attempt = event.attempt;
     result.server = out.server;
     result.outcome = out.outcome;
-    result.took = now_ - out.sent;
-    if (out.server == kWorldOrigin && shape_.slots > 0 && out.outcome != Outcome::full) --at_origin_;
+    result.duration = now_ - out.sent;
+    if (out.server == kWorldOrigin && shape_.slots > 0 && out.outcome != Outcome::overloaded) --at_origin_;
     if (const auto open = open_.find(event.request); out.outcome == Outcome::served && open != open_.end()) {
       ++tally_.served;
       if (now_ - open->second.came <= open->second.aim)
--- a/tests/raw_client.h
+++ b/tests/raw_client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <thread>
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 struct RawClient {
   enum class Way { fin, reset };
@@ -62,4 +62,4 @@
   error_code end;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/resp/accounting_test.cpp
+++ b/tests/resp/accounting_test.cpp
@@ -4,7 +4,7 @@
 
 #include "resp/resp_loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 // Asks for what it has a plan for, some at a time on one connection, and checks each reply as it comes.
@@ -183,7 +183,7 @@
         EXPECT_TRUE(wait_for([&] { return http->answers.size() == static_cast<std::size_t>(i + 1); }));
       }
     }
-    const Counters& all = host->counts();
+    const engine::Counters& all = host->counts();
     kinds = "asked " + std::to_string(all.requests) + " served " + std::to_string(all.served) + " refused " +
             std::to_string(all.refused) + " failed " + std::to_string(all.failed) + " attempts " +
             std::to_string(all.attempts) + " outcomes";
@@ -198,4 +198,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/resp/commands_test.cpp
+++ b/tests/resp/commands_test.cpp
@@ -43,11 +43,11 @@
 }
 
 TEST(RespCommands, WhatCantBeKeptTruthfullyIsSaidClearly) {
-  TableSettings aside;
-  aside.aside = true;
+  TableSettings cache_aside;
+  cache_aside.cache_aside = true;
   const std::vector<std::tuple<std::vector<std::string>, TableSettings, std::string>> cases = {
-      {{"SET", "k", "v", "EX", "10"}, aside, "ERR an expiry can't be kept"},
-      {{"SET", "k", "v", "KEEPTTL"}, aside, "ERR an expiry can't be kept"},
+      {{"SET", "k", "v", "EX", "10"}, cache_aside, "ERR an expiry can't be kept"},
+      {{"SET", "k", "v", "KEEPTTL"}, cache_aside, "ERR an expiry can't be kept"},
       {{"SET", "k", "v", "NX", "XX"}, {}, "ERR syntax error"},
       {{"SET", "k", "v", "EX"}, {}, "ERR syntax error"},
       {{"SET", "k", "v", "EX", "0"}, {}, "ERR invalid expire"},
@@ -104,8 +104,8 @@
 
 TEST(RespCommands, MissesAreSpelledAsTheCommandHasThem) {
   const auto absent = [](const char* name) {
-    node::Reply reply;
-    reply.absent = true;
+    engine::Response reply;
+    reply.not_found = true;
     return spell(*find_command(name), std::move(reply));
   };
   EXPECT_TRUE(absent("GET").is_null());
@@ -117,19 +117,19 @@
 TEST(RespCommands, RefusedAndFailedAreToldApart) {
   const Command& get = *find_command("GET");
   const Command& set = *find_command("SET");
-  EXPECT_EQ(spell(set, {.kind = node::Reply::Kind::refused, .retry_after = 249'001}).text,
+  EXPECT_EQ(spell(set, {.kind = engine::Response::Kind::rejected, .retry_after = 249'001}).text,
             "TRYAGAIN refused, nothing ran; come back in 250 ms");
   EXPECT_EQ(spell(set, {.late = true, .may_have_run = true}).text,
             "TIMEOUT no answer in time; it may have run");
   EXPECT_EQ(spell(set, {}).text, "UNAVAILABLE failed; nothing ran");
   // A repeat does no harm only under the KEY that its servers know.
-  const node::Reply::Kind refused = node::Reply::Kind::refused;
+  const engine::Response::Kind refused = engine::Response::Kind::rejected;
   EXPECT_EQ(spell(set, {.kind = refused, .may_have_run = true}, true).text,
             "TRYAGAIN refused, it may have run: repeat it with its KEY");
   EXPECT_EQ(spell(set, {.kind = refused, .may_have_run = true}).text, "UNAVAILABLE failed; it may have run");
   EXPECT_EQ(spell(get, {.kind = refused, .may_have_run = true}).text, "TRYAGAIN refused");
   EXPECT_EQ(spell(get, {.may_have_run = true}).text, "UNAVAILABLE failed");
-  EXPECT_EQ(spell(get, {.why = "WRONGTYPE not a string"}).text, "WRONGTYPE not a string");
+  EXPECT_EQ(spell(get, {.error_message = "WRONGTYPE not a string"}).text, "WRONGTYPE not a string");
 }
 
 TEST(RespCommands, PartsAreGatheredAndFailedOnesNamed) {
--- a/tests/resp/conversation_test.cpp
+++ b/tests/resp/conversation_test.cpp
@@ -16,9 +16,9 @@
     talk.written();
     return bytes;
   }
-  static node::Reply served(const std::string& body) {
-    node::Reply reply;
-    reply.kind = node::Reply::Kind::served;
+  static engine::Response served(const std::string& body) {
+    engine::Response reply;
+    reply.kind = engine::Response::Kind::served;
     reply.answer.body = body;
     return reply;
   }
@@ -133,8 +133,8 @@
   const auto asks = talk.take_asks();
   ASSERT_EQ(asks.size(), 3U);
   for (std::size_t i = 3; i-- > 0;) {
-    node::Reply absent;
-    absent.absent = true;
+    engine::Response absent;
+    absent.not_found = true;
     talk.answered(asks[i].tag, std::move(absent));
   }
   const std::string all = out();
--- a/tests/resp/ends_test.cpp
+++ b/tests/resp/ends_test.cpp
@@ -5,7 +5,7 @@
 #include "raw_client.h"
 #include "resp/resp_loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 class RespEnds : public RespLoopback {
@@ -25,7 +25,7 @@
   void drain() {
     host->drain([this] { done = true; });
   }
-  void send_clients_away() {
+  void set_draining() {
     host->operators().answer({management::Command::Kind::leave, {}}, [](const std::string&) {});
   }
   bool has(Raw& one, const std::string& text) {
@@ -149,7 +149,7 @@
   }
   // Ahead of all that has become due in a second.
   asio::steady_timer first(io, std::chrono::steady_clock::time_point{});
-  first.async_wait([&](error_code) { one->deliver(get("k")); });
+  first.async_wait([&](net::error_code) { one->deliver(get("k")); });
   std::this_thread::sleep_for(std::chrono::seconds(1));
   ASSERT_TRUE(has(*one, value + value));
   ASSERT_TRUE(ended(*two));
@@ -169,7 +169,7 @@
   }
   quiet(20);
   asking->deliver(get("k") + get("k"));
-  send_clients_away();
+  set_draining();
   expect_that_crossing_commands_are_not_run(*resting, value, 4);
   ASSERT_TRUE(ended(*asking));
   EXPECT_EQ(asking->got, value + value + value);
@@ -180,7 +180,7 @@
   start_ends();
   const auto before = raw();
   quiet(20);
-  send_clients_away();
+  set_draining();
   const auto after = raw();
   quiet(150);
   for (Raw* each : {before.get(), after.get()}) {
@@ -329,4 +329,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/resp/held_up_test.cpp
+++ b/tests/resp/held_up_test.cpp
@@ -4,7 +4,7 @@
 
 #include "resp/resp_loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 constexpr int kHoldUpUs = 150'000, kPastTheHedgeUs = 900'000;
@@ -18,7 +18,7 @@
       one.peer->close();
     } else {
       blocker.expires_after(std::chrono::microseconds(0));
-      blocker.async_wait([&one](error_code) {
+      blocker.async_wait([&one](net::error_code) {
         one.peer->close();
         ::usleep(kHoldUpUs);
       });
@@ -70,9 +70,11 @@
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), 1U);
 }
 
-struct Ended final : AttemptObserver {
-  void on_attempt_ended(AttemptId, Outcome outcome, Answer) override { outcomes.push_back(outcome); }
-  std::optional<Time> may_write(AttemptId) override {
+struct Ended final : engine::AttemptObserver {
+  void on_attempt_ended(engine::AttemptId, Outcome outcome, engine::Answer) override {
+    outcomes.push_back(outcome);
+  }
+  std::optional<Time> may_write(engine::AttemptId) override {
     return wanted ? std::optional<Time>(kNever) : std::nullopt;
   }
   std::vector<Outcome> outcomes;
@@ -87,7 +89,7 @@
     servers.rules.send_ids = true;
     servers.connections = 1;
     transport.set_address(text_of(acceptor.local_endpoint()));
-    acceptor.async_accept(server, [](error_code) {});
+    acceptor.async_accept(server, [](net::error_code) {});
   }
   void send(std::uint32_t number, Time expires) { transport.send({1, number}, message, expires, kNever); }
   // Reads what is there.
@@ -95,7 +97,7 @@
     server.non_blocking(true);
     std::string out;
     std::vector<char> chunk(1'000'000);
-    error_code error;
+    net::error_code error;
     while (!error) out.append(chunk.data(), server.read_some(asio::buffer(chunk), error));
     return out;
   }
@@ -106,7 +108,7 @@
       if (server.is_open()) got += take();
       return got.find("HELLO") != std::string::npos;
     }));
-    error_code ignored;
+    net::error_code ignored;
     asio::write(server, asio::buffer(std::string("%1\r\n+server\r\n+x\r\n")), ignored);
     quiet(20);
   }
@@ -125,19 +127,19 @@
     return out;
   }
 
-  tcp::acceptor acceptor{io, any_port()};
-  tcp::socket server{io};
-  Links links;
+  net::tcp::acceptor acceptor{io, any_port()};
+  net::tcp::socket server{io};
+  net::Links links;
   Ended ended;
   resp::ServerSettings servers;
   resp::ServerCounts counts;
   resp::RespTransport transport{io, clock, links, ended, servers, counts, "c-0", false};
-  std::shared_ptr<Message> message = std::make_shared<Message>();
+  std::shared_ptr<engine::Message> message = std::make_shared<engine::Message>();
 };
 
 TEST_F(ToldToResp, BehindAHoldUpWithinABatchTheTimeIsReadAnew) {
   message->key = "k";
-  message->txn = "9b1f03aa5c7e2d41";
+  message->transaction_id = "9b1f03aa5c7e2d41";
   send(0, clock.now() + 8'000'000);
   greet();
   take();
@@ -156,9 +158,9 @@
 }
 
 TEST_F(ToldToResp, OfACommandThatIsHalfOutTheRestDoesNotFollowLateOrForNobody) {
-  message->operation = Operation::write;
+  message->operation = engine::Operation::write;
   message->key = "k";
-  message->txn = "9b1f03aa5c7e2d41";
+  message->transaction_id = "9b1f03aa5c7e2d41";
   message->body = std::string(8'000'000, 'x');
   for (const bool late : {true, false}) {
     SCOPED_TRACE(late ? "late" : "for nobody");
@@ -172,10 +174,10 @@
     EXPECT_EQ(ended.outcomes.back(), Outcome::connect_failed);
     ended.wanted = true;
     server.close();
-    acceptor.async_accept(server, [](error_code) {});
+    acceptor.async_accept(server, [](net::error_code) {});
     quiet(20);
   }
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/resp/loopback_test.cpp
+++ b/tests/resp/loopback_test.cpp
@@ -4,7 +4,7 @@
 
 #include "resp/resp_loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 // ---- A RESP front over HTTP caches
@@ -291,7 +291,7 @@
   one->raw(command({"GET", "b"}) + command({"GET", "a"}) + command({"GET", "b"}) + command({"GET", "b"}));
   ASSERT_TRUE(wait_for([&] { return one->replies.size() == 4; }));
   for (const std::size_t i : {0U, 2U, 3U}) EXPECT_EQ(one->reply(i), Value::blob("2"));
-  EXPECT_GE(outcomes(Outcome::spoilt), 1U);
+  EXPECT_GE(outcomes(Outcome::malformed), 1U);
   EXPECT_GE(host->resp_servers().pushes, 1U);
 }
 
@@ -344,11 +344,11 @@
   EXPECT_LE(caches[0]->commands, before);
 }
 
-struct Heard final : AttemptObserver {
-  void on_attempt_ended(AttemptId attempt, Outcome outcome, Answer) override {
+struct Heard final : engine::AttemptObserver {
+  void on_attempt_ended(engine::AttemptId attempt, Outcome outcome, engine::Answer) override {
     ended.emplace_back(attempt, outcome);
   }
-  std::vector<std::pair<AttemptId, Outcome>> ended;
+  std::vector<std::pair<engine::AttemptId, Outcome>> ended;
 };
 
 // The drain counts from first bytes: what waited for its connection past the grace must not go out.
@@ -358,20 +358,20 @@
     return nth == 1 ? Fault{Fault::Kind::stall} : Fault{};
   };
   Heard heard;
-  Links links;
+  net::Links links;
   links.most_connections = 8;
   resp::ServerSettings one_at_a_time;
   one_at_a_time.connections = one_at_a_time.pipeline = 1;
   resp::ServerCounts counts;
   resp::RespTransport transport(io, clock, links, heard, one_at_a_time, counts, "c-0", false);
   transport.set_address(caches[0]->address());
-  const auto message = std::make_shared<Message>();
+  const auto message = std::make_shared<engine::Message>();
   message->key = "k";
   for (std::uint32_t i = 0; i < 2; ++i) transport.send({1, i}, message, clock.now() + 8'000'000, kNever);
   ASSERT_TRUE(wait_for([&] { return caches[0]->commands == 1; }));
-  transport.send_nothing_from(clock.now());
-  transport.void_copy("k");
-  transport.keep("k", "v");
+  transport.stop_sending_at(clock.now());
+  transport.invalidate("k");
+  transport.fill_cache("k", "v");
   caches[0]->release();
   ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 2; }));
   // What waits is free at once, before the one ahead of it is answered.
@@ -384,13 +384,13 @@
 TEST_F(RespLoopback, WithNoDescriptorOrNoPlaceToWaitAnAttemptNeverRan) {
   add_caches(1);
   Heard heard;
-  Links links;  // none for servers
+  net::Links links;  // none for servers
   resp::ServerSettings servers;
   servers.waiting = 1;
   resp::ServerCounts counts;
   resp::RespTransport transport(io, clock, links, heard, servers, counts, "c-0", false);
   transport.set_address(caches[0]->address());
-  const auto message = std::make_shared<Message>();
+  const auto message = std::make_shared<engine::Message>();
   transport.send({1, 0}, message, clock.now() + 8'000'000, kNever);
   EXPECT_TRUE(heard.ended.empty());  // never from within send()
   ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 1; }));
@@ -412,13 +412,13 @@
   caches[0]->values["k"] = "here";
   before.values["k"] = "gone";
   Heard heard;
-  Links links;
+  net::Links links;
   links.most_connections = 8;
   resp::ServerSettings servers;
   resp::ServerCounts counts;
   resp::RespTransport transport(io, clock, links, heard, servers, counts, "c-0", false);
   transport.set_address(before.address());
-  const auto message = std::make_shared<Message>();
+  const auto message = std::make_shared<engine::Message>();
   message->key = "k";
   transport.send({1, 0}, message, clock.now() + 8'000'000, kNever);
   transport.set_address(caches[0]->address());
@@ -435,7 +435,7 @@
   const auto first = resp_client();
   first->ask({"GET", "k"});
   ASSERT_TRUE(wait_for([&] { return first->replies.size() == 1; }));
-  tcp::socket late(io);
+  net::tcp::socket late(io);
   late.connect(host->resp()->address());  // in the listener's queue: the loop has not run since
   rlimit usual{};
   getrlimit(RLIMIT_NOFILE, &usual);
@@ -513,13 +513,13 @@
   add_caches(1);
   caches[0]->values["k"] = std::string(8'000, 'x');
   start_resp();
-  tcp::socket deaf(io);
-  deaf.open(tcp::v4());
+  net::tcp::socket deaf(io);
+  deaf.open(net::tcp::v4());
   deaf.set_option(asio::socket_base::receive_buffer_size(4096));
   deaf.connect(host->resp()->address());
   auto bytes = std::make_shared<std::string>();
   for (int i = 0; i < 10'000; ++i) *bytes += command({"GET", "k"});
-  asio::async_write(deaf, asio::buffer(*bytes), [bytes](error_code, std::size_t) {});
+  asio::async_write(deaf, asio::buffer(*bytes), [bytes](net::error_code, std::size_t) {});
   ASSERT_TRUE(wait_for([&] { return caches[0]->commands >= 64; }));
   quiet(300);
   const std::uint64_t taken = host->counts().requests;
@@ -540,7 +540,7 @@
   const auto one = resp_client();
   auto bytes = std::make_shared<std::string>();
   for (int i = 0; i < 10'000; ++i) *bytes += command({"GET", "k" + std::to_string(i % 100)});
-  asio::async_write(one->peer->socket, asio::buffer(*bytes), [bytes](error_code, std::size_t) {});
+  asio::async_write(one->peer->socket, asio::buffer(*bytes), [bytes](net::error_code, std::size_t) {});
   ASSERT_TRUE(wait_for([&] { return one->replies.size() == 10'000; })) << one->replies.size();
   std::size_t wrong = 0;
   for (std::size_t i = 0; i < 10'000; ++i)
@@ -560,7 +560,7 @@
   ASSERT_TRUE(wait_for([&] { return host->counts().requests == 100; }));
   ASSERT_TRUE(wait_for([&] { return commands() + caches[0]->unreplied() + caches[1]->unreplied() >= 16; }));
   one.reset();
-  const Counters& counts = host->counts();
+  const engine::Counters& counts = host->counts();
   ASSERT_TRUE(wait_for([&] { return counts.cancelled_by_client + counts.refused + counts.failed == 100; }));
   EXPECT_GT(counts.cancelled_by_client, 50U);
   quiet(50);
@@ -568,7 +568,7 @@
   for (const auto& cache_ : caches) cache_->release();
   quiet(1'500);
   EXPECT_EQ(host->counts().attempts, attempts);
-  EXPECT_EQ(host->resp()->open(), 0U);
+  EXPECT_EQ(host->resp()->open_connections(), 0U);
 }
 
 TEST_F(RespLoopback, BadInputGetsAnErrorAndTheCloseAndNobodyElseNotices) {
@@ -587,7 +587,7 @@
     const auto bad = resp_client();
     auto keep = std::make_shared<std::string>(bytes);
     asio::async_write(bad->peer->socket, asio::buffer(*keep),
-                      [keep, peer = bad->peer](error_code, std::size_t) {});
+                      [keep, peer = bad->peer](net::error_code, std::size_t) {});
     ASSERT_TRUE(wait_for([&] { return bad->peer->ended; })) << bytes.substr(0, 60);
     ASSERT_EQ(bad->replies.size(), 1U) << bytes.substr(0, 60);
     EXPECT_EQ(bad->reply(0).text.rfind("ERR Protocol error: ", 0), 0U) << bad->reply(0).text;
@@ -740,9 +740,9 @@
   ASSERT_TRUE(wait_for([&] { return again->replies.size() == 1; }));
   quiet();
   EXPECT_FALSE(again->peer->ended);
-  EXPECT_EQ(host->operators().dump().classes.at("read").success, 2U);
+  EXPECT_EQ(host->operators().dump().classes.at("read").served, 2U);
   EXPECT_EQ(host->operators().dump().backend_calls, cache.requests.size());
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/resp/options_test.cpp
+++ b/tests/resp/options_test.cpp
@@ -8,7 +8,7 @@
 
 #include "resp/resp_loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 std::string error_of(const std::string& toml, const nlohmann::json& change = {}) {
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/resp/pipeline_test.cpp
+++ b/tests/resp/pipeline_test.cpp
@@ -6,8 +6,8 @@
 namespace streampick::resp::test {
 namespace {
 
-using node::AttemptId;
-using node::Operation;
+using engine::AttemptId;
+using engine::Operation;
 
 class PipelineTest : public ::testing::Test {
  protected:
@@ -25,7 +25,7 @@
   std::size_t read(RequestId id, const std::string& key = "k") { return send(id, Operation::read, key); }
   std::size_t save(RequestId id) { return send(id, Operation::write, "k"); }
   std::size_t send(RequestId id, Operation operation, const std::string& key) {
-    auto message = std::make_shared<node::Message>();
+    auto message = std::make_shared<engine::Message>();
     message->operation = operation;
     message->key = key;
     message->body = "v";
@@ -45,12 +45,12 @@
     switch (outcome) {
       case Outcome::served: return "served";
       case Outcome::miss: return "miss";
-      case Outcome::full: return "full";
+      case Outcome::overloaded: return "full";
       case Outcome::reset: return "reset";
       case Outcome::connect_failed: return "connect_failed";
       case Outcome::not_sent: return "not_sent";
-      case Outcome::spoilt: return "spoilt";
-      case Outcome::rejected: return "rejected";
+      case Outcome::malformed: return "spoilt";
+      case Outcome::invalid_request: return "rejected";
       case Outcome::error: return "error";
       default: return "other";
     }
@@ -196,13 +196,20 @@
 
 TEST_F(PipelineTest, ErrorsSayWhatHasRun) {
   const std::vector<std::pair<const char*, Outcome>> table = {
-      {"LOADING x", Outcome::full},      {"BUSY x", Outcome::full},
-      {"MOVED 1 a:1", Outcome::full},    {"READONLY x", Outcome::full},
-      {"OOM x", Outcome::full},          {"NOAUTH x", Outcome::full},
-      {"DRAINING x", Outcome::full},     {"MASTERDOWN x", Outcome::full},
-      {"CLUSTERDOWN x", Outcome::full},  {"WRONGTYPE x", Outcome::rejected},
-      {"ERR syntax", Outcome::rejected}, {"ERR max number of clients reached", Outcome::full},
-      {"IOERR x", Outcome::error},       {"", Outcome::error},
+      {"LOADING x", Outcome::overloaded},
+      {"BUSY x", Outcome::overloaded},
+      {"MOVED 1 a:1", Outcome::overloaded},
+      {"READONLY x", Outcome::overloaded},
+      {"OOM x", Outcome::overloaded},
+      {"NOAUTH x", Outcome::overloaded},
+      {"DRAINING x", Outcome::overloaded},
+      {"MASTERDOWN x", Outcome::overloaded},
+      {"CLUSTERDOWN x", Outcome::overloaded},
+      {"WRONGTYPE x", Outcome::invalid_request},
+      {"ERR syntax", Outcome::invalid_request},
+      {"ERR max number of clients reached", Outcome::overloaded},
+      {"IOERR x", Outcome::error},
+      {"", Outcome::error},
       {"BUSYx", Outcome::error}};
   for (const auto& [text, outcome] : table) EXPECT_EQ(outcome_of_error(text), outcome) << text;
 }
@@ -238,11 +245,11 @@
 
 TEST_F(PipelineTest, IdsKeysAndDeadlinesAreToldToServersThatReadThem) {
   rules.send_ids = true;
-  auto message = std::make_shared<node::Message>();
+  auto message = std::make_shared<engine::Message>();
   message->operation = Operation::write;
   message->key = "k";
   message->body = "v";
-  message->txn = "0011223344556677";
+  message->transaction_id = "0011223344556677";
   message->idempotency_key = "i";
   pipe.send({1, 0}, *message, 1'500'000);
   EXPECT_EQ(pipe.output(),
@@ -254,7 +261,7 @@
   Pipeline source(rules, false);
   source.written(source.output().size());
   source.put("%0\r\n");
-  auto message = std::make_shared<node::Message>();
+  auto message = std::make_shared<engine::Message>();
   message->key = "k";
   source.send({1, 0}, *message, 1'000'000);
   source.written(source.output().size());
@@ -262,7 +269,7 @@
   const auto all = source.take_ended();
   ASSERT_EQ(all.size(), 1U);
   EXPECT_EQ(all[0].outcome, Outcome::served);
-  EXPECT_EQ(all[0].answer.form, node::Answer::Form::nothing);
+  EXPECT_EQ(all[0].answer.form, engine::Answer::Form::nothing);
 }
 
 }  // namespace
--- a/tests/resp/resp_loopback.h
+++ b/tests/resp/resp_loopback.h
@@ -13,7 +13,7 @@
 #include "resp/print.h"
 #include "standin/resp_cache.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 
 using resp::Value;
 using standin::Fault;
@@ -27,8 +27,8 @@
 
 class RespClient {
  public:
-  RespClient(asio::io_context& io, const tcp::endpoint& to) {
-    tcp::socket socket(io);
+  RespClient(asio::io_context& io, const net::tcp::endpoint& to) {
+    net::tcp::socket socket(io);
     socket.connect(to);
     peer = std::make_shared<Peer>(std::move(socket));
     peer->read([this](Peer& from) {
@@ -72,10 +72,10 @@
     nlohmann::json config = config_json(text_of(discovery.local_endpoint()), known);
     config["limits"]["sockets"] = sockets;
     adjust(config);
-    settings = parse_settings(config.dump());
-    Options options = parse_options(toml, "test.toml");
-    resolve(options, settings);
-    host = std::make_unique<Host>(io, clock, settings, options);
+    settings = platform::parse_settings(config.dump());
+    platform::Options options = platform::parse_options(toml, "test.toml");
+    platform::resolve(options, settings);
+    host = std::make_unique<daemon::Host>(io, clock, settings, options);
   }
   // HTTP caches and origin behind a RESP front.
   void start_http(const std::string& more = "write_class = \"save\"\n") {
@@ -127,4 +127,4 @@
   Time kept_ = 0;
 };
 
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/roster/discovery_test.cpp
+++ b/tests/roster/discovery_test.cpp
@@ -2,7 +2,7 @@
 #include "loopback.h"
 #include "roster/watch_times.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 class Watched : public Loopback {
@@ -186,8 +186,8 @@
   begin();
   chunk("\n");
   const auto old = agent;
-  tcp::acceptor next(io, any_port());
-  NodeSettings anew = settings;
+  net::tcp::acceptor next(io, any_port());
+  platform::NodeSettings anew = settings;
   anew.discovery = next.local_endpoint();
   host->reload(anew);
   std::swap(discovery, next);
@@ -195,7 +195,7 @@
   begin_watch();
   chunk(only_other(2).dump() + "\n");
   ASSERT_TRUE(read_goes_to(other));
-  error_code ignored;
+  net::error_code ignored;
   const std::string late = list_json(99, true, {{"s-cache", cache.address()}}).dump() + "\n";
   std::array<char, 16> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", late.size());
@@ -222,11 +222,11 @@
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
-  const tcp::endpoint at = discovery.local_endpoint();
+  const net::tcp::endpoint at = discovery.local_endpoint();
   discovery.close();
   agent->close();
   quiet(3'000);  // refused again and again
-  discovery = tcp::acceptor(io, at);
+  discovery = net::tcp::acceptor(io, at);
   const auto back = std::chrono::steady_clock::now();
   accept_watch();
   EXPECT_LE(std::chrono::steady_clock::now() - back,
@@ -267,8 +267,8 @@
         text_of(discovery.local_endpoint()),
         list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}));
     config["settings"]["RegistryMode"] = "ask";
-    settings = parse_settings(config.dump());
-    host = std::make_unique<Host>(io, clock, settings);
+    settings = platform::parse_settings(config.dump());
+    host = std::make_unique<daemon::Host>(io, clock, settings);
     accept_watch();
   }
 };
@@ -325,8 +325,8 @@
 // The origin could not be reached and the next try waits; then it is told to go, and comes back at its
 // address.
 TEST_F(Watched, AServerThatDrainsWhileANextTryWaitsIsSentNothing) {
-  tcp::acceptor shut(io, any_port());
-  const tcp::endpoint nowhere = shut.local_endpoint();
+  net::tcp::acceptor shut(io, any_port());
+  const net::tcp::endpoint nowhere = shut.local_endpoint();
   shut.close();
   start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", text_of(nowhere), "origin"}}));
   accept_watch();
@@ -338,9 +338,9 @@
       [&] { return host->counts().outcomes[static_cast<std::size_t>(Outcome::connect_failed)] == 1; }));
   chunk(list_json(2, false, {{"s-o", text_of(nowhere), "origin", "terminating"}}).dump() + "\n");
   quiet(30);
-  tcp::acceptor back(io, nowhere);
+  net::tcp::acceptor back(io, nowhere);
   bool dialled = false;
-  back.async_accept([&](error_code error, tcp::socket) { dialled = !error; });
+  back.async_accept([&](net::error_code error, net::tcp::socket) { dialled = !error; });
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 503);
   EXPECT_FALSE(dialled);
@@ -393,8 +393,8 @@
   chunk(list_json(90, false, {}).dump() + "\n");
   quiet(30);
   const auto old = agent;
-  tcp::acceptor next(io, any_port());
-  NodeSettings anew = settings;
+  net::tcp::acceptor next(io, any_port());
+  platform::NodeSettings anew = settings;
   anew.discovery = next.local_endpoint();
   host->reload(anew);
   std::swap(discovery, next);
@@ -417,13 +417,13 @@
 TEST_F(Watched, AReloadToADiscoveryThatIsNotUpIsTriedAgain) {
   start();
   accept_watch();
-  tcp::acceptor next(io, any_port());
-  NodeSettings anew = settings;
+  net::tcp::acceptor next(io, any_port());
+  platform::NodeSettings anew = settings;
   anew.discovery = next.local_endpoint();
   next.close();
   host->reload(anew);
   quiet();
-  discovery = tcp::acceptor(io, anew.discovery);
+  discovery = net::tcp::acceptor(io, anew.discovery);
   accept_watch();
   EXPECT_EQ(agent->got.rfind("GET /discovery/hosts?watch=1&after=0 ", 0), 0U);
 }
@@ -472,4 +472,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tests/roster/etcd/client_test.cpp
+++ b/tests/roster/etcd/client_test.cpp
@@ -40,8 +40,8 @@
 std::string key(int i) { return kPrefix + std::to_string(100'000 + i); }
 
 // Keeps what an engine would.
-struct Reader final : node::EndpointListObserver {
-  void on_endpoint_list(const node::EndpointList& list) override {
+struct Reader final : engine::EndpointListObserver {
+  void on_endpoint_list(const engine::EndpointList& list) override {
     ++lists;
     if (list.complete) there.clear();
     for (const auto& one : list.members) {
@@ -54,7 +54,7 @@
     }
   }
   void on_discovery_failed() override { ++failed; }
-  std::map<std::string, node::ListedEndpoint> there;
+  std::map<std::string, engine::ListedEndpoint> there;
   std::vector<std::string> gone;
   int lists = 0, failed = 0;
 };
--- a/tests/roster/etcd/registry_test.cpp
+++ b/tests/roster/etcd/registry_test.cpp
@@ -19,12 +19,12 @@
                           {"cell", 1}, {"phase", phase},       {"size", 1.0},      {"up_since_ms", 0}}
         .dump();
   }
-  std::vector<node::EndpointList> put(const std::string& key, const std::string& text) {
+  std::vector<engine::EndpointList> put(const std::string& key, const std::string& text) {
     ++revision;
     const auto found = created.emplace(key, revision).first;
     return registry.apply({1, revision, false, {}, {{key, text, found->second, revision}}});
   }
-  std::vector<node::EndpointList> remove(const std::string& key) {
+  std::vector<engine::EndpointList> remove(const std::string& key) {
     ++revision;
     const Departure departure{key, created.at(key)};
     created.erase(key);
--- a/tests/roster/etcd/seed_file_test.cpp
+++ b/tests/roster/etcd/seed_file_test.cpp
@@ -38,14 +38,15 @@
   }
   std::string path() const { return folder_.path_of("seed"); }
   /// The recorded roster, and one with a server less.
-  node::EndpointList roster(std::size_t servers = 2) {
-    node::EndpointList list = std::get<node::EndpointList>(decode_seed(kRecorded, names_, kWritten, kMaxAge));
+  engine::EndpointList roster(std::size_t servers = 2) {
+    engine::EndpointList list =
+        std::get<engine::EndpointList>(decode_seed(kRecorded, names_, kWritten, kMaxAge));
     list.members.resize(servers);
     return list;
   }
   std::size_t servers_in_file() const {
     const auto seed = decode_seed(folder_.text_of("seed"), names_, kWritten, kMaxAge);
-    const auto* list = std::get_if<node::EndpointList>(&seed);
+    const auto* list = std::get_if<engine::EndpointList>(&seed);
     return list != nullptr ? list->members.size() : 0;
   }
 
--- a/tests/roster/sources_test.cpp
+++ b/tests/roster/sources_test.cpp
@@ -12,15 +12,15 @@
 namespace streampick::roster {
 namespace {
 
-node::ListedEndpoint server(const std::string& id, Phase phase = Phase::ready,
-                            const std::string& address = "") {
-  node::ListedEndpoint out{id, address.empty() ? "127.0.0.1:1" : address, {}};
+engine::ListedEndpoint server(const std::string& id, Phase phase = Phase::ready,
+                              const std::string& address = "") {
+  engine::ListedEndpoint out{id, address.empty() ? "127.0.0.1:1" : address, {}};
   out.member.identity = hash_name(id);
   out.member.phase = phase;
   return out;
 }
-node::EndpointList list(bool complete, std::vector<node::ListedEndpoint> members) {
-  node::EndpointList out;
+engine::EndpointList list(bool complete, std::vector<engine::ListedEndpoint> members) {
+  engine::EndpointList out;
   out.revision = 1;
   out.complete = complete;
   out.members = std::move(members);
@@ -28,10 +28,10 @@
 }
 
 // Keeps what an engine would: what is there, and how.
-struct Engine final : node::EndpointListObserver {
-  void on_endpoint_list(const node::EndpointList& list) override {
+struct Engine final : engine::EndpointListObserver {
+  void on_endpoint_list(const engine::EndpointList& list) override {
     if (list.complete) {
-      std::map<std::string, node::ListedEndpoint> whole;
+      std::map<std::string, engine::ListedEndpoint> whole;
       for (const auto& one : list.members) whole[one.id] = one;
       for (const auto& [id, one] : there) vanished += whole.contains(id) ? 0 : 1;
       there = std::move(whole);
@@ -53,7 +53,7 @@
     for (const auto& [id, one] : there) out += id + (one.member.phase == Phase::draining ? "- " : " ");
     return out;
   }
-  std::map<std::string, node::ListedEndpoint> there;
+  std::map<std::string, engine::ListedEndpoint> there;
   std::vector<std::string> departures;
   int failed = 0, wholes = 0, vanished = 0;
 };
@@ -141,7 +141,7 @@
     Engine straight, by_box;
     Mailbox box;
     for (int i = 0; i < 200; ++i) {
-      node::EndpointList one = list(false, {});
+      engine::EndpointList one = list(false, {});
       if (random() % 20 == 0) {
         one.complete = true;
         for (const auto& [id, listed] : straight.there) one.members.push_back(listed);
@@ -166,7 +166,7 @@
   Names names;
   names.zones = {"a", "b"};
   names.kinds = {"cache"};
-  node::EndpointList roster =
+  engine::EndpointList roster =
       list(true, {server("a"), server("b", Phase::draining), server("c", Phase::gone)});
   roster.members[1].member.zone = 1;
   roster.members[1].member.kind = 0;
@@ -180,7 +180,7 @@
     return error != nullptr ? std::optional(*error) : std::nullopt;
   };
   const auto seed = read(text);
-  const auto* list = std::get_if<node::EndpointList>(&seed);
+  const auto* list = std::get_if<engine::EndpointList>(&seed);
   ASSERT_NE(list, nullptr);
   ASSERT_EQ(list->members.size(), 2U);
   EXPECT_EQ(list->members[1].member.phase, Phase::draining);
--- a/tests/takeover/upgrade_test.cpp
+++ b/tests/takeover/upgrade_test.cpp
@@ -10,7 +10,7 @@
 
 #include "loopback.h"
 
-namespace streampick::node::test {
+namespace streampick::test {
 namespace {
 
 using Environment = std::vector<std::pair<std::string, std::string>>;
@@ -42,7 +42,7 @@
   }
   // Every watch is told the whole list, once `tells_` says so.
   void answer_watches() {
-    discovery.async_accept([this](error_code error, tcp::socket socket) {
+    discovery.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (error) return;
       watches_.push_back(std::make_shared<Peer>(std::move(socket)));
       watches_.back()->read([this](Peer& peer) {
@@ -63,7 +63,7 @@
     peer.write(size.data() + list_ + "\r\n");
   }
   // The program with the door as descriptor 4. Returns the child.
-  pid_t run(const tcp::endpoint& management, const Environment& more = {}) {
+  pid_t run(const net::tcp::endpoint& management, const Environment& more = {}) {
     const pid_t child = ::fork();
     if (child == 0) {
       ::dup2(door_.native_handle(), 4);  // not closed at exec
@@ -84,13 +84,13 @@
     std::erase(children_, child);
     return WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
   }
-  static tcp::endpoint free_port(asio::io_context& io) {
-    return tcp::acceptor(io, any_port()).local_endpoint();
+  static net::tcp::endpoint free_port(asio::io_context& io) {
+    return net::tcp::acceptor(io, any_port()).local_endpoint();
   }
   // Empty: nobody answers there.
-  std::string call(const tcp::endpoint& at, const std::string& line) {
-    tcp::socket socket(io);
-    error_code error;
+  std::string call(const net::tcp::endpoint& at, const std::string& line) {
+    net::tcp::socket socket(io);
+    net::error_code error;
     socket.connect(at, error);
     if (error) return {};
     const auto peer = std::make_shared<Peer>(std::move(socket));
@@ -99,7 +99,7 @@
     EXPECT_TRUE(wait_for([&] { return peer->ended; }));
     return peer->got;
   }
-  [[nodiscard]] bool says_yes(const tcp::endpoint& at) {
+  [[nodiscard]] bool says_yes(const net::tcp::endpoint& at) {
     return wait_for([&] { return call(at, "HEALTH").rfind("ACK", 0) == 0; });
   }
   // On a connection of its own.
@@ -112,7 +112,7 @@
 
   FakeServer second{io};
   std::filesystem::path folder_;
-  tcp::acceptor door_;
+  net::tcp::acceptor door_;
   std::string list_;
   std::vector<std::shared_ptr<Peer>> watches_;
   std::vector<pid_t> children_;
@@ -120,7 +120,7 @@
 };
 
 TEST_F(Upgrade, NoRequestEndsAtTheDoorAndABanHoldsInBothAndInTheNext) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   EXPECT_EQ(call(first, "OFFLINE s-cache").rfind("ACK", 0), 0U);
@@ -150,14 +150,14 @@
 }
 
 TEST_F(Upgrade, WhatOneIsToldTheOtherHoldsTo) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   run(first);
   ASSERT_TRUE(says_yes(first));
   run(next);
   ASSERT_TRUE(says_yes(next));
   EXPECT_EQ(call(next, "OFFLINE s-cache").rfind("ACK", 0), 0U);
   EXPECT_EQ(call(next, "LEAVE").rfind("ACK", 0), 0U);
-  const auto down = [&](const tcp::endpoint& at) {
+  const auto down = [&](const net::tcp::endpoint& at) {
     return call(at, "DUMP").find("\"hosts_down\":1") != std::string::npos;
   };
   EXPECT_TRUE(wait_for([&] { return down(first) && down(next); }));
@@ -177,7 +177,7 @@
 
 TEST_F(Upgrade, TheNextSaysYesAndAcceptsOnlyOnceItsListIsIn) {
   tells_ = false;
-  const tcp::endpoint at = free_port(io);
+  const net::tcp::endpoint at = free_port(io);
   run(at);
   ASSERT_TRUE(wait_for([&] { return watches_.size() == 1 && !watches_[0]->got.empty(); }));
   EXPECT_EQ(call(at, "HEALTH").rfind("NAK", 0), 0U);
@@ -192,7 +192,7 @@
 }
 
 TEST_F(Upgrade, KilledOutrightItsWordHoldsAndOneThatCanNotStartLeavesTheOldServing) {
-  const tcp::endpoint first = free_port(io), next = free_port(io), third = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io), third = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   EXPECT_EQ(call(first, "OFFLINE s-cache").rfind("ACK", 0), 0U);
@@ -214,7 +214,7 @@
 }
 
 TEST_F(Upgrade, ADrainOutlivesTheProcessThatWasToldOfIt) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   EXPECT_EQ(call(first, "LEAVE").rfind("ACK", 0), 0U);
@@ -239,7 +239,7 @@
 
 // Half of its head is in the old process's hands when that is told to stop.
 TEST_F(Upgrade, ARequestOfWhichHalfTheHeadIsReadIsServed) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   FakeClient half(io, door_.local_endpoint());
@@ -258,7 +258,7 @@
 }
 
 TEST_F(Upgrade, ASocketThatListensElsewhereIsTurnedDown) {
-  tcp::acceptor other(io, any_port());
+  net::tcp::acceptor other(io, any_port());
   const int kept = ::dup(door_.native_handle());
   ::dup2(other.native_handle(), door_.native_handle());
   EXPECT_EQ(exit_code(run(free_port(io))), 2);
@@ -297,7 +297,7 @@
 
 // The old one has its signal before there is a next one; what comes meanwhile waits at the door.
 TEST_F(Crossing, BegunWhileTheOldOneStopsEveryRequestIsServed) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   EXPECT_EQ(call(first, "OFFLINE s-cache").rfind("ACK", 0), 0U);
@@ -318,7 +318,7 @@
 
 // The next one runs and has no list yet.
 TEST_F(Crossing, ToldToStopInTheMidstOfTheHandOverWhatComesWaitsForTheNext) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   tells_ = false;
@@ -340,7 +340,7 @@
 
 // Two next ones at once; the old one and the first of them are told to stop before either has its list.
 TEST_F(Crossing, ASecondUpgradeAtOnceTakesOverFromBoth) {
-  const tcp::endpoint first = free_port(io), next = free_port(io), last = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io), last = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   EXPECT_EQ(call(first, "OFFLINE s-cache").rfind("ACK", 0), 0U);
@@ -365,7 +365,7 @@
 
 // A cache server drains while one process takes over from the other.
 TEST_F(Crossing, AServerThatDrainsDuringTheHandOverIsSentNothingByEither) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   FakeServer third(io, [](const std::string&) { return response(200, "x"); });
@@ -390,7 +390,7 @@
 
 // A folder stands where the lock's file should.
 TEST_F(Upgrade, ABanThatCanNotBeStoredHoldsAtOnceIsAnsweredAsOwedAndStoredOnceItCan) {
-  const tcp::endpoint first = free_port(io), next = free_port(io);
+  const net::tcp::endpoint first = free_port(io), next = free_port(io);
   const pid_t old = run(first);
   ASSERT_TRUE(says_yes(first));
   std::filesystem::create_directory(folder_ / "streampick.lock");
@@ -412,12 +412,12 @@
 // A process that was stopped while it had the lock: clients and other calls are served while one call waits,
 // and that is answered in time.
 TEST_F(Upgrade, WhileAStoppedProcessHasTheLockAllIsAnsweredInTime) {
-  const tcp::endpoint at = free_port(io);
+  const net::tcp::endpoint at = free_port(io);
   run(at);
   ASSERT_TRUE(says_yes(at));
   const int lock = ::open((folder_ / "streampick.lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   ASSERT_EQ(::flock(lock, LOCK_EX), 0);  // it is ours for as long as we like
-  tcp::socket socket(io);
+  net::tcp::socket socket(io);
   socket.connect(at);
   const auto waits = std::make_shared<Peer>(std::move(socket));
   waits->read([](Peer&) {});
@@ -438,4 +438,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::node::test
+}  // namespace streampick::test
--- a/tools/roster.cpp
+++ b/tools/roster.cpp
@@ -194,7 +194,7 @@
   registry.apply(all);
   std::printf("revision %lld, %zu servers, %zu keys not used\n", static_cast<long long>(all.revision),
               registry.members(), registry.quarantined());
-  for (const node::ListedEndpoint& one : registry.list().members)
+  for (const engine::ListedEndpoint& one : registry.list().members)
     std::printf("%-24s %-21s %s\n", one.id.c_str(), one.address.c_str(),
                 one.member.phase == Phase::draining ? "draining" : "ready");
   for (const auto& fault : registry.take_faults())
