--- a/bench/resp/head_of_line.cpp
+++ b/bench/resp/head_of_line.cpp
@@ -14,13 +14,12 @@
 namespace {
 
 using namespace streampick;
-using namespace streampick::engine;
 namespace asio = boost::asio;
 
 // Both on one server, as where values have no further source.
 void run(bool alone, std::size_t connections) {
   asio::io_context io(1);
-  Clock clock(io);
+  net::Clock clock(io);
   standin::RespCache cache(io, {.work = std::chrono::microseconds(3'000)});
   std::uint64_t turn = 0;
   std::vector<std::unique_ptr<asio::steady_timer>> timers;
@@ -36,18 +35,18 @@
   settings.pipeline = 16;
   settings.writes_alone = alone;
   resp::ServerCounts counts;
-  Links links;
+  net::Links links;
   links.most_connections = 64;
   links.connect_timeout = 250'000;
-  struct Ends final : AttemptObserver {
-    void on_attempt_ended(AttemptId id, Outcome outcome, Answer) override {
+  struct Ends final : engine::AttemptObserver {
+    void on_attempt_ended(engine::AttemptId id, Outcome outcome, engine::Answer) override {
       const auto found = begun.find(id.request);
       if (found == begun.end()) return;
       if (outcome == Outcome::served)
         (id.number == 1 ? saves : reads).push_back(clock->now() - found->second);
       begun.erase(found);
     }
-    Clock* clock = nullptr;
+    net::Clock* clock = nullptr;
     std::map<RequestId, Time> begun;
     std::vector<Time> reads, saves;
   } ends;
@@ -64,8 +63,8 @@
     for (; next <= now && next < end; next += 2'000) {  // 500 a second, one in ten a save
       ++last;
       const bool save = last % 10 == 0;
-      auto message = std::make_shared<Message>();
-      message->operation = save ? Operation::write : Operation::read;
+      auto message = std::make_shared<engine::Message>();
+      message->operation = save ? engine::Operation::write : engine::Operation::read;
       message->key = "k" + std::to_string(last % 50);
       message->body = "v";
       ends.begun[last] = now;
--- a/src/roster/discovery.cpp
+++ b/src/roster/discovery.cpp
@@ -16,6 +16,9 @@
 
 using std::chrono::milliseconds;
 
+namespace beast = boost::beast;
+namespace http = beast::http;
+
 namespace {
 
 constexpr std::size_t kLongestList = 4 * 1024 * 1024;
