--- a/src/engine/cache_fill_guard.h
+++ b/src/engine/cache_fill_guard.h
@@ -1,6 +1,5 @@
-// Decides whether a value that the source of all values gave may be stored at the servers that missed it.
-// No I/O. A value read before a write to its key ended may be the one that the write replaced: storing it
-// would bring it back. Keys share slots by hash: a slot shared by chance only leaves a value unstored.
+/// \file
+/// Decides whether a value from the origin may be stored at the cache servers that missed it. No I/O.
 #pragma once
 
 #include <array>
@@ -12,37 +11,41 @@
 
 namespace streampick::engine {
 
+/// Rejects cache fills with values that a concurrent write may have replaced: a value read before a write to
+/// its key ended would bring the former value back.
+///
+/// Keys share a fixed number of slots by hash; a collision only rejects a fill that would have been safe.
 class CacheFillGuard {
  public:
   void write_began(std::uint64_t key, Time now) {
-    Slot& slot = at(key);
-    ++slot.open;
-    slot.last = now;
+    Slot& slot = slot_of(key);
+    ++slot.open_writes;
+    slot.last_write = now;
   }
-  // All attempts of the write have ended.
+  /// All attempts of the write have ended.
   void write_ended(std::uint64_t key, Time now) {
-    Slot& slot = at(key);
-    if (slot.open > 0) --slot.open;
-    slot.last = now;
+    Slot& slot = slot_of(key);
+    if (slot.open_writes > 0) --slot.open_writes;
+    slot.last_write = now;
   }
-  // Whether a value whose read was asked for at `asked` may still be stored.
-  bool may_store(std::uint64_t key, Time asked) const {
+  /// Whether a value whose read arrived at `read_arrived` may be stored.
+  [[nodiscard]] bool may_store(std::uint64_t key, Time read_arrived) const {
     if (!slots_) return true;
     const Slot& slot = (*slots_)[key % kSlots];
-    return slot.open == 0 && slot.last < asked;
+    return slot.open_writes == 0 && slot.last_write < read_arrived;
   }
 
  private:
   static constexpr std::size_t kSlots = 2048;
   struct Slot {
-    Time last = 0;
-    std::uint32_t open = 0;
+    Time last_write = 0;
+    std::uint32_t open_writes = 0;
   };
-  Slot& at(std::uint64_t key) {
+  Slot& slot_of(std::uint64_t key) {
     if (!slots_) slots_ = std::make_unique<std::array<Slot, kSlots>>();
     return (*slots_)[key % kSlots];
   }
-  std::unique_ptr<std::array<Slot, kSlots>> slots_;  // none until the first write that counts
+  std::unique_ptr<std::array<Slot, kSlots>> slots_;  // allocated by the first write
 };
 
 }  // namespace streampick::engine
--- a/src/engine/deadline_queue.h
+++ b/src/engine/deadline_queue.h
@@ -21,26 +21,27 @@
   [[nodiscard]] bool is_later_than(const Deadline& other) const;
 };
 
-/// A binary heap of deadlines. What has ended meanwhile stays in it until its turn comes, or until a sweep:
-/// one is made each time the heap has doubled since the last, so that a sweep is paid for by what came since.
+/// A binary heap of deadlines with lazy deletion: entries that are no longer pending stay in it until they
+/// are first, or until a sweep. A sweep is made whenever the heap has doubled since the last one, so its cost
+/// is amortised over the entries added since.
 ///
-/// Single-threaded; no clock, no I/O. The owner tells which entries are still pending.
+/// Single-threaded; no clock, no I/O. The owner decides which entries are still pending.
 class DeadlineQueue {
  public:
-  /// Whether what the deadline stands for has not ended yet.
+  /// Whether the attempt or request of the deadline has not ended yet.
   using IsPending = std::function<bool(const Deadline&)>;
 
   explicit DeadlineQueue(IsPending is_pending) : is_pending_(std::move(is_pending)) {}
 
   void add(const Deadline& deadline);
 
-  /// The time of the next pending deadline; kNever if there is none. Drops what has ended before it.
+  /// The time of the next pending deadline; kNever if there is none. Removes ended entries before it.
   Time next_time();
 
   /// Removes and returns the next pending deadline that is due at `now`, if there is one.
   std::optional<Deadline> pop_due(Time now);
 
-  /// Moves every deadline `length` microseconds nearer. All by as much: they stay in their order.
+  /// Moves all deadlines `length` microseconds nearer, which keeps their order.
   void advance_all(Time length);
 
  private:
--- a/src/engine/endpoint_overrides.h
+++ b/src/engine/endpoint_overrides.h
@@ -1,5 +1,5 @@
 /// \file
-/// What operators said of servers, against the endpoint list.
+/// Administrative overrides of endpoints.
 #pragma once
 
 #include <string>
@@ -9,21 +9,21 @@
 
 namespace streampick::engine {
 
-/// One operator's word on a server.
+/// An operator's override of one server.
 struct EndpointOverride {
   bool disabled = false;
-  Time started = 0;  ///< counts as started then, unless the list tells of a later start; 0: as listed
+  Time started = 0;  ///< start time, unless the list has a later one; 0: as listed
 };
 
-/// The overrides by server name. They hold whatever the lists say, until they are taken back.
+/// The overrides by server name. They stay in force, whatever endpoint lists say, until they are reset.
 class EndpointOverrides {
  public:
-  /// Replaces the override of `name`; one that says nothing is removed.
+  /// Replaces the override of `name`; a default value removes it.
   void set(const std::string& name, EndpointOverride value);
 
   [[nodiscard]] bool is_disabled(const std::string& name) const;
 
-  /// The endpoint as the list tells it, with what operators said against it.
+  /// The listed endpoint with its override applied.
   [[nodiscard]] Member apply(const std::string& name, Member listed) const;
 
  private:
--- a/src/engine/endpoint_registry.cpp
+++ b/src/engine/endpoint_registry.cpp
@@ -13,7 +13,7 @@
   ListChange change;
   std::vector<bool> named(endpoints_.size(), false);
   for (const ListedEndpoint& listed : list.members) {
-    // A machine that is gone and was never known, or is forgotten, is no news.
+    // The departure of an unknown server changes nothing.
     if (listed.member.phase == Phase::gone && !ids_.contains(listed.id)) continue;
     const ServerId id = intern(listed);
     if (id < named.size()) named[id] = true;
@@ -67,7 +67,7 @@
 
 void EndpointRegistry::stop_sending(Endpoint& endpoint, Time now) {
   if (endpoint.upstream->sending_stops_at() > now) endpoint.upstream->stop_sending_at(now);
-  // What it holds open is of no use to either side.
+  // Its idle connections will not be used again.
   endpoint.upstream->close_idle(kNever);
 }
 
@@ -131,13 +131,13 @@
   return found != ids_.end() && endpoints_[found->second].is_origin;
 }
 
-EndpointRegistry::Counts EndpointRegistry::counts(const std::function<bool(ServerId)>& is_avoided) const {
+EndpointRegistry::Counts EndpointRegistry::counts(const std::function<bool(ServerId)>& is_ejected) const {
   Counts counts;
   for (ServerId id = 0; id < endpoints_.size(); ++id) {
     const Endpoint& endpoint = endpoints_[id];
     if (!endpoint.upstream || !endpoint.listed || endpoint.is_origin) continue;
     ++counts.listed;
-    if (overrides_.is_disabled(endpoint.name) || is_avoided(id)) ++counts.down;
+    if (overrides_.is_disabled(endpoint.name) || is_ejected(id)) ++counts.down;
   }
   return counts;
 }
--- a/src/engine/keys.h
+++ b/src/engine/keys.h
@@ -1,5 +1,5 @@
-// How a key is named in a target, and numbered: the same at every front, so that a key is one key wherever it
-// was named.
+/// \file
+/// Keys in request targets, and their hashes: the same for all downstreams, so that a key has one hash.
 #pragma once
 
 #include <array>
@@ -12,14 +12,14 @@
 
 namespace streampick::engine {
 
-// 16 lower-case hex digits.
+/// 16 lower-case hexadecimal digits.
 inline std::string hex(std::uint64_t value) {
   std::array<char, 16> digits{};
   for (std::size_t i = digits.size(); i-- > 0; value >>= 4U) digits[i] = "0123456789abcdef"[value & 15U];
   return {digits.data(), digits.size()};
 }
 
-// A key as a part of a path: what a path may not hold as it is (RFC 3986, section 3.3) stands as %XX.
+/// Percent-encodes a key for use as a path segment (RFC 3986, section 3.3).
 inline std::string escape_key(std::string_view key) {
   constexpr std::string_view plain = "-._~!$&'()*+,;=:@";
   std::string out;
@@ -39,7 +39,7 @@
   return out;
 }
 
-// 16 hex digits are the number that they write; anything else is hashed.
+/// The hash of a percent-encoded key: the value of 16 hexadecimal digits, the hash of anything else.
 inline std::uint64_t key_number(std::string_view escaped) {
   std::uint64_t value = 0;
   const char* end = escaped.data() + escaped.size();
--- a/src/engine/message_pool.h
+++ b/src/engine/message_pool.h
@@ -1,5 +1,6 @@
-// Messages that are used again, with the memory of their texts: after warm-up a request allocates none for
-// its own. For one thread.
+/// \file
+/// A pool of Messages that keep the capacity of their strings, so that requests allocate no message memory
+/// after warm-up. Single-threaded.
 #pragma once
 
 #include <memory>
@@ -13,8 +14,8 @@
 
 class MessagePool {
  public:
-  // Empty, but for the memory that it had.
-  std::shared_ptr<Message> take() {
+  /// Returns an empty message, which goes back to the pool with its last reference.
+  std::shared_ptr<Message> acquire() {
     Store& store = *store_;
     std::unique_ptr<Message> message;
     if (store.free.empty()) {
@@ -23,36 +24,37 @@
       message = std::move(store.free.back());
       store.free.pop_back();
     }
-    return {message.release(), GiveBack{store_}, Counts<Message>{store_}};
+    return {message.release(), ReturnToPool{store_}, CountAllocator<Message>{store_}};
   }
 
  private:
-  static constexpr std::size_t kMostFree = 1'024, kLongestKept = 512;
+  static constexpr std::size_t kMaxFreeMessages = 1'024;
+  static constexpr std::size_t kMaxKeptCapacity = 512;
   struct Store {
-    std::pmr::unsynchronized_pool_resource counts;  // of the shared pointers
+    std::pmr::unsynchronized_pool_resource counts;  // memory of the shared pointers' reference counts
     std::vector<std::unique_ptr<Message>> free;
   };
-  // Of the shared pointers' counts. It holds the store, which must outlive the last of them.
+  // Allocates the reference counts. Keeps the store alive, which must outlive the last of them.
   template <class T>
-  struct Counts {
+  struct CountAllocator {
     using value_type = T;
     std::shared_ptr<Store> store;
-    explicit Counts(std::shared_ptr<Store> of) : store(std::move(of)) {}
+    explicit CountAllocator(std::shared_ptr<Store> of) : store(std::move(of)) {}
     template <class U>
-    Counts(const Counts<U>& other) : store(other.store) {}
+    CountAllocator(const CountAllocator<U>& other) : store(other.store) {}
     T* allocate(std::size_t n) { return static_cast<T*>(store->counts.allocate(n * sizeof(T), alignof(T))); }
     void deallocate(T* p, std::size_t n) { store->counts.deallocate(p, n * sizeof(T), alignof(T)); }
     template <class U>
-    bool operator==(const Counts<U>& other) const {
+    bool operator==(const CountAllocator<U>& other) const {
       return store == other.store;
     }
   };
-  // Keeps the store until the last message is back.
-  struct GiveBack {
+  // Keeps the store alive until the last message has been returned.
+  struct ReturnToPool {
     std::shared_ptr<Store> store;
     void operator()(Message* used) const {
       std::unique_ptr<Message> message(used);
-      if (store->free.size() >= kMostFree) return;
+      if (store->free.size() >= kMaxFreeMessages) return;
       message->operation = Operation::read;
       message->accepts_streaming = false;
       message->memory = {};
@@ -60,8 +62,8 @@
       message->words.clear();
       for (std::string* text : {&message->target, &message->transaction_id, &message->idempotency_key,
                                 &message->content_type, &message->body, &message->key}) {
-        // What one client alone has made large is not kept for the others.
-        if (text->capacity() > kLongestKept) std::string().swap(*text);
+        // Memory for one unusually long text is not kept.
+        if (text->capacity() > kMaxKeptCapacity) std::string().swap(*text);
         text->clear();
       }
       store->free.push_back(std::move(message));
--- a/src/engine/server_starts.h
+++ b/src/engine/server_starts.h
@@ -1,22 +1,25 @@
-// The one place that says when a server started, on the monotonic scale on which its slow start is counted.
-// Lists tell starts as Unix time, and the wall clock may step, before and during the run. No I/O.
-//
-// A server that is taken for colder than it is costs a slow start; one that is taken for warmer may be
-// overloaded. So, with all machines reading one wall clock:
-//
-//   - A start is dated once, when the pair of server and told start is first seen, and stays: no later step
-//     moves it. A server that goes and is listed again with the same start keeps its date.
-//   - It is the latest moment at which the wall clock may have read what is told (wall_clock_history.h).
-//   Where
-//     the clock has never read it yet, the server counts as starting now, and is cold for no longer than any
-//     other by the monotonic clock.
-//   - What is new in a list has started since the list before it, with kListLag for news that is late. An
-//     older start, as after a step before this process began, is not believed: the server starts now.
-//   - A process that begins has seen nothing before: of the list known at its start, of what catches it up
-//   and
-//     of the first whole list the wall clock is all there is. The same holds where a list brings more such
-//     servers than are known: then the source of lists is another one.
-//   - No start told (0) means long ago.
+/// \file
+/// Start times of servers on the monotonic scale on which their slow start is measured. Endpoint lists
+/// contain starts as Unix times, and the wall clock may step, before and during the run. No I/O.
+///
+/// Assuming too late a start costs an unnecessary slow start; assuming too early a start may overload the
+/// server. Given that all machines read one wall clock:
+///
+///   - A start is converted once, when a pair of server and listed start is first seen. Later steps of the
+///   clock do
+///     not move it, and a server that is listed again with the same start keeps it.
+///   - The result is the latest time at which the wall clock may have read the listed start
+///   (WallClockHistory). If the
+///     clock has never read it, the server counts as starting now.
+///   - A new entry in a list started since the list before it, with kListLag for delayed lists. An earlier
+///   start, as
+///     after a step of the clock before this process began, is not trusted: the server counts as starting
+///     now.
+///   - A new process has no list to compare with: it trusts the wall clock for the list known at its start,
+///   for
+///     updates that catch up with it, and for the first whole list. It also does where a list contains more
+///     such servers than are known, since the list then comes from another source.
+///   - A listed start of 0 means long ago.
 #pragma once
 
 #include <cstddef>
@@ -32,48 +35,48 @@
 
 class ServerStarts {
  public:
-  /// How far a list may lag: the 6 s that news may take, and a discovery that was down.
+  /// How late a list may be: 6 s for a notification, and an outage of discovery.
   static constexpr Time kListLag = 30'000'000;
-  /// From the first list on, what follows still catches up with what was before the process.
+  /// Time after the first list in which further lists are still catching up.
   static constexpr Time kCatchUp = 1'000'000;
-  /// Servers that have gone are remembered up to this number beside those that are listed.
-  static constexpr std::size_t kMaxGone = 4'096;
+  /// Maximum number of departed servers whose starts are kept.
+  static constexpr std::size_t kMaxDeparted = 4'096;
 
-  /// `time` outlives it.
+  /// `time` must outlive this object.
   explicit ServerStarts(TimeSource& time)
       : time_(time), wall_clock_(time), began_(time.now()), last_list_(began_) {}
 
-  /// Dates the servers of the list known at the start.
+  /// Converts the starts in the list known at the process's start.
   void known_at_start(const EndpointList& list);
-  /// Dates what is new in a list from the source.
+  /// Converts new starts in a list from discovery.
   void on_endpoint_list(const EndpointList& list);
-  /// When a server that was listed started, on now()'s scale; 0: long ago.
+  /// The start of a listed server on now()'s scale; 0: long ago.
   Time start_of(const std::string& id) const;
-  /// A start at a Unix time that this machine, or the process before this one, read from the wall clock.
+  /// Converts a Unix time that this machine, or the process before this one, read from the wall clock.
   Time start_at(Time unix_time);
 
  private:
   struct Start {
-    Time told = 0;   // Unix time
-    Time dated = 0;  // on now()'s scale
+    Time unix_time = 0;  // as listed
+    Time monotonic = 0;  // on now()'s scale
     bool listed = false;
   };
 
   bool is_new(const ListedEndpoint& listed) const;
-  Time date(Time told) const;
-  bool is_late(const ListedEndpoint& listed) const;
-  bool catches_up(const EndpointList& list);
-  bool from_another_source(const EndpointList& list) const;
-  void take(const EndpointList& list, bool believed);
+  Time to_monotonic(Time unix_time) const;
+  bool predates_list(const ListedEndpoint& listed) const;
+  bool is_catching_up(const EndpointList& list);
+  bool is_from_another_source(const EndpointList& list) const;
+  void convert(const EndpointList& list, bool trust_old_starts);
   void set_listed(Start& start, bool listed);
-  void forget_gone();
+  void remove_departed();
 
   TimeSource& time_;
   WallClockHistory wall_clock_;
   std::unordered_map<std::string, Start> starts_;
   std::size_t listed_ = 0;
   Time began_, last_list_;
-  std::optional<Time> first_list_;  // from the source
+  std::optional<Time> first_list_;  // from discovery
   bool had_whole_list_ = false;
 };
 
--- a/src/engine/shutdown.cpp
+++ b/src/engine/shutdown.cpp
@@ -6,18 +6,22 @@
 namespace {
 
 constexpr Time kMillisecond = 1'000;
-constexpr Time kAcceptFor = 500 * kMillisecond;
-constexpr Time kAnswerAfterDeadline = 400 * kMillisecond;
-constexpr Time kMaxAnswerTime = 3'200 * kMillisecond;
-constexpr Time kLastWrites = 200 * kMillisecond;
+// From the signal until nothing more is accepted.
+constexpr Time kAcceptDuration = 500 * kMillisecond;
+// From the longest deadline until open requests fail.
+constexpr Time kMarginAfterDeadline = 400 * kMillisecond;
+// From the signal until open requests fail, at most.
+constexpr Time kMaxAnswerDuration = 3'200 * kMillisecond;
+// For writing the last responses.
+constexpr Time kLastWritesDuration = 200 * kMillisecond;
 
 }  // namespace
 
 void Shutdown::start(Time now, Time longest_deadline) {
-  const Time longest = std::min(longest_deadline, kMaxAnswerTime);
+  const Time longest = std::min(longest_deadline, kMaxAnswerDuration);
   phase_ = ShutdownPhase::accepting;
-  answer_by_ = now + std::min(longest + kAnswerAfterDeadline, kMaxAnswerTime);
-  phase_end_ = now + kAcceptFor;
+  answer_by_ = now + std::min(longest + kMarginAfterDeadline, kMaxAnswerDuration);
+  phase_end_ = now + kAcceptDuration;
 }
 
 void Shutdown::next_phase(Time now) {
@@ -30,7 +34,7 @@
       break;
     case ShutdownPhase::answering:
       phase_ = ShutdownPhase::last_writes;
-      phase_end_ = now + kLastWrites;
+      phase_end_ = now + kLastWritesDuration;
       break;
     case ShutdownPhase::last_writes:
       phase_ = ShutdownPhase::over;
--- a/src/engine/transaction_ids.h
+++ b/src/engine/transaction_ids.h
@@ -1,5 +1,5 @@
 /// \file
-/// Ids that clients gave their requests, so that no two requests of one id are open together.
+/// Detects two open requests with the same client-chosen transaction id.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,22 @@
 
 namespace streampick::engine {
 
-/// The ids of open requests and of those that ended lately. Two open requests of one id cannot be told apart
-/// further on. A client's retry has a new id, so an id that comes again shortly after its request ended
-/// belongs to somebody else, seen a moment too late.
+/// The ids of open and of recently ended requests. Servers cannot tell two open requests with one id apart. A
+/// client's retry has a new id, so an id that is seen again shortly after its request ended belongs to
+/// another request that overlapped with it.
 ///
 /// Bounded in time and in number; single-threaded, no clock.
 class TransactionIds {
  public:
   explicit TransactionIds(std::pmr::memory_resource* memory) : ids_(memory) {}
 
-  /// Takes the id for a new request. False: it is taken.
+  /// Registers a new request. Returns false if its id is in use.
   bool insert(std::uint64_t id, Time now);
 
-  /// The request of this id, and all its attempts, have ended; the id is freed some time later.
+  /// The request and all its attempts have ended; the id is freed some time later.
   void ended(std::uint64_t id, Time now);
 
-  /// Frees what ended long enough ago.
+  /// Frees ids of requests that ended long enough ago.
   void forget_old(Time now);
 
  private:
--- a/src/engine/wakeup_scheduler.cpp
+++ b/src/engine/wakeup_scheduler.cpp
@@ -5,7 +5,7 @@
 namespace streampick::engine {
 namespace {
 
-constexpr int kMaxMissedTicks = 600;  // two minutes of the module's ticks
+constexpr int kMaxMissedTicks = 600;  // two minutes of the Router's ticks
 
 }  // namespace
 
--- a/src/engine/wakeup_scheduler.h
+++ b/src/engine/wakeup_scheduler.h
@@ -1,5 +1,5 @@
 /// \file
-/// When the engine is woken, and what becomes of wake-ups of the module that were due while it rested.
+/// Schedules the engine's wake-ups, and runs the Router's timer ticks that were missed while idle.
 #pragma once
 
 #include <functional>
@@ -10,19 +10,19 @@
 
 namespace streampick::engine {
 
-/// One timer for all that the engine waits for. An early wake-up does no harm, so the timer is set anew only
-/// for an earlier time than the one it stands at.
+/// One timer for all deadlines of the engine. A spurious wake-up is harmless, so the timer is only ever moved
+/// to an earlier time.
 class WakeupScheduler {
  public:
-  /// `time` outlives the scheduler; `wake` is called by the timer.
+  /// `time` must outlive the scheduler; `wake` is called by the timer.
   WakeupScheduler(TimeSource& time, std::function<void()> wake);
 
-  /// Wakes at `at` or earlier.
+  /// Schedules a wake-up at `at` or earlier.
   void wake_by(Time at);
-  /// Nobody is woken until wake_by() is called again.
+  /// Schedules no wake-up until wake_by() is called again.
   void rest();
   [[nodiscard]] bool resting() const { return armed_for_ == kNever; }
-  /// What the timer stands at is no longer true, as after the process was suspended.
+  /// Invalidates the armed time after a suspension of the process.
   void forget_armed_time() { armed_for_ = kNever; }
 
  private:
@@ -30,9 +30,9 @@
   std::unique_ptr<Timer> timer_;
 };
 
-/// Tells the module of the timer ticks that were due while nobody was to be woken: each at its own time, so
-/// that it has learnt by them what it would have learnt awake. Of a long rest the first of them, by which all
-/// it knew has faded, and then what is left at once.
+/// Runs the Router's timer ticks that were due while no wake-up was scheduled, each with its own time, so
+/// that its state is as if they had run in time. After a long idle period only the first ones, by which its
+/// estimates have decayed completely, and then one tick for the rest.
 void run_missed_ticks(Router& router, Time now);
 
 }  // namespace streampick::engine
--- a/src/engine/wall_clock_history.cpp
+++ b/src/engine/wall_clock_history.cpp
@@ -9,7 +9,7 @@
 WallClockHistory::WallClockHistory(TimeSource& time) : time_(time), observed_at_(time.now()) {
   // now()'s scale begins at the wall clock's reading: a small difference is the time that reading took.
   const Time offset = offset_now();
-  periods_.push_back({std::abs(offset) < kLeastStep ? 0 : offset});
+  periods_.push_back({std::abs(offset) < kMinStep ? 0 : offset});
 }
 
 Time WallClockHistory::offset_now() const { return time_.wall_time() - time_.now(); }
@@ -18,7 +18,7 @@
   const Time now = time_.now();
   const Time before = std::exchange(observed_at_, now);
   const Time offset = offset_now();
-  if (std::abs(offset - periods_.back().offset) < kLeastStep) return;
+  if (std::abs(offset - periods_.back().offset) < kMinStep) return;
   periods_.back().last = now;
   periods_.push_back({offset, before, kNever});
   if (periods_.size() <= kMaxPeriods) return;
@@ -40,8 +40,8 @@
 // With the tolerance of an offset: else a reading of this very moment might be taken for one of a period
 // before.
 bool WallClockHistory::may_be_in(const Period& period, Time moment) const {
-  const bool too_early = period.first != kBeginning && moment < period.first - kLeastStep;
-  return !too_early && moment <= std::min(period.last, observed_at_) + kLeastStep;
+  const bool too_early = period.first != kBeginning && moment < period.first - kMinStep;
+  return !too_early && moment <= std::min(period.last, observed_at_) + kMinStep;
 }
 
 }  // namespace streampick::engine
--- a/src/engine/wall_clock_history.h
+++ b/src/engine/wall_clock_history.h
@@ -1,9 +1,10 @@
-// The steps of the wall clock that this process has seen, so that a Unix time told by another machine, which
-// reads the same clock, can be brought to the monotonic scale. No I/O.
-//
-// Between two steps the wall clock runs at a constant offset from the monotonic one. A step forward leaves
-// readings out; after a step back readings come a second time, and which of the two was meant nobody can
-// tell: the later one is taken, by which a server is younger, so colder.
+/// \file
+/// Steps of the wall clock observed by this process, for converting Unix times from other machines with the
+/// same wall clock to the monotonic scale. No I/O.
+///
+/// Between two steps the wall clock has a constant offset from the monotonic one. A step forward skips
+/// readings; after a step back readings occur twice. The later occurrence is assumed, which makes a server
+/// younger and so its slow start longer.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +17,22 @@
 
 class WallClockHistory {
  public:
-  /// Smaller steps are not told from the time that reading two clocks takes.
-  static constexpr Time kLeastStep = 50'000;
+  /// Smaller steps cannot be distinguished from the duration of reading two clocks.
+  static constexpr Time kMinStep = 50'000;
   static constexpr std::size_t kMaxPeriods = 64;
 
-  /// `time` outlives it.
+  /// `time` must outlive the history.
   explicit WallClockHistory(TimeSource& time);
 
-  /// Notes a step since the last call. What lies between two calls belongs to the offsets of both.
+  /// Records a step since the last call. The time between the two calls belongs to both offsets.
   void observe();
-  /// The latest moment, on now()'s scale, at which the wall clock may have read `unix_time`; none: it never
-  /// has yet.
+  /// The latest time, on now()'s scale, at which the wall clock may have read `unix_time`; nothing if it has
+  /// not read it yet.
   std::optional<Time> latest_reading(Time unix_time) const;
 
  private:
   static constexpr Time kBeginning = INT64_MIN;
-  // A time of one offset, which it may have had from `first` to `last`.
+  // A period with one offset, at most from `first` to `last`.
   struct Period {
     Time offset = 0;  // wall clock less now()
     Time first = kBeginning;
@@ -43,7 +44,7 @@
 
   TimeSource& time_;
   Time observed_at_;
-  // The first reaches back without end: of a step before its start a process can know nothing.
+  // The first period has no beginning: steps before the process's start are unknown.
   std::vector<Period> periods_;
 };
 
--- a/src/http1/front.cpp
+++ b/src/http1/front.cpp
@@ -134,7 +134,7 @@
   if (const auto hint = to_number(head.estimate.value); hint && *hint > 0 && *hint < 1e12)
     out.cost_hint = static_cast<Time>(*hint);
 
-  out.message = messages.take();
+  out.message = messages.acquire();
   out.message->operation = write ? engine::Operation::write : engine::Operation::read;
   out.message->target = target;
   out.message->key = key;
--- a/tests/engine/message_pool_test.cpp
+++ b/tests/engine/message_pool_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(MessagePool, AMessageIsUsedAgainEmpty) {
   engine::MessagePool pool;
-  auto one = pool.take();
+  auto one = pool.acquire();
   const engine::Message* const first = one.get();
   one->operation = engine::Operation::write;
   one->target = "/save/1";
@@ -15,7 +15,7 @@
   one->words = {"SET"};
   one->accepts_streaming = true;
   one.reset();
-  const auto two = pool.take();
+  const auto two = pool.acquire();
   EXPECT_EQ(two.get(), first);
   EXPECT_EQ(two->operation, engine::Operation::read);
   EXPECT_TRUE(two->target.empty() && two->idempotency_key.empty() && two->words.empty());
@@ -24,17 +24,17 @@
 
 TEST(MessagePool, WhatOneClientMadeLargeIsNotKept) {
   engine::MessagePool pool;
-  auto one = pool.take();
+  auto one = pool.acquire();
   one->body.assign(60'000, 'x');
   one.reset();
-  EXPECT_LT(pool.take()->body.capacity(), 1'000U);
+  EXPECT_LT(pool.acquire()->body.capacity(), 1'000U);
 }
 
 TEST(MessagePool, AMessageMayOutliveItsPool) {
   std::shared_ptr<engine::Message> last;
   {
     engine::MessagePool pool;
-    last = pool.take();
+    last = pool.acquire();
     last->key = "still here, though the pool has gone";
   }
   EXPECT_EQ(last->key.size(), 36U);
--- a/tests/engine/server_starts_test.cpp
+++ b/tests/engine/server_starts_test.cpp
@@ -95,7 +95,7 @@
   gone.members[0].member.phase = Phase::gone;
   starts.on_endpoint_list(gone);
   EXPECT_EQ(starts.start_of("first"), started);
-  for (std::size_t i = 0; i <= engine::ServerStarts::kMaxGone; ++i) {
+  for (std::size_t i = 0; i <= engine::ServerStarts::kMaxDeparted; ++i) {
     const std::string id = "s-" + std::to_string(i);
     tell(id, started);
     engine::EndpointList list = list_of({{id, started}});
@@ -118,7 +118,7 @@
 // Two readings of two clocks differ by some microseconds.
 TEST_P(ServerStartsSteps, AReadingJustAheadOfOursIsOfThisMoment) {
   time.step_wall_clock(GetParam());
-  for (const Time ahead : {Time{0}, Time{1}, engine::WallClockHistory::kLeastStep})
+  for (const Time ahead : {Time{0}, Time{1}, engine::WallClockHistory::kMinStep})
     EXPECT_EQ(starts.start_at(time.wall_time() + ahead), time.now());
 }
 
