--- a/tests/engine/body_stream_test.cpp
+++ b/tests/engine/body_stream_test.cpp
@@ -8,7 +8,7 @@
 namespace streampick::node {
 namespace {
 
-TEST(BodyStream, AFastWriterIsStoppedAndCalledAgainOnceThereIsRoom) {
+TEST(BodyStream, FullBuffer_PausesTheWriterUntilTheReaderReads) {
   engine::BodyStream stream(10, 4);
   int rooms = 0;
   stream.on_writable = [&] { ++rooms; };
@@ -23,7 +23,7 @@
   EXPECT_EQ(rooms, 1);
 }
 
-TEST(BodyStream, ItsEndShowsOnceAllOfItWasTaken) {
+TEST(BodyStream, CompleteBody_ShowsItsEndOnlyAfterAllBytesWereRead) {
   engine::BodyStream stream(3, 16);
   stream.write("abc");
   stream.end(engine::BodyStream::State::complete);
@@ -33,7 +33,7 @@
   EXPECT_EQ(stream.state(), engine::BodyStream::State::complete);
 }
 
-TEST(BodyStream, AnEndShortOfTheLengthIsACutWhateverTheWriterSays) {
+TEST(BodyStream, BodyShorterThanAnnounced_IsTruncated) {
   engine::BodyStream stream(4, 16);
   stream.write("abc");
   stream.end(engine::BodyStream::State::complete);
@@ -42,7 +42,7 @@
   EXPECT_FALSE(stream.read(out));  // nothing more is passed on
 }
 
-TEST(BodyStream, AReaderThatGoesStopsTheWriterOnce) {
+TEST(BodyStream, ClosedReader_NotifiesTheWriterOnce) {
   const auto stream = std::make_shared<engine::BodyStream>(9, 16);
   int gone = 0;
   stream->on_reader_closed = [&] { ++gone; };
@@ -60,7 +60,7 @@
 
 // Whatever the order of parts and takes: the same bytes, never more than the bound and one part in between,
 // and each stop of the writer followed by one call.
-TEST(BodyStream, ManyOrders) {
+TEST(BodyStream, RandomOrderOfWritesAndReads_DeliversAllBytesInOrder) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
     std::string sent, got, part;
--- a/tests/engine/class_table_test.cpp
+++ b/tests/engine/class_table_test.cpp
@@ -25,7 +25,7 @@
   return found == names.end() ? kNone : static_cast<std::uint32_t>(found - names.begin());
 }
 
-TEST(ClassTable, WhatStaysKeepsItsNumberAndWhatChangesHasAnother) {
+TEST(ClassTable, SettingsChange_KeepsNumbersOfUnchangedClassesOnly) {
   engine::ClassTable table({rule(100), rule(200)}, {"read", "save"});
   table.change({rule(250), rule(100)}, {"save", "read"});
   EXPECT_EQ(number_of(table, "read"), 0U);
@@ -46,7 +46,7 @@
   EXPECT_EQ(table.rules().size(), 3U);
 }
 
-TEST(ClassTable, FewerAttemptsMakeEveryClassAnother) {
+TEST(ClassTable, FewerAttempts_GiveEveryClassANewNumber) {
   engine::ClassTable table({rule(100, 3), rule(200, 3)}, {"read", "save"});
   table.request_opened(0);
   table.change({rule(100, 1), rule(200, 1)}, {"read", "save"});
@@ -57,7 +57,7 @@
 
 // Drawn histories: a request's rules are the ones it was taken under until it ends, names lead to the rules
 // of the newest settings, and the table does not grow with the number of changes.
-TEST(ClassTable, AThousandChangesKeepEveryOpenRequestsRulesAndStayBounded) {
+TEST(ClassTable, ThousandSettingsChanges_KeepRulesOfOpenRequestsAndStayBounded) {
   std::mt19937 random(29);
   const std::vector<std::string> all = {"read", "save", "pay", "look", "list"};
   engine::ClassTable table({rule(1)}, {"read"});
--- a/tests/engine/clock_steps_test.cpp
+++ b/tests/engine/clock_steps_test.cpp
@@ -2,7 +2,7 @@
 // windows, ejections, graces and slow starts are spans of real time and notice nothing.
 #include <gtest/gtest.h>
 
-#include "engine/hand_driven.h"
+#include "engine/engine_fakes.h"
 
 namespace streampick::test {
 namespace {
@@ -29,7 +29,7 @@
     settings.seed = 7;
     engine = std::make_unique<engine::Engine>(time, settings, fleet, [](std::string_view) {});
     const engine::EndpointList known = list_of({{"c-1", 0}, {"c-2", 0}, {"c-3", 0}, {"c-4", 0}});
-    engine->start(roster, known);
+    engine->start(discovery, known);
     engine->on_endpoint_list(known);
     time.advance(10 * kSecond);
   }
@@ -63,7 +63,7 @@
     incoming.key = key;
     incoming.has_key = true;
     incoming.remaining = remaining;
-    return engine->on_request(asker, std::move(incoming));
+    return engine->on_request(sink, std::move(incoming));
   }
   void end(std::size_t sent, Outcome outcome) {
     engine::Answer answer;
@@ -79,9 +79,9 @@
       for (std::size_t sent = attempt; sent < fleet.sent.size(); ++sent) end(sent, Outcome::served);
       time.advance(kMs);
     }
-    return static_cast<std::size_t>(std::count_if(fleet.sent.begin() + static_cast<std::ptrdiff_t>(before),
-                                                  fleet.sent.end(),
-                                                  [&](const Sent& sent) { return sent.server == server; }));
+    return static_cast<std::size_t>(
+        std::count_if(fleet.sent.begin() + static_cast<std::ptrdiff_t>(before), fleet.sent.end(),
+                      [&](const SentAttempt& sent) { return sent.server == server; }));
   }
   // An even part of five is 80.
   void expect_cold(const std::string& server) { EXPECT_LT(part_of(server), 25U); }
@@ -92,24 +92,24 @@
     time.advance(kColdTime);
     expect_warm(server);
   }
-  std::size_t replies() const { return asker->replies.size(); }
+  std::size_t responses() const { return sink->responses.size(); }
 
-  HandDriven time;
+  ManualTime time;
   Fleet fleet{time};
-  QuietRoster roster;
-  std::shared_ptr<RecordingAsker> asker = std::make_shared<RecordingAsker>();
+  FakeDiscovery discovery;
+  std::shared_ptr<RecordingSink> sink = std::make_shared<RecordingSink>();
   std::uint64_t transaction_id = 0, last_key = 0;
   std::unique_ptr<engine::Engine> engine;
 };
 
-TEST_P(ClockSteps, AServerThatStartsAfterTheStepStartsSlowly) {
+TEST_P(ClockSteps, ServerStartedAfterTheStep_HasASlowStart) {
   begin();
   step();
   tell("new", time.wall_time());
   expect_slow_start("new");
 }
 
-TEST_P(ClockSteps, AServerThatStartedBeforeTheStepStartsSlowly) {
+TEST_P(ClockSteps, ServerStartedBeforeTheStep_HasASlowStart) {
   begin();
   const Time started = time.wall_time();
   step();
@@ -117,7 +117,7 @@
   expect_slow_start("new");
 }
 
-TEST_P(ClockSteps, AStepUnderASlowStartEndsItNoSoonerAndNoLater) {
+TEST_P(ClockSteps, StepDuringASlowStart_DoesNotChangeItsEnd) {
   begin();
   const Time started = time.wall_time();
   tell("new", started);
@@ -127,7 +127,7 @@
   expect_slow_start("new");
 }
 
-TEST_P(ClockSteps, BeforeTheRunAStepMakesNoNewServerWarm) {
+TEST_P(ClockSteps, StepBeforeTheProcess_DoesNotSkipSlowStartOfNewServers) {
   const Time before_the_step = time.wall_time();
   step();
   begin();
@@ -137,7 +137,7 @@
   expect_slow_start("new");
 }
 
-TEST_P(ClockSteps, AServerCalledBackStartsSlowlyAtTheStepToo) {
+TEST_P(ClockSteps, ServerEnabledAtTheStep_HasASlowStart) {
   begin();
   tell("c-5", 0);
   expect_warm("c-5");
@@ -148,7 +148,7 @@
   expect_slow_start("c-5");
 }
 
-TEST_P(ClockSteps, AServerCalledBackAfterTheStepStartsSlowly) {
+TEST_P(ClockSteps, ServerEnabledAfterTheStep_HasASlowStart) {
   begin();
   tell("c-5", 0);
   engine->set_override("c-5", true, 0);
@@ -157,18 +157,18 @@
   expect_slow_start("c-5");
 }
 
-TEST_P(ClockSteps, ARequestsDeadlineIsRealTime) {
+TEST_P(ClockSteps, RequestDeadline_IsMonotonic) {
   begin();
   ask(kRead, 1, 2 * kSecond);
   step();
   time.advance(1'900 * kMs);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
   time.advance(200 * kMs);
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_NE(asker->replies[0].second.kind, engine::Response::Kind::served);
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_NE(sink->responses[0].second.kind, engine::Response::Kind::served);
 }
 
-TEST_P(ClockSteps, TheWindowForRepeatsIsRealTime) {
+TEST_P(ClockSteps, IdempotencyWindow_IsMonotonic) {
   begin();
   ask(kSave, 2);
   ASSERT_EQ(fleet.sent.size(), 1U);
@@ -180,7 +180,7 @@
   EXPECT_EQ(fleet.sent[1].begin_by, first + 4'500 * kMs);
 }
 
-TEST_P(ClockSteps, BehindTheWindowNothingIsRepeated) {
+TEST_P(ClockSteps, AfterTheIdempotencyWindow_NothingIsSentAgain) {
   begin();
   ask(kSave, 2);
   step();
@@ -190,7 +190,7 @@
   EXPECT_EQ(fleet.sent.size(), 1U);
 }
 
-TEST_P(ClockSteps, AnEjectionIsRealTime) {
+TEST_P(ClockSteps, EjectionTime_IsMonotonic) {
   begin();
   // Three failures in a row put a server off for 0.75 to 1.25 s.
   for (std::uint64_t key = 1; engine->endpoint_counts().down == 0 && key < 200; ++key) {
@@ -208,24 +208,24 @@
   EXPECT_EQ(engine->endpoint_counts().down, 0U);
 }
 
-TEST_P(ClockSteps, TheGraceAtTheEndIsRealTime) {
+TEST_P(ClockSteps, ShutdownPhases_AreMonotonic) {
   begin();
-  IdleFront front;
-  front.waiting = 1;
-  engine->add(front);
+  FakeDownstream downstream;
+  downstream.waiting = 1;
+  engine->add(downstream);
   ask(kRead, 3, 8 * kSecond);
   bool done = false;
   engine->shut_down([&] { done = true; });
   step();
   time.advance(400 * kMs);
-  EXPECT_FALSE(front.stopped);
+  EXPECT_FALSE(downstream.stopped);
   time.advance(200 * kMs);
-  EXPECT_TRUE(front.stopped);
+  EXPECT_TRUE(downstream.stopped);
   time.advance(2'000 * kMs);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
   EXPECT_FALSE(done);
   time.advance(1'000 * kMs);
-  EXPECT_EQ(replies(), 1U);
+  EXPECT_EQ(responses(), 1U);
   EXPECT_TRUE(done);
 }
 
--- a/tests/engine/hand_driven.h
+++ b/tests/engine/engine_fakes.h
@@ -1,5 +1,6 @@
-// A hand-driven world for one engine: time that moves when told, servers that record what is sent to them,
-// askers that record what they are answered. No socket.
+/// \file
+/// Fakes of the engine's interfaces: manually advanced time, upstreams that record the attempts sent to them,
+/// sinks that record responses. No sockets.
 #pragma once
 
 #include <algorithm>
@@ -14,21 +15,21 @@
 
 namespace streampick::test {
 
-class HandDriven final : public engine::TimeSource {
+class ManualTime final : public engine::TimeSource {
  public:
   Time now() override { return now_; }
   Time wall_time() override { return now_ + wall_steps_; }
-  /// The wall clock steps, forward or back; the monotonic one runs on.
+  /// Steps the wall clock forward or back; the monotonic clock does not change.
   void step_wall_clock(Time by) { wall_steps_ += by; }
   std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
-    return std::make_unique<HandTimer>(*this, std::move(due));
+    return std::make_unique<ManualTimer>(*this, std::move(due));
   }
-  // Moves on, calling each timer at its time, in the order of their times; of two at one time the one that
-  // was made first.
+  /// Advances time, calling each timer at its time in order; of two at one time, the one that was created
+  /// first.
   void advance(Time by) {
     const Time until = now_ + by;
     for (;;) {
-      HandTimer* first = nullptr;
+      ManualTimer* first = nullptr;
       for (const auto& [number, timer] : timers_)
         if (timer->at_ <= until && (first == nullptr || timer->at_ < first->at_)) first = timer;
       if (first == nullptr) break;
@@ -38,52 +39,52 @@
     }
     now_ = until;
   }
-  // Time passes and nothing of ours is run: a paused process.
+  /// Advances time without calling timers, as in a suspended process.
   void stall(Time by) { now_ += by; }
 
  private:
-  struct HandTimer final : engine::Timer {
-    HandTimer(HandDriven& owner, std::function<void()> due)
-        : owner_(owner), due_(std::move(due)), number_(++owner_.made_) {
+  struct ManualTimer final : engine::Timer {
+    ManualTimer(ManualTime& owner, std::function<void()> due)
+        : owner_(owner), due_(std::move(due)), number_(++owner_.timers_made_) {
       owner_.timers_.emplace(number_, this);
     }
-    ~HandTimer() override { owner_.timers_.erase(number_); }
+    ~ManualTimer() override { owner_.timers_.erase(number_); }
     void set(Time at) override { at_ = at; }
     void cancel() override { at_ = kNever; }
-    HandDriven& owner_;
+    ManualTime& owner_;
     std::function<void()> due_;
     std::uint64_t number_;
     Time at_ = kNever;
   };
-  std::uint64_t made_ = 0;
-  std::map<std::uint64_t, HandTimer*> timers_;  // in the order they were made
+  std::uint64_t timers_made_ = 0;
+  std::map<std::uint64_t, ManualTimer*> timers_;  // by order of creation
   Time now_ = 1'000'000'000'000;
   Time wall_steps_ = 0;
 };
 
-struct Sent {
+struct SentAttempt {
   std::string server;
   engine::AttemptId attempt;
   std::shared_ptr<const engine::Message> message;
   Time at, begin_by;
-  bool forgotten = false;
-  bool closed = false;  // forgotten as overdue: its connection is not waited for
-  bool taken_back = false;
+  bool cancelled = false;
+  bool closed = false;  // cancelled as timed out: its connection is closed
+  bool cancelled_unsent = false;
 };
 
 class Fleet final : public engine::UpstreamFactory {
  public:
-  explicit Fleet(HandDriven& time) : time_(time) {}
+  explicit Fleet(ManualTime& time) : time_(time) {}
   std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t) override {
     return std::make_unique<Server>(*this, name);
   }
   Time sending_stops_at(const std::string& name) const { return by_name_.at(name)->sending_stops_at(); }
-  std::vector<Sent> sent;
-  std::vector<std::pair<std::string, std::string>> kept;  // server, value
-  std::set<std::string> gone;                             // whose transport was given up
+  std::vector<SentAttempt> sent;
+  std::vector<std::pair<std::string, std::string>> cache_fills;  // server, value
+  std::set<std::string> gone;                                    // names of destroyed upstreams
   bool wants_cache_fills = false;
-  int closed_idle = 0;          // times that all which were idle at a server were closed
-  std::set<std::string> dials;  // whose connections are still being made: nothing goes out to them
+  int close_idle_calls = 0;          // times that all idle connections of a server were closed
+  std::set<std::string> connecting;  // servers whose connections are still being established
 
  private:
   struct Server final : engine::Upstream {
@@ -100,45 +101,45 @@
       owner_.sent.push_back({name_, attempt, std::move(message), owner_.time_.now(), begin_by});
     }
     void cancel(engine::AttemptId attempt, engine::CancelReason reason) override {
-      for (Sent& sent : owner_.sent)
+      for (SentAttempt& sent : owner_.sent)
         if (sent.attempt == attempt) {
-          sent.forgotten = true;
+          sent.cancelled = true;
           sent.closed = reason == engine::CancelReason::timed_out;
         }
     }
     bool cancel_unsent(engine::AttemptId attempt) override {
-      if (!owner_.dials.contains(name_)) return false;
-      for (Sent& sent : owner_.sent) sent.taken_back |= sent.attempt == attempt;
+      if (!owner_.connecting.contains(name_)) return false;
+      for (SentAttempt& sent : owner_.sent) sent.cancelled_unsent |= sent.attempt == attempt;
       return true;
     }
-    void close_idle(Time unused_since) override { owner_.closed_idle += unused_since == kNever ? 1 : 0; }
+    void close_idle(Time unused_since) override { owner_.close_idle_calls += unused_since == kNever ? 1 : 0; }
     bool close_oldest_idle() override { return false; }
     bool wants_cache_fills() const override { return owner_.wants_cache_fills; }
     void fill_cache(const std::string&, const std::string& value) override {
-      owner_.kept.emplace_back(name_, value);
+      owner_.cache_fills.emplace_back(name_, value);
     }
     Fleet& owner_;
     std::string name_;
   };
-  HandDriven& time_;
+  ManualTime& time_;
   std::map<std::string, Server*> by_name_;
 };
 
-struct RecordingAsker final : engine::ResponseSink {
+struct RecordingSink final : engine::ResponseSink {
   void respond(std::uint64_t tag, engine::Response reply) override {
-    replies.emplace_back(tag, std::move(reply));
+    responses.emplace_back(tag, std::move(reply));
   }
   bool client_gone() override { return gone; }
-  std::vector<std::pair<std::uint64_t, engine::Response>> replies;
-  bool gone = false;  // it can be seen, and nobody has told
+  std::vector<std::pair<std::uint64_t, engine::Response>> responses;
+  bool gone = false;  // the disconnect is visible, but was not reported yet
 };
 
-struct QuietRoster final : engine::EndpointDiscovery {
+struct FakeDiscovery final : engine::EndpointDiscovery {
   void watch() override { ++watches; }
   int watches = 0;
 };
 
-struct IdleFront final : engine::Downstream {
+struct FakeDownstream final : engine::Downstream {
   void on_drain_started() override { ++drains; }
   void stop_accepting() override { stopped = true; }
   std::size_t unanswered() const override { return waiting; }
--- a/tests/engine/engine_fixture.h
+++ b/tests/engine/engine_fixture.h
@@ -1,10 +1,11 @@
-/// A test fixture for one engine on a hand-driven clock: two cache servers, an origin, and a class of each
+/// \file
+/// Fixture for one engine on manually advanced time: two cache servers, an origin, and a class of each
 /// effect.
 #pragma once
 
 #include <gtest/gtest.h>
 
-#include "engine/hand_driven.h"
+#include "engine/engine_fakes.h"
 
 namespace streampick::test {
 
@@ -35,8 +36,8 @@
     settings.seed = 7;
     engine = std::make_unique<engine::Engine>(time, settings, transports,
                                               [this](std::string_view text) { log.emplace_back(text); });
-    engine->add(front);
-    engine->start(roster, known);
+    engine->add(downstream);
+    engine->start(discovery, known);
   }
 
   static engine::EndpointList list(std::uint64_t revision, bool complete,
@@ -69,11 +70,11 @@
     incoming.has_key = true;
     incoming.remaining = remaining;
     incoming.tag = tag;
-    return engine->on_request(asker, std::move(incoming));
+    return engine->on_request(sink, std::move(incoming));
   }
-  // A save whose body is still to come.
-  std::pair<RequestId, std::shared_ptr<engine::BodyStream>> save_that_comes(Class request_class,
-                                                                            Time remaining) {
+  /// A write whose body is streamed.
+  std::pair<RequestId, std::shared_ptr<engine::BodyStream>> start_upload(Class request_class,
+                                                                         Time remaining) {
     engine::IncomingRequest incoming;
     const auto message = std::make_shared<engine::Message>();
     message->operation = engine::Operation::write;
@@ -82,22 +83,22 @@
     incoming.request_class = request_class;
     incoming.transaction_id = ++transaction_id;
     incoming.remaining = remaining;
-    return {engine->on_request(asker, std::move(incoming)), message->upload};
+    return {engine->on_request(sink, std::move(incoming)), message->upload};
   }
   void end(std::size_t sent, Outcome outcome, const std::string& body = "v") {
     engine::Answer answer;
     answer.body = body;
     engine->on_attempt_ended(fleet.sent.at(sent).attempt, outcome, std::move(answer));
   }
-  std::size_t replies() const { return asker->replies.size(); }
-  const engine::Response& reply(std::size_t i = 0) const { return asker->replies.at(i).second; }
+  std::size_t responses() const { return sink->responses.size(); }
+  const engine::Response& response(std::size_t i = 0) const { return sink->responses.at(i).second; }
 
-  HandDriven time;
+  ManualTime time;
   Fleet fleet{time};
-  QuietRoster roster;
-  IdleFront front;
+  FakeDiscovery discovery;
+  FakeDownstream downstream;
   std::vector<std::string> log;
-  std::shared_ptr<RecordingAsker> asker = std::make_shared<RecordingAsker>();
+  std::shared_ptr<RecordingSink> sink = std::make_shared<RecordingSink>();
   std::uint64_t transaction_id = 0;
   std::unique_ptr<engine::Engine> engine;
 };
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -4,126 +4,126 @@
 namespace streampick::test {
 namespace {
 
-TEST_F(EngineTest, AReadIsServedOnceAndItsTagIsTold) {
+TEST_F(EngineTest, ServedRead_HasOneResponseWithItsTag) {
   ASSERT_NE(ask(kRead, 41), 0U);
   ASSERT_EQ(fleet.sent.size(), 1U);
   end(0, Outcome::served, "tile");
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(asker->replies[0].first, 41U);
-  EXPECT_EQ(reply().kind, engine::Response::Kind::served);
-  EXPECT_EQ(reply().answer.body, "tile");
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_EQ(sink->responses[0].first, 41U);
+  EXPECT_EQ(response().kind, engine::Response::Kind::served);
+  EXPECT_EQ(response().answer.body, "tile");
 }
 
 // ---- A client that is seen to have gone before it is told
 
-TEST_F(EngineTest, ForAClientThatIsSeenToHaveGoneNoHedgeBeginsAndItIsWithdrawn) {
+TEST_F(EngineTest, DisconnectSeenBeforeAHedge_SendsNoHedgeAndCancelsTheRequest) {
   ask(kRead);
-  asker->gone = true;
+  sink->gone = true;
   time.advance(1'500 * kMs);  // past the hedge's delay
   EXPECT_EQ(fleet.sent.size(), 1U);
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
 }
 
-TEST_F(EngineTest, ForAClientThatIsSeenToHaveGoneNoRetryBegins) {
+TEST_F(EngineTest, DisconnectSeenBeforeARetry_SendsNoRetry) {
   ask(kRead);
-  asker->gone = true;
+  sink->gone = true;
   end(0, Outcome::overloaded);
   time.advance(10 * kSecond);
   EXPECT_EQ(fleet.sent.size(), 1U);
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
 }
 
 // What waits for its connection asks right before its first byte.
-TEST_F(EngineTest, WhatIsAboutToBeWrittenMayNotBeWhereItsClientHasGoneOrItIsOver) {
+TEST_F(EngineTest, DisconnectedOrFinishedRequest_MayNotWrite) {
   const RequestId request = ask(kRead);
   const engine::AttemptId attempt = fleet.sent.at(0).attempt;
   ASSERT_TRUE(engine->may_write(attempt));
   EXPECT_LE(*engine->may_write(attempt), time.now() + 8 * kSecond);
   EXPECT_FALSE(engine->may_write({request, 7}));
-  asker->gone = true;
+  sink->gone = true;
   EXPECT_FALSE(engine->may_write(attempt));
   EXPECT_EQ(engine->counts().cancelled_by_client, 0U);  // not from within the question
   end(0, Outcome::not_sent);
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
   EXPECT_FALSE(engine->may_write(attempt));
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
 }
 
 // The time of its client counts from its last byte.
-TEST_F(EngineTest, WhileABodyComesItsServerIsToldWhatItsClientWillHaveBehindIt) {
-  const auto [request, body] = save_that_comes(kPay, 2 * kSecond);
+TEST_F(EngineTest, UploadInProgress_TellsTheServerTheTimeAfterTheLastByte) {
+  const auto [request, body] = start_upload(kPay, 2 * kSecond);
   const engine::AttemptId attempt = fleet.sent.at(0).attempt;
   EXPECT_LE(*engine->may_write(attempt), time.now() + 2 * kSecond);
   time.advance(10 * kSecond);
   EXPECT_LE(*engine->may_write(attempt), time.now() + 2 * kSecond);
 }
 
-TEST_F(EngineTest, ASecondAnswerOfOneAttemptAndOneAfterTheFinalAnswerAreNotPassedOn) {
+TEST_F(EngineTest, SecondOrLateAnswer_IsNotForwarded) {
   ask(kRead);
   time.advance(1'500 * kMs);  // a copy goes out
   ASSERT_GE(fleet.sent.size(), 2U);
   end(1, Outcome::served, "copy");
   end(1, Outcome::served, "again");
   end(0, Outcome::served, "late");
-  EXPECT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().answer.body, "copy");
+  EXPECT_EQ(responses(), 1U);
+  EXPECT_EQ(response().answer.body, "copy");
   EXPECT_EQ(engine->counts().served, 1U);
   EXPECT_EQ(engine->counts().outcomes[static_cast<std::size_t>(Outcome::served)], 1U);
 }
 
-TEST_F(EngineTest, ACancelThatCrossesAnAnswerEndsTheAttemptOnce) {
+TEST_F(EngineTest, CancelCrossingAnAnswer_EndsTheAttemptOnce) {
   ask(kRead);
   time.advance(1'500 * kMs);
   ASSERT_GE(fleet.sent.size(), 2U);
   end(0, Outcome::served, "first");  // the module cancels the copy within this call
-  EXPECT_TRUE(fleet.sent[1].forgotten);
+  EXPECT_TRUE(fleet.sent[1].cancelled);
   end(1, Outcome::served, "crossed");
-  EXPECT_EQ(replies(), 1U);
+  EXPECT_EQ(responses(), 1U);
   const auto& outcomes = engine->counts().outcomes;
   EXPECT_EQ(outcomes[static_cast<std::size_t>(Outcome::cancelled)], engine->counts().cancelled_attempts);
   EXPECT_EQ(outcomes[static_cast<std::size_t>(Outcome::served)], 1U);
 }
 
-TEST_F(EngineTest, AClientThatLeftIsAnsweredNothingAndNothingIsSentForIt) {
+TEST_F(EngineTest, DisconnectedClient_GetsNoResponseAndNoFurtherAttempt) {
   const RequestId id = ask(kRead);
   engine->on_client_cancelled(id);
   engine->on_client_cancelled(id);
   end(0, Outcome::served);
   time.advance(9 * kSecond);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
   EXPECT_EQ(fleet.sent.size(), 1U);
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
 }
 
 // The source's work goes on for the caches when its client has left: its answer is nobody's.
-TEST_F(EngineTest, AnAnswerThatComesAfterTheEndCountsForNobody) {
+TEST_F(EngineTest, AnswerAfterTheEnd_IsNotCounted) {
   const RequestId id = ask(kRead);
   end(0, Outcome::miss);
   ASSERT_EQ(fleet.sent.size(), 2U);
   ASSERT_EQ(fleet.sent[1].server, "origin");
   engine->on_client_cancelled(id);
-  ASSERT_FALSE(fleet.sent[1].forgotten);
+  ASSERT_FALSE(fleet.sent[1].cancelled);
   end(1, Outcome::served, "late");
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
   EXPECT_EQ(engine->counts().served, 0U);
   EXPECT_EQ(engine->counts().outcomes[static_cast<std::size_t>(Outcome::served)], 1U);
 }
 
-TEST_F(EngineTest, AnUnsafeWriteThatMayHaveRunFailsOnceAndSaysSo) {
+TEST_F(EngineTest, UnsafeWriteThatMayHaveRun_FailsOnceAndSaysSo) {
   ask(kPay);
   ASSERT_EQ(fleet.sent.size(), 1U);
   EXPECT_EQ(fleet.sent[0].server, "origin");
   end(0, Outcome::reset);
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().kind, engine::Response::Kind::failed);
-  EXPECT_TRUE(reply().may_have_run);
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_EQ(response().kind, engine::Response::Kind::failed);
+  EXPECT_TRUE(response().may_have_run);
   time.advance(9 * kSecond);
   EXPECT_EQ(fleet.sent.size(), 1U);
 }
 
-TEST_F(EngineTest, AnUnsafeWriteThatNeverRanIsSentAgainOrRefused) {
+TEST_F(EngineTest, UnsafeWriteThatNeverRan_IsRetriedOrRejected) {
   ask(kPay);
   ASSERT_EQ(fleet.sent.size(), 1U);
   std::size_t ended = 0;
@@ -131,30 +131,30 @@
     while (ended < fleet.sent.size()) end(ended++, Outcome::connect_failed);
     time.advance(kMs);
   }
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().kind, engine::Response::Kind::rejected);
-  EXPECT_FALSE(reply().may_have_run);
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_EQ(response().kind, engine::Response::Kind::rejected);
+  EXPECT_FALSE(response().may_have_run);
 }
 
-TEST_F(EngineTest, WhatNobodyAnswersIsAnsweredByTheModuleBeforeItsDeadline) {
+TEST_F(EngineTest, SilentServers_AreAnsweredForBeforeTheDeadline) {
   const Time asked = time.now();
   ask(kRead, 0, 600 * kMs);
-  while (replies() == 0 && time.now() < asked + 2 * kSecond) time.advance(kMs);
-  ASSERT_EQ(replies(), 1U);
+  while (responses() == 0 && time.now() < asked + 2 * kSecond) time.advance(kMs);
+  ASSERT_EQ(responses(), 1U);
   EXPECT_LE(time.now(), asked + 600 * kMs);
   EXPECT_EQ(engine->counts().deadline_guards, 0U);
 }
 
-TEST_F(EngineTest, AfterAPauseTheAnswerIsStillTheModulesAndNoBurstOfCopiesGoesOut) {
+TEST_F(EngineTest, AfterASuspension_NoBurstOfHedgesIsSent) {
   ask(kRead, 0, 600 * kMs);
   time.stall(5 * kSecond);
   time.advance(10 * kMs);
-  ASSERT_EQ(replies(), 1U);
+  ASSERT_EQ(responses(), 1U);
   EXPECT_EQ(engine->counts().deadline_guards, 0U);
   EXPECT_EQ(fleet.sent.size(), 1U);
 }
 
-TEST_F(EngineTest, AnIdThatIsOpenIsTakenByNobodyElse) {
+TEST_F(EngineTest, OpenTransactionId_IsNotAcceptedTwice) {
   ASSERT_NE(ask(kRead), 0U);
   --transaction_id;
   EXPECT_EQ(ask(kRead), 0U);
@@ -166,7 +166,7 @@
   EXPECT_NE(ask(kRead), 0U);
 }
 
-TEST_F(EngineTest, NothingNewGoesToAServerThatDrainsAndItIsForgottenOnceItsLastAttemptEnded) {
+TEST_F(EngineTest, DrainingServer_GetsNothingNewAndIsRemovedAfterItsLastAttempt) {
   ask(kRead, 1);
   const std::string server = fleet.sent[0].server;
   engine->on_endpoint_list(list(2, false, {{server, Phase::draining}}));
@@ -175,35 +175,36 @@
     time.advance(50 * kMs);
   }
   std::size_t late = 0;
-  for (const Sent& sent : fleet.sent) late += sent.server == server && sent.at > fleet.sent[0].at ? 1U : 0U;
+  for (const SentAttempt& sent : fleet.sent)
+    late += sent.server == server && sent.at > fleet.sent[0].at ? 1U : 0U;
   EXPECT_EQ(late, 0U);
   engine->on_endpoint_list(list(3, false, {{server, Phase::gone}}));
   EXPECT_FALSE(fleet.gone.contains(server));
   end(0, Outcome::served);
-  ASSERT_GE(replies(), 1U);
-  EXPECT_EQ(asker->replies.back().first, 1U);
-  EXPECT_EQ(asker->replies.back().second.kind, engine::Response::Kind::served);
+  ASSERT_GE(responses(), 1U);
+  EXPECT_EQ(sink->responses.back().first, 1U);
+  EXPECT_EQ(sink->responses.back().second.kind, engine::Response::Kind::served);
   EXPECT_TRUE(fleet.gone.contains(server));
 }
 
-TEST_F(EngineTest, ToldToStopItFailsWhatIsLeftAndEndsOnceFrontsHaveNothingLeft) {
+TEST_F(EngineTest, Shutdown_FailsOpenRequestsAndEndsOnceDownstreamsAreDone) {
   ask(kRead, 5, 8 * kSecond);
-  front.waiting = 1;
+  downstream.waiting = 1;
   bool done = false;
   engine->shut_down([&] { done = true; });
-  EXPECT_EQ(front.drains, 1);
+  EXPECT_EQ(downstream.drains, 1);
   time.advance(600 * kMs);
-  EXPECT_TRUE(front.stopped);
+  EXPECT_TRUE(downstream.stopped);
   EXPECT_FALSE(done);
   time.advance(2'700 * kMs);
-  ASSERT_EQ(replies(), 1U);
+  ASSERT_EQ(responses(), 1U);
   EXPECT_FALSE(done);  // the front has not written it yet
-  front.waiting = 0;
+  downstream.waiting = 0;
   time.advance(300 * kMs);
   EXPECT_TRUE(done);
 }
 
-TEST_F(EngineTest, WhatCachesMissedIsStoredThereUnlessAWriteToTheKeyCrossedTheRead) {
+TEST_F(EngineTest, CacheMiss_IsFilledUnlessAWriteCrossedTheRead) {
   fleet.wants_cache_fills = true;
   engine.reset();
   build();
@@ -216,29 +217,29 @@
   };
   auto [cache, origin] = read();
   end(origin, Outcome::served, "value");
-  ASSERT_EQ(fleet.kept.size(), 1U);
-  EXPECT_EQ(fleet.kept[0], (std::pair<std::string, std::string>{fleet.sent[cache].server, "value"}));
+  ASSERT_EQ(fleet.cache_fills.size(), 1U);
+  EXPECT_EQ(fleet.cache_fills[0], (std::pair<std::string, std::string>{fleet.sent[cache].server, "value"}));
   time.advance(kSecond);
 
   std::tie(cache, origin) = read();
   ask(kSave);
   const std::size_t write = fleet.sent.size() - 1;
   end(origin, Outcome::served, "older");  // the write is out
-  EXPECT_EQ(fleet.kept.size(), 1U);
+  EXPECT_EQ(fleet.cache_fills.size(), 1U);
   time.advance(kSecond);
   std::tie(cache, origin) = read();
   end(write, Outcome::served, "");
   end(origin, Outcome::served, "older still");  // the write ended after the read was asked for
-  EXPECT_EQ(fleet.kept.size(), 1U);
+  EXPECT_EQ(fleet.cache_fills.size(), 1U);
   time.advance(kSecond);
   std::tie(cache, origin) = read();
   end(origin, Outcome::served, "newer");
-  EXPECT_EQ(fleet.kept.size(), 2U);
+  EXPECT_EQ(fleet.cache_fills.size(), 2U);
 }
 
 // ---- What is stuck, and a host that stands still
 
-TEST_F(EngineTest, AnOriginReadThatIsAskedAgainIsClosedFirstAndALoserIsNot) {
+TEST_F(EngineTest, RetriedOriginRead_ClosesItsConnectionAndAHedgeLoserDoesNot) {
   ask(kRead, 1, 8 * kSecond, 1);
   end(0, Outcome::miss);
   ASSERT_EQ(fleet.sent.at(1).server, "origin");
@@ -259,21 +260,21 @@
   time.advance(1'000 * kMs);
   ASSERT_GT(fleet.sent.size(), first + 1);
   end(first, Outcome::served);
-  EXPECT_TRUE(fleet.sent.at(first + 1).forgotten);
+  EXPECT_TRUE(fleet.sent.at(first + 1).cancelled);
   EXPECT_FALSE(fleet.sent.at(first + 1).closed);
 }
 
 // An origin read is left to end when its request is over, so that its answer is stored: not one that has not
 // begun, whose connection is still being made when the request's answer comes from elsewhere, or nobody
 // waits.
-TEST_F(EngineTest, WhatStillWaitsForItsConnectionIsTakenBackWhenItsRequestIsOver) {
+TEST_F(EngineTest, FinishedRequest_CancelsAttemptsThatWaitForAConnection) {
   const auto not_sent = [this] {
     return engine->counts().outcomes[static_cast<std::size_t>(Outcome::not_sent)];
   };
   for (const bool answered : {true, false}) {
-    for (const bool dials : {true, false}) {
-      fleet.dials.clear();
-      if (dials) fleet.dials.insert("origin");
+    for (const bool connecting : {true, false}) {
+      fleet.connecting.clear();
+      if (connecting) fleet.connecting.insert("origin");
       const std::size_t first = fleet.sent.size();
       const std::uint64_t before = not_sent();
       const RequestId request = ask(kRead, 1, 8 * kSecond, 300 + first);
@@ -283,31 +284,31 @@
       ASSERT_EQ(fleet.sent.size(), first + 3);
       ASSERT_EQ(fleet.sent.back().server, "origin");
       answered ? end(first + 1, Outcome::served) : engine->on_client_cancelled(request);
-      EXPECT_EQ(fleet.sent[first + 2].taken_back, dials) << answered;
-      EXPECT_FALSE(fleet.sent[first + 2].forgotten);
-      EXPECT_EQ(not_sent() - before, dials ? 1U : 0U);
-      if (!dials) end(first + 2, Outcome::served);
+      EXPECT_EQ(fleet.sent[first + 2].cancelled_unsent, connecting) << answered;
+      EXPECT_FALSE(fleet.sent[first + 2].cancelled);
+      EXPECT_EQ(not_sent() - before, connecting ? 1U : 0U);
+      if (!connecting) end(first + 2, Outcome::served);
     }
   }
 }
 
-TEST_F(EngineTest, AfterAPauseWhatItsTimeIsUpForFailsAtOnceAndTheRestHasThatMuchLess) {
+TEST_F(EngineTest, AfterASuspension_OverdueRequestsFailAndOthersHaveLessTime) {
   ask(kRead, 1, 2 * kSecond, 1);
   ask(kRead, 2, 8 * kSecond, 2);
   const std::size_t before = fleet.sent.size();
   engine->process_suspended(3 * kSecond);  // left out of `time`, as the client's clock does
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(asker->replies[0].first, 1U);
-  EXPECT_EQ(reply().kind, engine::Response::Kind::failed);
-  EXPECT_TRUE(reply().late);
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_EQ(sink->responses[0].first, 1U);
+  EXPECT_EQ(response().kind, engine::Response::Kind::failed);
+  EXPECT_TRUE(response().late);
   EXPECT_EQ(fleet.sent.size(), before);  // no copy for the time that nobody saw
   time.advance(5 * kSecond);             // of eight, three were gone
-  EXPECT_EQ(replies(), 2U);
+  EXPECT_EQ(responses(), 2U);
   EXPECT_TRUE(log.empty());  // it was not the guard
 }
 
 // News may be old when it is read, after a pause or a silent watch: none of the grace is used.
-TEST_F(EngineTest, WhatAListSaysOfDeparturesHoldsAtOnceAfterAPauseAndAtAnyTime) {
+TEST_F(EngineTest, DepartureInAList_HoldsAtOnceAlsoAfterASuspension) {
   engine->process_suspended(3 * kSecond);
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::draining}, {"c-2", Phase::ready}}, true));
   EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
@@ -317,7 +318,7 @@
 
 // ---- Windows of repeats
 
-TEST_F(EngineTest, ARepeatMustBeginWithinTheWindowOfTheFirstAttemptThatMayHaveRun) {
+TEST_F(EngineTest, Repeat_BeginsWithinTheWindowOfTheFirstAttemptThatMayHaveRun) {
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
   ask(kSave);
   ASSERT_EQ(fleet.sent.size(), 1U);
@@ -341,7 +342,7 @@
 }
 
 // The repeat could not be made just before the window's end; the next try, after its wait, would be too late.
-TEST_F(EngineTest, AWaitThatOutlastsTheWindowEndsTheRequestWithoutARepeat) {
+TEST_F(EngineTest, QueueingBeyondTheWindow_EndsTheRequestWithoutARepeat) {
   build([](Config& config) { config.classes[kSave].idempotency_window = 500 * kMs; });
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
   ask(kSave);
@@ -352,13 +353,13 @@
   end(1, Outcome::connect_failed);
   time.advance(1'000 * kMs);
   EXPECT_EQ(fleet.sent.size(), 2U);
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_EQ(reply().kind, engine::Response::Kind::failed);
-  EXPECT_TRUE(reply().may_have_run);
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_EQ(response().kind, engine::Response::Kind::failed);
+  EXPECT_TRUE(response().may_have_run);
 }
 
 // Settings that come meanwhile change nothing for a request that is open.
-TEST_F(EngineTest, AShorterWindowHoldsForNewRequestsOnly) {
+TEST_F(EngineTest, ShorterWindowInNewSettings_HoldsForNewRequestsOnly) {
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
   ask(kSave);
   const Time first = time.now();
@@ -378,25 +379,25 @@
 
 // ---- The end
 
-TEST_F(EngineTest, ToldToStopWithShortDeadlinesItEndsBeforeTheKill) {
+TEST_F(EngineTest, ShutdownWithShortDeadlines_EndsBeforeTheKill) {
   build([](Config& config) {
     for (RequestClass& rules : config.classes) rules.deadline = kSecond;
   });
   ask(kRead, 0, kSecond);
   bool done = false;
   engine->shut_down([&] { done = true; });
-  front.waiting = 1;
+  downstream.waiting = 1;
   time.advance(400 * kMs);
   ask(kRead, 1, kSecond);
   time.advance(1'000 * kMs);
-  EXPECT_EQ(replies(), 2U);
+  EXPECT_EQ(responses(), 2U);
   time.advance(200 * kMs);  // 1.6 s after the signal: the kill comes after 1.7 s
   EXPECT_TRUE(done);
 }
 
 // ---- Operators
 
-TEST_F(EngineTest, LeftOutByHandNothingMayBeginFromTheSameMomentWhateverTheListSays) {
+TEST_F(EngineTest, DisabledServer_GetsNothingFromThatMomentWhateverTheListSays) {
   time.advance(kSecond);
   engine->set_override("c-1", true, 0);
   EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
@@ -417,21 +418,21 @@
   for (std::uint64_t key = 0; key < 50; ++key) ask(kRead, 0, 8 * kSecond, key);
   time.advance(1'500 * kMs);  // copies too
   EXPECT_FALSE(fleet.sent.empty());
-  for (const Sent& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
+  for (const SentAttempt& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
   engine->set_override("c-1", false, time.now());
   EXPECT_EQ(fleet.sending_stops_at("c-1"), kNever);
 }
 
-TEST_F(EngineTest, CalledBackWhileTheListSaysThatItDrainsItGetsNothing) {
+TEST_F(EngineTest, EnabledWhileListedAsDraining_GetsNothing) {
   engine->set_override("c-1", true, 0);
   engine->on_endpoint_list(list(2, false, {{"c-1", Phase::draining}}));
   engine->set_override("c-1", false, time.now());
   EXPECT_LE(fleet.sending_stops_at("c-1"), time.now());
   for (std::uint64_t key = 0; key < 50; ++key) ask(kRead, 0, 8 * kSecond, key);
-  for (const Sent& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
+  for (const SentAttempt& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
 }
 
-TEST_F(EngineTest, WhatItMissedIsNotKeptAtAServerThatIsOut) {
+TEST_F(EngineTest, DisabledServer_GetsNoCacheFill) {
   fleet.wants_cache_fills = true;
   build();
   ask(kRead);
@@ -439,22 +440,22 @@
   end(0, Outcome::miss);
   engine->set_override(first, true, 0);
   end(1, Outcome::served, "tile");
-  EXPECT_EQ(replies(), 1U);
-  for (const auto& [server, value] : fleet.kept) EXPECT_NE(server, first);
+  EXPECT_EQ(responses(), 1U);
+  for (const auto& [server, value] : fleet.cache_fills) EXPECT_NE(server, first);
 }
 
-TEST_F(EngineTest, AFrontThatComesWhileClientsAreSentAwayHearsItAndAllHearTheEnd) {
+TEST_F(EngineTest, DownstreamAddedWhileDraining_IsNotifiedOfStartAndEnd) {
   engine->set_draining(true);
   engine->set_draining(true);
-  EXPECT_EQ(front.drains, 1);
-  IdleFront late;
+  EXPECT_EQ(downstream.drains, 1);
+  FakeDownstream late;
   engine->add(late);
   EXPECT_EQ(late.drains, 1);
   engine->set_draining(false);
-  EXPECT_EQ(front.ends + late.ends, 2);
+  EXPECT_EQ(downstream.ends + late.ends, 2);
 }
 
-TEST_F(EngineTest, TheFiguresCountEachEndOnceAndWhatLeftNowhere) {
+TEST_F(EngineTest, Metrics_CountEachResultOnceAndDisconnectedClientsNowhere) {
   const RequestId left = ask(kRead, 0, 8 * kSecond, 1);
   ask(kRead, 0, 8 * kSecond, 2);
   EXPECT_EQ(engine->metrics().in_flight(), 2U);
@@ -462,7 +463,7 @@
   EXPECT_EQ(engine->metrics().in_flight(), 1U);
   end(1, Outcome::served);
   EXPECT_EQ(engine->metrics().in_flight(), 1U);  // until the answer is out
-  asker->replies.clear();
+  sink->responses.clear();
   EXPECT_EQ(engine->metrics().in_flight(), 0U);
   engine->on_rejected_unread(kRead);
   const auto& ends = engine->metrics().classes().begin()->second;
@@ -472,39 +473,39 @@
 }
 
 // Its time runs from the last byte of the body, and not from the first.
-TEST_F(EngineTest, ALongBodysTimeRunsFromItsLastByte) {
-  const auto [id, upload] = save_that_comes(kPay, kSecond);
+TEST_F(EngineTest, StreamedBody_HasItsDeadlineFromTheLastByte) {
+  const auto [id, upload] = start_upload(kPay, kSecond);
   time.advance(5 * kSecond);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
   upload->end(engine::BodyStream::State::complete);
   engine->on_body_complete(id);
   time.advance(900 * kMs);
-  EXPECT_EQ(replies(), 0U);
+  EXPECT_EQ(responses(), 0U);
   time.advance(200 * kMs);
-  ASSERT_EQ(replies(), 1U);
-  EXPECT_NE(reply().kind, engine::Response::Kind::served);
+  ASSERT_EQ(responses(), 1U);
+  EXPECT_NE(response().kind, engine::Response::Kind::served);
 }
 
-TEST_F(EngineTest, OfABodyThatIsSpentNothingIsSentAgain) {
+TEST_F(EngineTest, ConsumedBody_IsNotSentAgain) {
   for (const Class kind : {kSave, kPay}) {
     fleet.sent.clear();
-    const auto upload = save_that_comes(kind, 8 * kSecond).second;
+    const auto upload = start_upload(kind, 8 * kSecond).second;
     ASSERT_EQ(fleet.sent.size(), 1U);
     upload->write("half");
     std::string taken;
     upload->read(taken);
-    const std::size_t before = replies();
+    const std::size_t before = responses();
     end(0, Outcome::connect_failed);
-    EXPECT_EQ(replies(), before + 1);  // at once
+    EXPECT_EQ(responses(), before + 1);  // at once
     time.advance(2 * kSecond);
     EXPECT_EQ(fleet.sent.size(), 1U);
-    EXPECT_EQ(asker->replies.back().second.kind, engine::Response::Kind::rejected);
+    EXPECT_EQ(sink->responses.back().second.kind, engine::Response::Kind::rejected);
   }
 }
 
 // Hundreds of routers don't keep what each of them uses seldom; a count that comes while it serves holds from
 // then on.
-TEST_F(EngineTest, TheModuleDecidesByTheRoutersThatItWasToldOfLast) {
+TEST_F(EngineTest, RouterCount_TakesEffectForNewDecisions) {
   build([](Config& config) {
     config.connect_timeout = 250 * kMs;
     config.keep_alive = 60 * kSecond;
@@ -514,13 +515,13 @@
   const auto closed_by = [&](std::uint32_t routers) {
     engine->set_routers(routers);
     EXPECT_EQ(engine->routers(), routers);
-    fleet.closed_idle = 0;
+    fleet.close_idle_calls = 0;
     for (int i = 0; i < 5; ++i) {
       ask(kRead);
       engine->on_attempt_ended(fleet.sent.back().attempt, Outcome::served, {});
       time.advance(kSecond);
     }
-    return fleet.closed_idle;
+    return fleet.close_idle_calls;
   };
   EXPECT_EQ(closed_by(1), 0);
   EXPECT_GT(closed_by(300), 0);
--- a/tests/engine/message_pool_test.cpp
+++ b/tests/engine/message_pool_test.cpp
@@ -5,7 +5,7 @@
 namespace streampick::node {
 namespace {
 
-TEST(MessagePool, AMessageIsUsedAgainEmpty) {
+TEST(MessagePool, ReleasedMessage_IsReusedEmpty) {
   engine::MessagePool pool;
   auto one = pool.acquire();
   const engine::Message* const first = one.get();
@@ -22,7 +22,7 @@
   EXPECT_FALSE(two->accepts_streaming);
 }
 
-TEST(MessagePool, WhatOneClientMadeLargeIsNotKept) {
+TEST(MessagePool, LargeCapacity_IsNotKept) {
   engine::MessagePool pool;
   auto one = pool.acquire();
   one->body.assign(60'000, 'x');
@@ -30,7 +30,7 @@
   EXPECT_LT(pool.acquire()->body.capacity(), 1'000U);
 }
 
-TEST(MessagePool, AMessageMayOutliveItsPool) {
+TEST(MessagePool, Message_MayOutliveItsPool) {
   std::shared_ptr<engine::Message> last;
   {
     engine::MessagePool pool;
--- a/tests/engine/production_test.cpp
+++ b/tests/engine/production_test.cpp
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "engine/engine_fixture.h"
-#include "engine/scripted_fleet.h"
+#include "engine/scripted_upstreams.h"
 
 namespace streampick::test {
 namespace {
@@ -31,42 +31,42 @@
   }
   // Nothing is sent and nobody is answered meanwhile.
   void rest_for(Time length) {
-    const std::size_t sent = fleet.sent.size(), answered = replies();
+    const std::size_t sent = fleet.sent.size(), answered = responses();
     time.advance(length);
     EXPECT_EQ(fleet.sent.size(), sent);
-    EXPECT_EQ(replies(), answered);
+    EXPECT_EQ(responses(), answered);
   }
   // How long the request that was asked for last waits for its answer.
   Time answered_after(const std::string& silent) {
     const Time asked = time.now();
-    const std::size_t before = replies();
-    while (replies() == before && time.now() < asked + 10 * kSecond) {
+    const std::size_t before = responses();
+    while (responses() == before && time.now() < asked + 10 * kSecond) {
       end_new(Outcome::served, silent);
-      if (replies() == before) time.advance(kMs);
+      if (responses() == before) time.advance(kMs);
     }
     return time.now() - asked;
   }
   // Attempts that `requests` cost where each of them is reset at once.
   std::size_t attempts_where_all_is_reset(std::uint64_t requests) {
-    const std::size_t before = fleet.sent.size(), answered = replies();
+    const std::size_t before = fleet.sent.size(), answered = responses();
     for (std::uint64_t key = 0; key < requests; ++key) {
       ask(kRead, 0, 8 * kSecond, key);
       while (next_ < fleet.sent.size()) end_new(Outcome::reset);
     }
-    EXPECT_EQ(replies() - answered, requests);
+    EXPECT_EQ(responses() - answered, requests);
     return fleet.sent.size() - before;
   }
   std::size_t next_ = 0;
 };
 
-TEST_F(AfterQuietTime, ADayLaterTheFirstReadsAreServedInTimeThoughAServerHasGoneSilent) {
+TEST_F(AfterQuietTime, OneDayIdle_FirstReadsAreServedInTimeDespiteASilentServer) {
   serve_some();
   for (const char* silent : {"c-1", "c-2"}) {
     rest_for(kDay);
     for (std::uint64_t key = 0; key < 6; ++key) {
       ask(kRead, 0, 8 * kSecond, key);
       EXPECT_LE(answered_after(silent), kObjective) << silent << ", key " << key;
-      EXPECT_EQ(asker->replies.back().second.kind, engine::Response::Kind::served);
+      EXPECT_EQ(sink->responses.back().second.kind, engine::Response::Kind::served);
     }
     time.advance(10 * kSecond);
     next_ = fleet.sent.size();
@@ -74,7 +74,7 @@
   EXPECT_EQ(engine->counts().deadline_guards, 0U);
 }
 
-TEST_F(AfterQuietTime, ADayLaterAWhollyNewListHoldsFromTheFirstRequestOn) {
+TEST_F(AfterQuietTime, OneDayIdle_ReplacedListHoldsFromTheFirstRequest) {
   serve_some();
   rest_for(kDay);
   engine->on_endpoint_list(list(2, true, {{"c-3", Phase::ready}, {"c-4", Phase::ready}}, true));
@@ -87,7 +87,7 @@
 }
 
 // Budgets of retries and hedged requests are neither spent nor saved up by time alone.
-TEST_F(AfterQuietTime, ADayLaterTroubleCostsNoMoreAttemptsThanAtAFreshRouter) {
+TEST_F(AfterQuietTime, OneDayIdle_FaultsCostNoMoreAttemptsThanOnANewRouter) {
   const std::size_t fresh = attempts_where_all_is_reset(100);
   build();
   rest_for(kDay);
@@ -96,7 +96,7 @@
 }
 
 // All servers are slow for a while, and are well again for an hour in which nobody asks.
-TEST_F(AfterQuietTime, WhatWasLearntInTroubleRejectsNobodyAnHourLater) {
+TEST_F(AfterQuietTime, OneHourAfterFaults_NothingIsRejected) {
   constexpr Time kSlow = 3 * kSecond;
   serve_some();
   for (std::uint64_t tenth = 0; tenth < 150; ++tenth) {
@@ -108,14 +108,15 @@
   time.advance(8 * kSecond);
   next_ = fleet.sent.size();
   rest_for(kHour);
-  const std::size_t before = replies();
+  const std::size_t before = responses();
   for (std::uint64_t key = 0; key < 12; ++key) ask(kRead, 0, 8 * kSecond, key);
-  for (int i = 0; i < 400 && replies() < before + 12; ++i) {
+  for (int i = 0; i < 400 && responses() < before + 12; ++i) {
     time.advance(5 * kMs);
     end_new(Outcome::served);
   }
-  ASSERT_EQ(replies(), before + 12);
-  for (std::size_t i = before; i < replies(); ++i) EXPECT_EQ(reply(i).kind, engine::Response::Kind::served);
+  ASSERT_EQ(responses(), before + 12);
+  for (std::size_t i = before; i < responses(); ++i)
+    EXPECT_EQ(response(i).kind, engine::Response::Kind::served);
 }
 
 // ---- Attempts that fail at once
@@ -136,7 +137,7 @@
 };
 INSTANTIATE_TEST_SUITE_P(ClassesAndOutcomes, FailingAtOnce, ::testing::Range(0, 15));
 
-TEST_P(FailingAtOnce, AttemptsAreBoundedAndThereIsOneFinalAnswer) {
+TEST_P(FailingAtOnce, ImmediateFailures_BoundAttemptsAndGiveOneResponse) {
   constexpr std::size_t kMaxAttempts = 3;  // the fixture's
   const Failing failing = param();
   const Time asked = time.now();
@@ -147,17 +148,17 @@
       end(ended++, failing.outcome);
       ASSERT_LE(fleet.sent.size(), kMaxAttempts);  // also within one turn: no spin
     }
-    ASSERT_TRUE(replies() == 1 || time.now() < asked + 8 * kSecond);
+    ASSERT_TRUE(responses() == 1 || time.now() < asked + 8 * kSecond);
     time.advance(kMs);
   }
-  EXPECT_EQ(replies(), 1U);
-  EXPECT_NE(reply().kind, engine::Response::Kind::served);
+  EXPECT_EQ(responses(), 1U);
+  EXPECT_NE(response().kind, engine::Response::Kind::served);
   EXPECT_GE(fleet.sent.size(), 1U);
   EXPECT_EQ(engine->counts().deadline_guards, 0U);
 }
 
 // The first attempt hangs; the hedged request fails at once, every time.
-TEST_F(EngineTest, HedgedRequestsThatFailAtOnceAreNotSentWithoutEnd) {
+TEST_F(EngineTest, ImmediatelyFailingHedges_AreBounded) {
   ask(kRead);
   std::size_t ended = 1;
   for (int i = 0; i < 7'900; ++i) {
@@ -166,13 +167,13 @@
   }
   EXPECT_LE(fleet.sent.size(), 3U);
   end(0, Outcome::served);
-  EXPECT_EQ(replies(), 1U);
+  EXPECT_EQ(responses(), 1U);
 }
 
 // ---- Held up between the clock and the write
 
 // The clock is read, the router is held up, and the repeat is written: still inside its window.
-TEST_F(EngineTest, ARepeatLeavesALongestHoldUpToTheEndOfItsWindow) {
+TEST_F(EngineTest, Repeat_LeavesAMarginForADelayedLoop) {
   constexpr Time kHoldUp = 150 * kMs;
   for (const Time window : {1'500 * kMs, 5 * kSecond}) {
     build([&](Config& config) { config.classes[kSave].idempotency_window = window; });
@@ -192,16 +193,16 @@
  protected:
   Scripted() { engine.reset(); }
   ~Scripted() override { engine.reset(); }
-  void build_scripted(std::vector<Trouble> troubles, const engine::EndpointList& known) {
-    scripted_ = std::make_unique<ScriptedFleet>(time, 11, std::move(troubles));
+  void build_scripted(std::vector<ServerFault> faults, const engine::EndpointList& known) {
+    scripted_ = std::make_unique<ScriptedUpstreams>(time, 11, std::move(faults));
     build_on(*scripted_, known);
     scripted_->report_to(*engine);
   }
-  std::unique_ptr<ScriptedFleet> scripted_;
+  std::unique_ptr<ScriptedUpstreams> scripted_;
 };
 
 // A cache of the script lacks each key when it is first asked for it.
-TEST_F(Scripted, InCalmTimesEachKeyThatCachesLackIsReadOnceFromTheOriginAndServed) {
+TEST_F(Scripted, CalmTraffic_ReadsEachMissedKeyOnceFromTheOrigin) {
   constexpr std::uint64_t kKeys = 200;
   build_scripted({}, list(1, true, {{"c-1", Phase::ready}, {"c-2", Phase::ready}}, true));
   for (std::uint64_t key = 0; key < kKeys; ++key) {
@@ -209,7 +210,7 @@
     time.advance(50 * kMs);
   }
   time.advance(kSecond);
-  EXPECT_EQ(replies(), kKeys);
+  EXPECT_EQ(responses(), kKeys);
   EXPECT_EQ(engine->counts().served, kKeys);
   EXPECT_EQ(scripted_->requests["origin"], kKeys);
 }
@@ -238,11 +239,11 @@
 
 // Ten of twenty are replaced, one each second: it drains, and has gone a second later, when another comes
 // that has just started. One of the rest hangs.
-TEST_F(Scripted, WhileHalfOfTheServersAreReplacedNoFourSecondsPassInWhichAllIsRejected) {
+TEST_F(Scripted, HalfOfTheServersReplaced_NeverRejectsEverythingForFourSeconds) {
   constexpr int kServers = 20, kReplaced = 10;
   std::vector<std::pair<std::string, Phase>> caches;
   for (int i = 0; i < kServers; ++i) caches.emplace_back("c-" + std::to_string(i), Phase::ready);
-  build_scripted({{Trouble::Kind::stall, 0, 20 * kSecond, "c-19"}}, list(1, true, caches, true));
+  build_scripted({{ServerFault::Kind::stall, 0, 20 * kSecond, "c-19"}}, list(1, true, caches, true));
   std::vector<Slot> slots;
   std::uint64_t revision = 1;
   for (int tenth = 0; tenth < 200; ++tenth) {
--- a/tests/engine/scripted_fleet.h
+++ b/tests/engine/scripted_upstreams.h
@@ -1,33 +1,35 @@
-// Servers on virtual time. What becomes of an attempt is drawn from the seed, the server, the key and how
-// often the server was asked for it, so that two routers who ask the same meet the same.
+/// \file
+/// Servers on virtual time with scripted faults. The outcome of an attempt is drawn from the seed, the
+/// server, the key and the number of earlier requests for it there, so that two routers with the same
+/// requests see the same outcomes.
 #pragma once
 
 #include <queue>
 
-#include "engine/hand_driven.h"
+#include "engine/engine_fakes.h"
 
 namespace streampick::test {
 
-struct Trouble {
-  enum class Kind : std::uint8_t { stall, reset, spoilt, full, refused, flush, slow } kind;
+struct ServerFault {
+  enum class Kind : std::uint8_t { stall, reset, malformed, overloaded, connect_refused, flush, slow } kind;
   Time from = 0, to = 0;    // after the start, us
   std::string server = {};  // empty: all but the origin
   int per_thousand = 1'000;
 };
 
-class ScriptedFleet final : public engine::UpstreamFactory {
+class ScriptedUpstreams final : public engine::UpstreamFactory {
  public:
-  ScriptedFleet(HandDriven& time, std::uint64_t seed, std::vector<Trouble> troubles)
+  ScriptedUpstreams(ManualTime& time, std::uint64_t seed, std::vector<ServerFault> faults)
       : time_(time),
         seed_(seed),
         start_(time.now()),
-        troubles_(std::move(troubles)),
+        faults_(std::move(faults)),
         timer_(time.timer([this] { play(); })) {}
   void report_to(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
   std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override {
     return std::make_unique<Server>(*this, name, kind == 1);
   }
-  bool at_rest() const { return out_.empty(); }
+  bool is_idle() const { return out_.empty(); }
 
   // By server; and by server and key.
   std::map<std::string, std::uint64_t> requests;
@@ -47,7 +49,7 @@
     }
   };
   struct Server final : engine::Upstream {
-    Server(ScriptedFleet& owner, std::string name, bool origin)
+    Server(ScriptedUpstreams& owner, std::string name, bool origin)
         : owner_(owner), name_(std::move(name)), origin_(origin) {}
     void set_address(const std::string&) override {}
     void send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time,
@@ -61,7 +63,7 @@
     }
     void close_idle(Time) override {}
     bool close_oldest_idle() override { return false; }
-    ScriptedFleet& owner_;
+    ScriptedUpstreams& owner_;
     std::string name_;
     bool origin_;
   };
@@ -82,28 +84,28 @@
     ++requests[server];
     last_send[server] = since;
     const std::uint64_t turn = ++asked[{server, message.key}];
-    const std::uint64_t luck = draw(server, message.key, turn);
+    const std::uint64_t draw_bits = draw(server, message.key, turn);
     const bool write = engine::is_write(message.operation);
     Outcome outcome = Outcome::served;
-    Time takes = 1'000 + static_cast<Time>(luck % 4'000) * (origin ? 6 : 1);
+    Time takes = 1'000 + static_cast<Time>(draw_bits % 4'000) * (origin ? 6 : 1);
     Time& filled = filled_[{server, message.key}];
-    // A cache has what it was asked for before, but for a while after that.
+    // A cache server has a key from 60 ms after the first request for it.
     if (!origin && !write) {
       if (filled == 0 || filled > since) outcome = Outcome::miss;
       if (filled == 0) filled = since + 60'000;
     }
-    for (const Trouble& trouble : troubles_) {
-      if (since < trouble.from || since >= trouble.to) continue;
-      if (trouble.server.empty() ? origin : trouble.server != server) continue;
-      if (static_cast<int>((luck >> 20U) % 1'000) >= trouble.per_thousand) continue;
-      switch (trouble.kind) {
-        case Trouble::Kind::stall: takes += trouble.to - since; break;
-        case Trouble::Kind::slow: takes *= 20; break;
-        case Trouble::Kind::reset: outcome = Outcome::reset; break;
-        case Trouble::Kind::spoilt: outcome = Outcome::malformed; break;
-        case Trouble::Kind::full: outcome = Outcome::overloaded; break;
-        case Trouble::Kind::refused: outcome = Outcome::connect_failed; break;
-        case Trouble::Kind::flush: outcome = write ? outcome : Outcome::miss; break;
+    for (const ServerFault& fault : faults_) {
+      if (since < fault.from || since >= fault.to) continue;
+      if (fault.server.empty() ? origin : fault.server != server) continue;
+      if (static_cast<int>((draw_bits >> 20U) % 1'000) >= fault.per_thousand) continue;
+      switch (fault.kind) {
+        case ServerFault::Kind::stall: takes += fault.to - since; break;
+        case ServerFault::Kind::slow: takes *= 20; break;
+        case ServerFault::Kind::reset: outcome = Outcome::reset; break;
+        case ServerFault::Kind::malformed: outcome = Outcome::malformed; break;
+        case ServerFault::Kind::overloaded: outcome = Outcome::overloaded; break;
+        case ServerFault::Kind::connect_refused: outcome = Outcome::connect_failed; break;
+        case ServerFault::Kind::flush: outcome = write ? outcome : Outcome::miss; break;
       }
     }
     if (write && outcome != Outcome::overloaded && outcome != Outcome::connect_failed)
@@ -119,7 +121,7 @@
     while (!events_.empty() && events_.top().at <= time_.now()) {
       const Event event = events_.top();
       events_.pop();
-      if (out_.erase({event.attempt.request, event.attempt.number}) == 0) continue;  // forgotten
+      if (out_.erase({event.attempt.request, event.attempt.number}) == 0) continue;  // cancelled
       engine::Answer answer;
       answer.body = event.body;
       outcomes_->on_attempt_ended(event.attempt, event.outcome, std::move(answer));
@@ -127,10 +129,10 @@
     if (!events_.empty()) timer_->set(events_.top().at);
   }
 
-  HandDriven& time_;
+  ManualTime& time_;
   std::uint64_t seed_;
   Time start_;
-  std::vector<Trouble> troubles_;
+  std::vector<ServerFault> faults_;
   engine::AttemptObserver* outcomes_ = nullptr;
   std::set<std::pair<RequestId, std::uint32_t>> out_;
   std::map<std::pair<std::string, std::string>, Time> filled_;
--- a/tests/engine/server_starts_test.cpp
+++ b/tests/engine/server_starts_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "engine/hand_driven.h"
+#include "engine/engine_fakes.h"
 
 namespace streampick::test {
 namespace {
@@ -33,12 +33,12 @@
   void tell(const std::string& id, Time started) { starts.on_endpoint_list(list_of({{id, started}})); }
   Time age_of(const std::string& id) { return time.now() - starts.start_of(id); }
 
-  HandDriven time;
+  ManualTime time;
   engine::ServerStarts starts{time};
 };
 using ServerStartsSteps = ServerStartsTest;
 
-TEST_F(ServerStartsTest, OnAClockThatDoesNotStepAStartIsAsTold) {
+TEST_F(ServerStartsTest, SteadyClock_KeepsListedStarts) {
   EXPECT_EQ(age_of("a"), kHour + 60 * kSecond);
   tell("new", time.now() - 3 * kSecond);
   EXPECT_EQ(age_of("new"), 3 * kSecond);
@@ -50,13 +50,13 @@
   EXPECT_EQ(age_of("new"), 3 * kHour + 3 * kSecond);
 }
 
-TEST_F(ServerStartsTest, NoStartToldMeansLongAgo) {
+TEST_F(ServerStartsTest, StartOfZero_MeansLongAgo) {
   tell("new", 0);
   EXPECT_EQ(starts.start_of("new"), 0);
   EXPECT_EQ(starts.start_of("never listed"), 0);
 }
 
-TEST_F(ServerStartsTest, AStartInTheFutureIsNowAndNeverLater) {
+TEST_F(ServerStartsTest, FutureStart_IsNow) {
   tell("new", time.wall_time() + kHour);
   EXPECT_EQ(age_of("new"), 0);
   time.advance(5 * kSecond);
@@ -64,14 +64,14 @@
   EXPECT_EQ(age_of("new"), 5 * kSecond);
 }
 
-TEST_F(ServerStartsTest, AStartLongAgoOfAServerThatIsNewHereIsNow) {
+TEST_F(ServerStartsTest, OldStartOfANewServer_IsNow) {
   time.advance(10 * kSecond);
   tell("known before", time.wall_time());
   tell("new", time.wall_time() - kHour);
   EXPECT_EQ(age_of("new"), 0);
 }
 
-TEST_F(ServerStartsTest, AServerThatGoesAndComesBackUnderTheSameStartKeepsItsDate) {
+TEST_F(ServerStartsTest, ServerListedAgainWithTheSameStart_KeepsIt) {
   engine::EndpointList gone = list_of({{"a", 0}});
   gone.members[0].member.phase = Phase::gone;
   starts.on_endpoint_list(gone);
@@ -81,14 +81,14 @@
   EXPECT_EQ(age_of("a"), kHour + 70 * kSecond);
 }
 
-TEST_F(ServerStartsTest, OfAnotherSourceOfListsTheWallClockIsAllThereIs) {
+TEST_F(ServerStartsTest, ListOfAnotherSource_TrustsTheWallClock) {
   const Time long_ago = time.wall_time() - kHour;
   starts.on_endpoint_list(
       list_of({{"p", long_ago}, {"q", long_ago}, {"r", long_ago}, {"s", long_ago}}, true));
   EXPECT_EQ(age_of("p"), kHour);
 }
 
-TEST_F(ServerStartsTest, ServersThatComeAndGoAllDayAreForgotten) {
+TEST_F(ServerStartsTest, DepartedServers_AreRemovedBeyondABound) {
   const Time started = time.wall_time();
   tell("first", started);
   engine::EndpointList gone = list_of({{"first", started}});
@@ -106,7 +106,7 @@
   EXPECT_NE(starts.start_of("a"), 0);
 }
 
-TEST_P(ServerStartsSteps, AServerThatStartedAfterTheStepIsAsOldAsItIs) {
+TEST_P(ServerStartsSteps, StartAfterTheStep_HasItsRealAge) {
   time.step_wall_clock(GetParam());
   time.advance(2 * kSecond);
   const Time started = time.wall_time();
@@ -116,13 +116,13 @@
 }
 
 // Two readings of two clocks differ by some microseconds.
-TEST_P(ServerStartsSteps, AReadingJustAheadOfOursIsOfThisMoment) {
+TEST_P(ServerStartsSteps, StartSlightlyInTheFuture_IsNow) {
   time.step_wall_clock(GetParam());
   for (const Time ahead : {Time{0}, Time{1}, engine::WallClockHistory::kMinStep})
     EXPECT_EQ(starts.start_at(time.wall_time() + ahead), time.now());
 }
 
-TEST_P(ServerStartsSteps, AServerThatStartedBeforeTheStepIsNoOlderThanItIs) {
+TEST_P(ServerStartsSteps, StartBeforeTheStep_IsNotOlderThanReal) {
   const Time started = time.wall_time();
   time.advance(3 * kSecond);
   time.step_wall_clock(GetParam());
@@ -131,7 +131,7 @@
   EXPECT_LE(age_of("new"), 3 * kSecond);
 }
 
-TEST_P(ServerStartsSteps, AServerThatWasDatedStaysWhereItIs) {
+TEST_P(ServerStartsSteps, ConvertedStart_IsNotMovedByAStep) {
   const Time started = time.wall_time();
   tell("new", started);
   time.advance(kSecond);
@@ -141,7 +141,7 @@
   EXPECT_EQ(age_of("new"), kSecond);
 }
 
-TEST_P(ServerStartsSteps, AStepThereAndBackMakesNobodyOlder) {
+TEST_P(ServerStartsSteps, StepForwardAndBack_MakesNoServerOlder) {
   time.step_wall_clock(GetParam());
   tell("first", time.wall_time());
   time.advance(2 * kSecond);
@@ -154,7 +154,7 @@
 }
 
 // It may have been read in none of the times that the clock ran as it ran then.
-TEST_P(ServerStartsSteps, WhatTheClockReadUnderAFormerOffsetOnlyCountsForThatTime) {
+TEST_P(ServerStartsSteps, ReadingUnderAFormerOffset_CountsOnlyForItsPeriod) {
   tell("before", time.wall_time());
   time.step_wall_clock(GetParam());
   tell("first", time.wall_time());
@@ -166,7 +166,7 @@
 }
 
 // What a process that begins after the step can know.
-TEST_P(ServerStartsSteps, AStepBeforeTheStartTakesNoNewServerForWarm) {
+TEST_P(ServerStartsSteps, StepBeforeTheProcess_LeavesNewServersWithTheirSlowStart) {
   const Time before_the_step = time.wall_time();
   time.step_wall_clock(GetParam());
   engine::ServerStarts fresh(time);
@@ -183,7 +183,7 @@
   EXPECT_LE(age, 40 * kSecond);
 }
 
-TEST_P(ServerStartsSteps, ACallBackCountsFromItsMoment) {
+TEST_P(ServerStartsSteps, EnabledServer_CountsFromThatMoment) {
   const Time called_back = time.wall_time();
   time.advance(kSecond);
   time.step_wall_clock(GetParam());
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "engine/hand_driven.h"
+#include "engine/engine_fakes.h"
 #include "shares/wire.h"
 
 namespace streampick::test {
@@ -37,7 +37,7 @@
   , [this] { return origin; }, [this](Shares own) { told = std::move(own), ++changes; },
       [this](membership::Address, const std::string&) { ++said; }, [](std::string_view) {}});
 }  // namespace
-HandDriven time;
+ManualTime time;
 fleet::ShareOptions options;
 std::vector<std::string> names;
 std::vector<Tenant> all;
--- a/tests/plugin/virtual_test.cpp
+++ b/tests/plugin/virtual_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "engine/keys.h"
-#include "engine/scripted_fleet.h"
+#include "engine/scripted_upstreams.h"
 #include "plugin/calls.h"
 #include "plugin/held_transport.h"
 #include "plugin/resume.h"
@@ -26,7 +26,7 @@
 };
 struct Scenario {
   const char* name;
-  std::vector<Trouble> troubles = {};
+  std::vector<ServerFault> faults = {};
   std::vector<Change> changes = {};
   Time every = 4 * kMs;  // between calls, on average
   int calls = 2'500;
@@ -103,7 +103,7 @@
 
 // What both have in common.
 struct Side : EndpointDiscovery {
-  explicit Side(const Scenario& scenario) : fleet(time, 5, scenario.troubles) {}
+  explicit Side(const Scenario& scenario) : fleet(time, 5, scenario.faults) {}
   void watch() override {}
 
   // `transports`: the fleet, or what stands before it.
@@ -149,9 +149,9 @@
     ends[i].result = std::move(result);
   }
 
-  HandDriven time;
+  ManualTime time;
   Settings settings = settings_of_both();
-  ScriptedFleet fleet;
+  ScriptedUpstreams fleet;
   std::unique_ptr<Engine> engine;
   std::vector<End> ends;
 };
@@ -185,14 +185,14 @@
     incoming.remaining = planned.patience;
     engine->on_request(asker, std::move(incoming));
   }
-  IdleFront front;
+  FakeDownstream front;
 };
 
 // As the client library does.
 struct Plugin final : Side, private UpstreamFactory {
   explicit Plugin(const Scenario& scenario) : Side(scenario) {
     calls = std::make_unique<plugin::Calls>(settings, 99, [this] { return time.now(); });
-    begin(*this, *calls, [this] { return fleet.at_rest(); });
+    begin(*this, *calls, [this] { return fleet.is_idle(); });
     calls->ask_from(*engine);
   }
   struct Waiting final : plugin::Calls::Open {
@@ -262,7 +262,7 @@
   }
 }
 
-using K = Trouble::Kind;
+using K = ServerFault::Kind;
 INSTANTIATE_TEST_SUITE_P(
     Days, VirtualTime,
     ::testing::Values(
@@ -280,12 +280,12 @@
         Scenario{"flush", {{K::flush, 3 * kSecond, 5 * kSecond}}},
         Scenario{"resets", {{K::reset, kSecond, 9 * kSecond, "", 150}}},
         Scenario{"spoilt",
-                 {{K::spoilt, kSecond, 9 * kSecond, "", 150}, {K::full, kSecond, 9 * kSecond, "", 50}}},
+                 {{K::malformed, kSecond, 9 * kSecond, "", 150}, {K::overloaded, kSecond, 9 * kSecond, "", 50}}},
         Scenario{"all at once",
                  {{K::reset, kSecond, 9 * kSecond, "", 60},
                   {K::stall, 3 * kSecond, 5 * kSecond, "c-3"},
                   {K::slow, 2 * kSecond, 6 * kSecond, "origin"},
-                  {K::refused, 4 * kSecond, 8 * kSecond, "c-4"}},
+                  {K::connect_refused, 4 * kSecond, 8 * kSecond, "c-4"}},
                  {{4 * kSecond, "c-0", Phase::draining}, {5 * kSecond, "c-9", Phase::ready, true}}},
         Scenario{"a call a minute", {{K::reset, 0, 3'600 * kSecond, "", 100}}, {}, 60 * kSecond, 150}),
     [](const auto& info) {
