--- /dev/null
+++ b/tests/net/net_digest_test.cpp
@@ -0,0 +1,274 @@
+// Digests of what src/net decides: on drawn inputs, on a scripted clock, and for the listener by the order in
+// which it asks its owner.
+#include <gtest/gtest.h>
+
+#include <boost/asio.hpp>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "net/admission.h"
+#include "net/clock.h"
+#include "net/links.h"
+#include "net/listener.h"
+#include "net/log.h"
+#include "net/loop_delay.h"
+#include "net/tcp.h"
+#include "net/transient.h"
+#include "net/wall_clock.h"
+#include "support/digest.h"
+#include "support/scripted_clock.h"
+
+namespace streampick::test {
+namespace {
+
+constexpr std::uint64_t kSeed = 20261203;
+constexpr std::int64_t kStart = 5'000'000'000;
+
+// The standard fixes the engine's numbers, but not those of its distributions: these are computed here.
+class Draw {
+ public:
+  explicit Draw(std::uint64_t seed) : engine_(seed) {}
+  std::uint64_t below(std::uint64_t bound) { return engine_() % bound; }
+  long long between(long long min, long long max) {
+    return min + static_cast<long long>(below(static_cast<std::uint64_t>(max - min + 1)));
+  }
+  double unit() { return static_cast<double>(engine_() >> 11U) * 0x1.0p-53; }
+  bool chance(double probability) { return unit() < probability; }
+
+ private:
+  std::mt19937_64 engine_;
+};
+
+TEST(NetDigest, ErrorsAreClassifiedAsRecorded) {
+  Digest digest;
+  for (int value = 0; value < 140; ++value) {
+    for (const auto* category : {&boost::system::system_category(), &boost::system::generic_category()}) {
+      const boost::system::error_code error(value, *category);
+      digest.add("error", value, net::is_shortage(error), net::is_transient(error),
+                 net::is_of_one_connection(error));
+    }
+  }
+  EXPECT_TRUE(has_hash(digest, "d57a6bae856c3574"));
+}
+
+TEST(NetDigest, AddressesAreParsedAsRecorded) {
+  Digest digest;
+  for (const char* text : {"",
+                           ":",
+                           "1.2.3.4",
+                           "1.2.3.4:",
+                           "1.2.3.4:0",
+                           "1.2.3.4:80",
+                           "1.2.3.4:65535",
+                           "1.2.3.4:65536",
+                           "1.2.3.4:-1",
+                           "1.2.3.4: 80",
+                           "1.2.3.4:80 ",
+                           "1.2.3.4:80x",
+                           "::1:80",
+                           "[::1]:80",
+                           "localhost:80",
+                           "1.2.3:80",
+                           "::1",
+                           ":80",
+                           "1.2.3.4:99999999999999999999",
+                           "fe80::1:443"}) {
+    const auto endpoint = net::parse_endpoint(text);
+    digest.add("address", text,
+               endpoint ? endpoint->address().to_string() + " " + std::to_string(endpoint->port()) : "none");
+  }
+  EXPECT_TRUE(has_hash(digest, "20ba81fbeb417869"));
+}
+
+Config drawn_config(Draw& draw) {
+  Config config;
+  config.max_retry_after = draw.chance(0.1) ? 0 : draw.between(1, 5'000'000);
+  for (std::uint64_t count = draw.below(5); count > 0; --count) {
+    RequestClass request_class;
+    request_class.priority_weight = draw.chance(0.1) ? 0 : 10 * draw.unit();
+    config.classes.push_back(request_class);
+  }
+  return config;
+}
+
+std::vector<bool> drawn_spared(Draw& draw) {
+  std::vector<bool> spared(draw.below(6));
+  for (std::size_t i = 0; i < spared.size(); ++i) spared[i] = draw.chance(0.3);
+  return spared;
+}
+
+TEST(NetDigest, AdmissionOnAScriptedClockDecidesAsRecorded) {
+  Digest digest;
+  Draw draw(kSeed);
+  for (int world = 0; world < 40; ++world) {
+    ScriptedClock clock(kStart);
+    boost::asio::io_context io{1};
+    overload::Settings settings;
+    settings.late = draw.chance(0.1) ? 0 : draw.between(1'000, 100'000);
+    settings.busy = 0.1 + 1.2 * draw.unit();
+    const Config config = drawn_config(draw);
+    const double cores = 2 * draw.unit();
+    net::Admission admission(io, settings, config, cores, drawn_spared(draw));
+    for (int step = 0; step < 300; ++step) {
+      if (draw.chance(0.01)) {
+        const Config changed = drawn_config(draw);
+        admission.set(changed, drawn_spared(draw));
+      }
+      admission.touch();
+      if (draw.chance(0.3)) admission.touch();
+      const long long lag = draw.chance(0.02) ? draw.between(0, 4'000'000)
+                                              : draw.between(0, step % 150 < 75 ? 200'000 : 10'000);
+      clock.advance(lag, static_cast<long long>(static_cast<double>(lag) * 1.5 * draw.unit()));
+      const std::size_t probes = io.poll();
+      io.restart();
+      std::string refusals;
+      for (int request = 0; request < 5; ++request) {
+        const auto request_class = static_cast<std::uint32_t>(draw.below(6));
+        const Time remaining = draw.between(0, 1'000'000);
+        refusals += admission.refuses(request_class, remaining, draw.below(~0ULL)) ? 'r' : '.';
+      }
+      digest.add("step", probes, admission.calm(), refusals, admission.refused(),
+                 admission.retry_after(draw.below(~0ULL)), admission.pressure().level(),
+                 admission.pressure().late(), admission.pressure().windows_behind());
+    }
+  }
+  EXPECT_TRUE(has_hash(digest, "8ebf8393c8405935"));
+}
+
+TEST(NetDigest, LoopDelayOnAScriptedClockDecidesAsRecorded) {
+  Digest digest;
+  Draw draw(kSeed + 1);
+  ScriptedClock clock(kStart);
+  net::LoopDelay delay;
+  for (int step = 0; step < 2'000; ++step) {
+    clock.advance(draw.chance(0.03) ? draw.between(0, 600'000) : draw.between(0, 45'000));
+    const bool before = delay.held_up();
+    if (draw.chance(0.7)) delay.tick();
+    digest.add("step", before, delay.held_up(), delay.due().time_since_epoch().count());
+  }
+  EXPECT_TRUE(has_hash(digest, "d520e5fccebb0e65"));
+}
+
+TEST(NetDigest, LogOnAScriptedClockDropsLinesAsRecorded) {
+  Digest digest;
+  Draw draw(kSeed + 2);
+  ScriptedClock clock(kStart);
+  const net::LogSink sink([&](std::string_view line) { digest.add("line", line); });
+  for (int line = 0; line < 2'000; ++line) {
+    clock.advance(draw.chance(0.01) ? draw.between(0, 2'000'000) : draw.between(0, 20'000));
+    net::log(std::to_string(line) + std::string(draw.below(500), 'x'));
+  }
+  EXPECT_TRUE(has_hash(digest, "03b877eece628f96"));
+}
+
+TEST(NetDigest, ClockOnAScriptedClockTellsTimesAsRecorded) {
+  Digest digest;
+  Draw draw(kSeed + 3);
+  ScriptedClock scripted(kStart);
+  Time wall = 1'700'000'000'000'000;
+  boost::asio::io_context io{1};
+  net::Clock clock(io, [&] {
+    if (draw.chance(0.3)) scripted.advance(draw.between(0, 500));
+    return wall;
+  });
+  for (int step = 0; step < 500; ++step) {
+    const long long passed = draw.between(0, 2'000'000);
+    scripted.advance(passed);
+    wall += passed + (draw.chance(0.1) ? draw.between(-5'000'000, 5'000'000) : 0);
+    if (draw.chance(0.5)) clock.next_batch();
+    digest.add("now", clock.now());
+    digest.add("fresh", clock.fresh());
+    digest.add("wall", clock.wall_time());
+    digest.add("steady", clock.steady(clock.now() + 1'234).time_since_epoch().count());
+  }
+  EXPECT_TRUE(has_hash(digest, "7fd71fff840a6978"));
+}
+
+void add_counts(Digest& digest, const net::Links& links) {
+  digest.add("links", links.connections, links.has_room(), *links.large);
+}
+
+TEST(NetDigest, SharedLimitsOfUpstreamConnectionsDecideAsRecorded) {
+  Digest digest;
+  Draw draw(kSeed + 4);
+  for (int world = 0; world < 60; ++world) {
+    overload::Descriptors descriptors({.total = 40, .clients_floor = 10, .servers_floor = 10});
+    net::Links links;
+    if (draw.chance(0.5)) {
+      links.descriptors = &descriptors;
+    } else {
+      links.most_connections = draw.below(30);
+    }
+    links.most_large = draw.below(10'000);
+    std::vector<engine::MemoryReservation> reserved;
+    for (int step = 0; step < 100; ++step) {
+      if (draw.chance(0.6)) {
+        if (links.has_room()) links.opened();
+      } else if (links.connections > 0) {
+        links.closed();
+      }
+      if (draw.chance(0.5)) {
+        auto reservation = links.reservation(draw.below(4'000));
+        digest.add("reserved", reservation.has_value());
+        if (reservation) reserved.push_back(std::move(*reservation));
+      } else if (!reserved.empty()) {
+        reserved.pop_back();
+      }
+      digest.add("servers", descriptors.used(overload::Descriptors::Side::servers));
+      add_counts(digest, links);
+    }
+  }
+  const net::Links defaults;
+  digest.add("defaults", defaults.scratch.size(), defaults.most_large, defaults.parts_from,
+             defaults.longest_in_parts, defaults.whole_wait, defaults.connect_timeout);
+  EXPECT_TRUE(has_hash(digest, "9ae31a4c873403cf"));
+}
+
+// An owner whose answers are drawn, and that records all that it is asked.
+struct DrawnOwner final : net::Listener::Owner {
+  DrawnOwner(Digest& to, Draw& from) : digest(to), draw(from) {}
+  bool has_place() override {
+    const bool answer = draw.chance(0.8);
+    digest.add("has_place", answer);
+    return answer;
+  }
+  void take(net::tcp::socket socket) override {
+    digest.add("take");
+    sockets.push_back(std::move(socket));
+    if (listener != nullptr && draw.chance(0.3)) listener->go_on();
+  }
+  void out_of_descriptors() override { digest.add("out_of_descriptors"); }
+
+  Digest& digest;
+  Draw& draw;
+  net::Listener* listener = nullptr;
+  std::vector<net::tcp::socket> sockets;
+};
+
+TEST(NetDigest, ListenerAsksItsOwnerInTheOrderRecorded) {
+  Digest digest;
+  Draw draw(kSeed + 5);
+  for (int world = 0; world < 8; ++world) {
+    boost::asio::io_context io{1};
+    DrawnOwner owner(digest, draw);
+    net::Listener listener(io, {boost::asio::ip::make_address("127.0.0.1"), 0}, owner);
+    owner.listener = &listener;
+    digest.add("world", listener.listens(), listener.shared());
+    std::vector<net::tcp::socket> clients;
+    const auto connect = [&](int count) {
+      for (; count > 0; --count) clients.emplace_back(io).connect(listener.address());
+    };
+    connect(10);
+    listener.go_on();
+    while (owner.sockets.size() < clients.size()) io.run_one();
+    connect(5);
+    listener.stop();
+    digest.add("stopped", listener.listens(), owner.sockets.size());
+    io.run();
+  }
+  EXPECT_TRUE(has_hash(digest, "b0602d1491270a0c"));
+}
+
+}  // namespace
+}  // namespace streampick::test
--- /dev/null
+++ b/tests/overload/options_digest_test.cpp
@@ -0,0 +1,95 @@
+// Digest of what the options file's section [overload] is read as, and of what is said against its mistakes.
+#include <gtest/gtest.h>
+
+#include <array>
+#include <string>
+
+#include "overload/options.h"
+#include "support/digest.h"
+
+namespace streampick::overload::test {
+namespace {
+
+using streampick::test::Digest;
+using streampick::test::has_hash;
+
+void add_result(Digest& digest, const std::string& toml) {
+  try {
+    const Settings settings = read_options(options::Table::parse(toml, "o.toml"));
+    digest.add("settings", settings.clients_floor, settings.servers_floor, settings.crowd, settings.calm_idle,
+               settings.crowded_idle, settings.late, settings.busy, settings.drain_wait, settings.drain_share,
+               settings.drain_here, settings.whole_answer, settings.longest_answer, settings.whole_wait);
+    for (const std::string& name : settings.spared) digest.add("spared", name);
+  } catch (const options::Error& error) {
+    digest.add("error", error.what());
+  }
+}
+
+TEST(OverloadOptionsDigest, EachKeyAtAndBeyondItsBoundsIsReadAsRecorded) {
+  constexpr std::array kKeys = {"clients_floor",        "servers_floor", "crowd",      "calm_idle_ms",
+                                "crowded_idle_ms",      "late_ms",       "busy",       "spared",
+                                "drain_wait_ms",        "drain_share",   "drain_here", "whole_answer_bytes",
+                                "longest_answer_bytes", "unknown"};
+  constexpr std::array kValues = {"-1",
+                                  "0",
+                                  "0.009",
+                                  "0.01",
+                                  "0.04",
+                                  "0.05",
+                                  "0.1",
+                                  "0.5",
+                                  "0.66",
+                                  "0.67",
+                                  "0.9",
+                                  "0.91",
+                                  "1",
+                                  "1.5",
+                                  "1.6",
+                                  "99",
+                                  "100",
+                                  "1000",
+                                  "1001",
+                                  "2000",
+                                  "10000",
+                                  "10001",
+                                  "65535",
+                                  "65536",
+                                  "1048576",
+                                  "1048577",
+                                  "33554432",
+                                  "86400000",
+                                  "86400001",
+                                  "1099511627776",
+                                  "1099511627777",
+                                  "\"text\"",
+                                  "[]",
+                                  "[\"read\"]",
+                                  "[\"a\", \"b\"]",
+                                  "true",
+                                  "[1]"};
+  Digest digest;
+  add_result(digest, "");
+  for (const char* key : kKeys) {
+    for (const char* value : kValues) {
+      const std::string toml = std::string(key) + " = " + value + "\n";
+      digest.add("file", key, value);
+      add_result(digest, toml);
+    }
+  }
+  EXPECT_TRUE(has_hash(digest, "1c3a79011fd0fc94"));
+}
+
+TEST(OverloadOptionsDigest, KeysThatContradictEachOtherAreReadAsRecorded) {
+  Digest digest;
+  add_result(digest, "clients_floor = 0.5\nservers_floor = 0.5\n");
+  add_result(digest, "clients_floor = 0.6\nservers_floor = 0.5\n");
+  add_result(digest, "calm_idle_ms = 1000\ncrowded_idle_ms = 1001\n");
+  add_result(digest, "calm_idle_ms = 1000\ncrowded_idle_ms = 1000\n");
+  add_result(digest, "whole_answer_bytes = 70000\nlongest_answer_bytes = 69999\n");
+  add_result(digest, "whole_answer_bytes = 70000\nlongest_answer_bytes = 70000\n");
+  add_result(digest, "late_ms = 5\n\nbusy = 0.5\nspared = [\"save\", \"pay\"]\nlate_mss = 1\n");
+  EXPECT_TRUE(has_hash(digest, "fb59dd1a1fdfa6be"));
+}
+
+}  // namespace
+}  // namespace streampick::overload::test
