--- a/bench/resp/head_of_line.cpp
+++ b/bench/resp/head_of_line.cpp
@@ -35,9 +35,9 @@
   settings.pipeline = 16;
   settings.writes_alone = alone;
   resp::ServerCounts counts;
-  net::Links links;
-  links.most_connections = 64;
-  links.connect_timeout = 250'000;
+  net::UpstreamResources resources;
+  resources.connections.set_limit(64);
+  resources.connect_timeout = 250'000;
   struct Ends final : engine::AttemptObserver {
     void on_attempt_ended(engine::AttemptId id, Outcome outcome, engine::Answer) override {
       const auto found = begun.find(id.request);
@@ -51,7 +51,7 @@
     std::vector<Time> reads, saves;
   } ends;
   ends.clock = &clock;
-  resp::RespTransport transport(io, clock, links, ends, settings, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, ends, settings, counts, "c-0", false);
   transport.set_address(cache.address());
   RequestId last = 0;
   const Time end = clock.now() + 3'000'000;
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -34,7 +34,7 @@
 
 Host::Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings)
     : Host(Bare{}, io, clock, settings) {
-  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, links_, settings);
+  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, resources_, settings);
   begin(settings);
 }
 
@@ -44,7 +44,7 @@
     : Host(Bare{}, io, clock, settings) {
   platform::NodeSettings own = settings;
   options_ = options;
-  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, links_, own, options);
+  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, resources_, own, options);
 #ifdef STREAMPICK_WITH_ETCD
   begin(own, options.etcd.on);
   if (options.etcd.on) learn_from(options.etcd, own.settings.seed);
@@ -79,25 +79,26 @@
 #ifdef STREAMPICK_WITH_RESP
 if (!options.resp.front) return;
 resp_ = std::make_unique<resp::RespFront>(io_, clock_, names_, *engine_, options.resp.front->settings,
-                                          &descriptors_, admission_.get());
+                                          &descriptors_, load_shedder_.get());
 engine_->add(*resp_);
 #endif
 }
 #endif
 
 void Host::begin(const platform::NodeSettings& settings, [[maybe_unused]] bool two_sources) {
-  descriptors_ = overload::Descriptors(platform::descriptor_limits(settings));
-  links_.descriptors = &descriptors_;
-  links_.most_large = settings.memory_mb * (1024 * 1024 / 4);
-  links_.parts_from = settings.overload.whole_answer;
-  links_.longest_in_parts = settings.overload.longest_answer;
-  links_.whole_wait = settings.overload.whole_wait;
-  links_.cancels = overload::CancelRules(settings.overload);
-  links_.connect_timeout = settings.settings.config.connect_timeout;
-  links_.evict_idle_connection = [this] {
+  descriptors_ = overload::DescriptorBudget(platform::descriptor_limits(settings));
+  resources_.connections.share_descriptors(descriptors_);
+  resources_.body_memory.set_limit(settings.memory_mb * (1024 * 1024 / 4));
+  resources_.streaming.max_buffered_body = settings.overload.max_buffered_response;
+  resources_.streaming.max_body = settings.overload.max_response;
+  resources_.streaming.max_buffering_time = settings.overload.max_buffering_time;
+  resources_.cancellation = overload::CancellationPolicy(settings.overload);
+  resources_.connect_timeout = settings.settings.config.connect_timeout;
+  resources_.evict_idle_connection = [this] {
     if (engine_->evict_idle_connection()) return;
     // Clients hold what servers would have had: one that can be spared gives way.
-    if (http_ && descriptors_.borrows(overload::Descriptors::Side::clients)) http_->give_one_back();
+    if (http_ && descriptors_.exceeds_minimum(overload::DescriptorBudget::Side::downstream))
+      http_->give_one_back();
   };
   const Settings& told = settings.settings;
   engine_ = std::make_unique<engine::Engine>(
@@ -116,12 +117,13 @@
                                                       passed ? 0 : settings.known.revision, !polls_discovery,
                                                       told.seed, lists_);
   engine_->start(*discovery_, settings.known);
-  admission_ =
-      std::make_unique<net::Admission>(io_, settings.overload, told.config, settings.cores, spared());
+  load_shedder_ =
+      std::make_unique<net::LoadShedder>(io_, settings.overload, told.config, settings.cores, spared());
   http_ = std::make_unique<http1::Clients>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
-                                           settings.overload, *admission_, links_, settings.passed_socket);
+                                           settings.overload, *load_shedder_, resources_.body_memory,
+                                           settings.passed_socket);
   engine_->add(*http_);
-  operators_ = std::make_unique<Operators>(io_, clock_, *engine_, links_, passed ? settings.scratch : "",
+  operators_ = std::make_unique<Operators>(io_, clock_, *engine_, resources_, passed ? settings.scratch : "",
                                            [this](bool alone) { share(alone); });
   operators_->set_listens([this] { return http_->listens(); });
   if (settings.management) operators_->listen(*settings.management);
@@ -183,14 +185,14 @@
 // Two processes of one router may hold together what one may: each has half, and gives back what rests.
 void Host::share(bool alone) {
   const std::size_t whole = accepted_.memory_mb * (1024 * 1024 / 4);
-  links_.most_large = alone ? whole : whole / 2;
-  descriptors_.halve(!alone);
-  for (std::size_t over = descriptors_.over(); over > 0; --over)
+  resources_.body_memory.set_limit(alone ? whole : whole / 2);
+  descriptors_.set_halved(!alone);
+  for (std::size_t over = descriptors_.excess(); over > 0; --over)
     if (!engine_->evict_idle_connection() && !http_->give_one_back()) return;
 }
 
 std::vector<bool> Host::spared() const {
-  const std::vector<std::string>& named = accepted_.overload.spared;
+  const std::vector<std::string>& named = accepted_.overload.protected_classes;
   std::vector<bool> out;
   for (const std::string& name : names_.classes)
     out.push_back(std::find(named.begin(), named.end(), name) != named.end());
@@ -257,8 +259,8 @@
   }
   Config config = own.settings.config;
   config.classes = engine_->classes().rules();
-  admission_->set(config, spared());
-  links_.connect_timeout = config.connect_timeout;
+  load_shedder_->update(config, spared());
+  resources_.connect_timeout = config.connect_timeout;
 #ifdef STREAMPICK_WITH_RESP
   if (resp_ && options && options->resp.front) {
     const resp::FrontSettings& front = options->resp.front->settings;
@@ -271,13 +273,14 @@
 }
 
 std::string Host::summary() const {
-  std::string out = engine_->summary(
-      " dials=" + std::to_string(links_.dials) + " open=" + std::to_string(links_.connections) +
-      " drained=" + std::to_string(links_.drains.begun) + " reused=" + std::to_string(links_.drains.reused) +
-      " streams=" + std::to_string(links_.streams.begun) + " cut=" + std::to_string(links_.streams.cut) +
-      " " + http_->summary());
-  out += " late_us=" + std::to_string(admission_->pressure().late()) +
-         " behind=" + std::to_string(admission_->pressure().windows_behind());
+  std::string out = engine_->summary(" dials=" + std::to_string(resources_.connect_attempts) +
+                                     " open=" + std::to_string(resources_.connections.open()) +
+                                     " drained=" + std::to_string(resources_.drains.started) +
+                                     " reused=" + std::to_string(resources_.drains.reused) +
+                                     " streams=" + std::to_string(resources_.streams.started) + " cut=" +
+                                     std::to_string(resources_.streams.truncated) + " " + http_->summary());
+  out += " late_us=" + std::to_string(load_shedder_->controller().mean_lag()) +
+         " behind=" + std::to_string(load_shedder_->controller().overloaded_windows());
 #ifdef STREAMPICK_WITH_RESP
   if (resp_) out += " resp: " + resp_->summary();
 #endif
--- a/src/daemon/host.h
+++ b/src/daemon/host.h
@@ -13,7 +13,7 @@
 #include "engine/engine.h"
 #include "http1/front.h"
 #include "net/clock.h"
-#include "net/links.h"
+#include "net/upstream_resources.h"
 #include "platform/node_settings.h"
 #include "platform/transports.h"
 #include "roster/discovery.h"
@@ -56,9 +56,9 @@
   Operators& operators() { return *operators_; }
   const engine::Counters& counts() const { return engine_->counts(); }
   std::size_t servers() const { return engine_->servers(); }  // the most that were known at a time
-  net::Links& links() { return links_; }
-  const net::Admission& admission() const { return *admission_; }
-  const overload::Descriptors& descriptors() const { return descriptors_; }
+  net::UpstreamResources& upstream_resources() { return resources_; }
+  const net::LoadShedder& load_shedder() const { return *load_shedder_; }
+  const overload::DescriptorBudget& descriptors() const { return descriptors_; }
   std::string summary() const;
 
  private:
@@ -88,12 +88,12 @@
 #ifdef STREAMPICK_WITH_OPTIONS
   std::optional<platform::Options> options_;
 #endif
-  overload::Descriptors descriptors_;
-  net::Links links_;
+  overload::DescriptorBudget descriptors_;
+  net::UpstreamResources resources_;
   std::unique_ptr<platform::ServerTransports> transports_;  // the engine has it
   std::unique_ptr<engine::Engine> engine_;
   std::unique_ptr<discovery::Discovery> discovery_;
-  std::unique_ptr<net::Admission> admission_;
+  std::unique_ptr<net::LoadShedder> load_shedder_;
   std::unique_ptr<http1::Clients> http_;
   std::unique_ptr<Operators> operators_;
   Lists lists_{*this};
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -12,7 +12,7 @@
 
 #include "daemon/host.h"
 #include "net/log.h"
-#include "net/transient.h"
+#include "net/socket_errors.h"
 #include "platform/node_settings.h"
 #ifdef STREAMPICK_WITH_OPTIONS
 #include <CLI/CLI.hpp>
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -34,11 +34,12 @@
 }  // namespace
 
 Operators::Operators(boost::asio::io_context& io, net::Clock& clock, engine::Engine& engine,
-                     net::Links& links, const std::string& folder, std::function<void(bool alone)> alone)
+                     net::UpstreamResources& resources, const std::string& folder,
+                     std::function<void(bool alone)> alone)
     : io_(io),
       clock_(clock),
       engine_(engine),
-      links_(links),
+      resources_(resources),
       store_(io, open_folder(folder), net::log, [this](const AdminOverrides& next) { apply(next); }),
       alone_(std::move(alone)),
       poll_timer_(io) {
@@ -141,7 +142,7 @@
   management::Metrics metrics;
   metrics.classes = engine_.metrics().classes();
   metrics.inflight = engine_.metrics().in_flight();
-  metrics.backend_calls = links_.written_whole;
+  metrics.backend_calls = resources_.requests_sent;
   const engine::EndpointRegistry::Counts counts = engine_.endpoint_counts();
   metrics.hosts_listed = counts.listed;
   metrics.hosts_down = counts.down;
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -16,7 +16,7 @@
 #include "management/command_server.h"
 #include "management/metrics.h"
 #include "net/clock.h"
-#include "net/links.h"
+#include "net/upstream_resources.h"
 #include "takeover/override_store.h"
 #include "takeover/process_presence.h"
 
@@ -26,8 +26,9 @@
  public:
   /// `folder`: shared with the processes before and after this one; empty where there are none.
   /// `alone`: told several times a second whether no other process of this router runs.
-  Operators(boost::asio::io_context& io, net::Clock& clock, engine::Engine& engine, net::Links& links,
-            const std::string& folder, std::function<void(bool alone)> alone);
+  Operators(boost::asio::io_context& io, net::Clock& clock, engine::Engine& engine,
+            net::UpstreamResources& resources, const std::string& folder,
+            std::function<void(bool alone)> alone);
 
   /// Throws boost::system::system_error when the address can't be listened on.
   void listen(const boost::asio::ip::tcp::endpoint& address);
@@ -71,7 +72,7 @@
   boost::asio::io_context& io_;
   net::Clock& clock_;
   engine::Engine& engine_;
-  net::Links& links_;
+  net::UpstreamResources& resources_;
   control::AdminOverrides applied_;         ///< what the engine has been told
   std::map<std::string, Time> first_seen_;  ///< monotonic time since which each override stands as it is
   takeover::OverrideStore store_;
--- a/src/http1/front.cpp
+++ b/src/http1/front.cpp
@@ -185,7 +185,7 @@
   // What was read just now, the loop having waited for it without a delay, has no old end behind it.
   bool client_gone() override {
     if (owner_ == nullptr) return true;
-    if (prompt_ && !owner_->loop_delay_.held_up()) return false;
+    if (prompt_ && !owner_->stall_detector_.was_stalled()) return false;
     return ended_by_client();
   }
 
@@ -319,7 +319,7 @@
       if (discarded_ > (upload_ended_ ? kLongestUpload : kMostDiscarded)) close();
       return;
     }
-    owner_->admission_.touch();
+    owner_->load_shedder_.on_client_activity();
     const std::string_view bytes(chunk_.data(), got);
     if (state_ == State::uploading) {
       ahead_ += bytes;
@@ -343,7 +343,7 @@
     if (upload_ended_) return;
     const std::size_t all = ahead_.size() + bytes.size();
     if (!flooded_ && all > kMostAhead && !ahead_lease_ && all <= kMostAheadKept)
-      if (auto reservation = owner_->links_.reservation(kMostAheadKept))
+      if (auto reservation = owner_->body_memory_.reserve(kMostAheadKept))
         ahead_lease_ = std::move(*reservation);
     flooded_ = flooded_ || all > (ahead_lease_ ? kMostAheadKept : kMostAhead);
     if (flooded_) {
@@ -418,7 +418,7 @@
     const std::uint64_t least = std::max<std::uint64_t>(length.value_or(0), in_body_.size());
     if (least <= kLongestBody || in_lease_) return least <= kMostKept;
     if (least > kMostKept) return false;
-    auto reservation = owner_->links_.reservation(length ? static_cast<std::size_t>(*length) : kMostKept);
+    auto reservation = owner_->body_memory_.reserve(length ? static_cast<std::size_t>(*length) : kMostKept);
     if (reservation) in_lease_ = std::move(*reservation);
     return static_cast<bool>(in_lease_);
   }
@@ -430,7 +430,7 @@
     answer({503,
             "text/plain",
             "refused, no memory for the body now; it is safe to try again\n",
-            owner_->admission_.retry_after(hash_name(head_.transaction_id.value)),
+            owner_->load_shedder_.retry_after(hash_name(head_.transaction_id.value)),
             {},
             {}});
   }
@@ -446,7 +446,7 @@
   // A long body: it is asked for now, and its body goes on as it comes.
   void upload() {
     if (head_.method != http::verb::put) return wrong(problem(413, "the body is over 64 KiB"));
-    auto reservation = owner_->links_.reservation(kPartsWaiting);
+    auto reservation = owner_->body_memory_.reserve(kPartsWaiting);
     if (!reservation) return no_memory();
     std::string none;
     auto read = read_request(head_, none, owner_->names_, owner_->messages_);
@@ -522,7 +522,7 @@
   // Turned away while the loop is behind: before a body is read, and before anything is made of the head.
   // What can't be read of it is left to those who say what is wrong with it.
   bool shed() {
-    if (owner_->admission_.calm()) return false;
+    if (owner_->load_shedder_.admits_all()) return false;
     const std::string_view target = origin_form(head_.target);
     if (target.empty() || target.front() != '/') return false;
     const std::string_view first = target.substr(1, target.find('/', 1) - 1);
@@ -530,7 +530,7 @@
     const std::uint32_t request_class = index_of(owner_->names_.classes, first);
     if (!remaining || request_class == kNone) return false;
     const std::uint64_t id = hash_name(head_.transaction_id.value);
-    if (!owner_->admission_.refuses(request_class, *remaining, id)) return false;
+    if (!owner_->load_shedder_.should_reject(request_class, *remaining, id)) return false;
     ++owner_->counts_.shed;
     owner_->requests_.on_rejected_unread(request_class);
     // A body that is still to come would have to be read first.
@@ -538,7 +538,7 @@
     answer({503,
             "text/plain",
             "refused, the router is behind; it is safe to try again\n",
-            owner_->admission_.retry_after(id),
+            owner_->load_shedder_.retry_after(id),
             {},
             {}});
     return true;
@@ -617,7 +617,7 @@
   void decide_whether_last() {
     last_ = last_ || (flooded_ && !more_);
     if (last_) return;
-    const bool spare_it = !owner_->rules_.keep(++answers_, owner_->held());
+    const bool spare_it = !owner_->keep_alive_.keeps_open(++answers_, owner_->held());
     if (!owner_->draining_ && !spare_it) return;
     if (more_ || unread()) return;
     last_ = true;
@@ -751,17 +751,17 @@
 
 Clients::Clients(asio::io_context& io, net::Clock& clock, const Names& names,
                  engine::RequestHandler& requests, const net::tcp::endpoint& listen,
-                 overload::Descriptors& descriptors, const overload::Settings& limits,
-                 net::Admission& admission, const net::Links& links, int passed)
+                 overload::DescriptorBudget& descriptors, const overload::Settings& limits,
+                 net::LoadShedder& load_shedder, net::MemoryBudget& body_memory, int passed)
     : clock_(clock),
       names_(names),
       requests_(requests),
       listener_(passed < 0 ? net::Listener(io, listen, *this) : net::Listener(io, passed, listen, *this)),
       sweep_(io),
       descriptors_(descriptors),
-      rules_(descriptors.total(), limits),
-      admission_(admission),
-      links_(links) {
+      keep_alive_(descriptors.total(), limits),
+      load_shedder_(load_shedder),
+      body_memory_(body_memory) {
   sweep();
 }
 
@@ -770,11 +770,11 @@
     for (const auto& session : all) session->detach();
 }
 
-void Clients::take(net::tcp::socket socket) {
+void Clients::on_accepted(net::tcp::socket socket) {
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   ++counts_.accepted;
   ++open_;
-  descriptors_.take(kSide);
+  descriptors_.reserve(kSide);
   Queue& fresh = queue(State::fresh);
   session->placed(fresh.insert(fresh.end(), session));
   session->begin();
@@ -810,15 +810,15 @@
   // A few young ones must not stop a crowd that asks once and stays: what has been idle for long gives way.
   if (!idle.empty() && now - idle.front()->since() >= kSecond && end_first(State::idle)) return true;
   if (end_lingering(0)) return true;
-  if (fresh.size() * 4 > descriptors_.most(kSide)) return false;
+  if (fresh.size() * 4 > descriptors_.capacity(kSide)) return false;
   return end_first(State::idle) || end_first(State::begun);
 }
 
 void Clients::closed(Queue::iterator place, State state) {
   queue(state).erase(place);
   --open_;
-  descriptors_.give(kSide);
-  listener_.go_on();
+  descriptors_.release(kSide);
+  listener_.resume();
 }
 
 std::size_t Clients::held() const {
@@ -829,7 +829,7 @@
   return out;
 }
 
-bool Clients::has_place() {
+bool Clients::can_accept() {
   if (!is_full() || spare_one()) return true;
   ++counts_.waited;
   return false;
@@ -851,7 +851,7 @@
 // Who takes over serves at the same door. A request that crosses the close of its connection would have to
 // come again: each connection is let ask once more, and is ended behind the answer.
 void Clients::on_shutdown_started() {
-  if (!listener_.shared()) return;
+  if (!listener_.is_shared()) return;
   listener_.stop();
   gentle_ = true;
 }
@@ -878,7 +878,7 @@
   const Time now = clock_.now();
   const std::array<std::pair<State, Time>, 5> limits = {{{State::fresh, kWholeRequest},
                                                          {State::begun, kWholeRequest},
-                                                         {State::idle, rules_.idle(held())},
+                                                         {State::idle, keep_alive_.idle_timeout(held())},
                                                          {State::writing, kStuck},
                                                          {State::lingering, kLinger}}};
   std::vector<std::shared_ptr<Session>> overdue;
@@ -899,8 +899,8 @@
   for (const auto& session : gone) session->close();
   // Connections go on coming for a little, and some say nothing.
   if (draining_ && !gentle_) leave_idle();
-  loop_delay_.tick();
-  sweep_.expires_at(loop_delay_.due());
+  stall_detector_.on_tick();
+  sweep_.expires_at(stall_detector_.next_tick());
   sweep_.async_wait([this](net::error_code cancelled) {
     if (!cancelled) sweep();
   });
--- a/src/http1/front.h
+++ b/src/http1/front.h
@@ -13,18 +13,18 @@
 
 #include "engine/downstream.h"
 #include "engine/message_pool.h"
-#include "net/admission.h"
 #include "net/clock.h"
-#include "net/links.h"
 #include "net/listener.h"
-#include "net/loop_delay.h"
-#include "overload/connections.h"
-#include "overload/descriptors.h"
+#include "net/load_shedder.h"
+#include "net/loop_stall_detector.h"
+#include "net/memory_budget.h"
+#include "overload/descriptor_budget.h"
+#include "overload/keep_alive_policy.h"
 #include "settings/settings.h"
 
 namespace streampick::http1 {
 
-class Clients final : public engine::Downstream, private net::Listener::Owner {
+class Clients final : public engine::Downstream, private net::Listener::Handler {
  public:
   // Since the start.
   struct Counts {
@@ -42,15 +42,15 @@
   // listens there already, held by other processes too; -1: none. Accepts from open_doors() on.
   Clients(boost::asio::io_context& io, net::Clock& clock, const Names& names,
           engine::RequestHandler& requests, const boost::asio::ip::tcp::endpoint& listen,
-          overload::Descriptors& descriptors, const overload::Settings& limits, net::Admission& admission,
-          const net::Links& links, int passed = -1);
+          overload::DescriptorBudget& descriptors, const overload::Settings& limits,
+          net::LoadShedder& load_shedder, net::MemoryBudget& body_memory, int passed = -1);
   ~Clients() override;
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return listener_.address(); }
-  bool listens() const { return listener_.listens(); }
-  void open_doors() { listener_.go_on(); }
+  bool listens() const { return listener_.is_listening(); }
+  void open_doors() { listener_.resume(); }
   // From now on every answer ends its connection, and idle connections are closed.
   void on_drain_started() override;
   void on_shutdown_started() override;
@@ -74,10 +74,10 @@
 
   Queue& queue(State state) { return queues_[static_cast<std::size_t>(state)]; }
   const Queue& queue(State state) const { return queues_[static_cast<std::size_t>(state)]; }
-  bool has_place() override;
-  bool is_full() const { return !descriptors_.has_room(kSide); }
-  void take(boost::asio::ip::tcp::socket socket) override;
-  void out_of_descriptors() override { spare_one(); }
+  bool can_accept() override;
+  bool is_full() const { return !descriptors_.has_capacity(kSide); }
+  void on_accepted(boost::asio::ip::tcp::socket socket) override;
+  void on_resource_exhausted() override { spare_one(); }
   bool spare_one();
   // Connections with a request in work, or between two.
   std::size_t held() const;
@@ -90,12 +90,12 @@
   engine::RequestHandler& requests_;
   net::Listener listener_;
   boost::asio::steady_timer sweep_;
-  net::LoopDelay loop_delay_;  // ticks with each sweep
-  static constexpr auto kSide = overload::Descriptors::Side::clients;
-  overload::Descriptors& descriptors_;
-  overload::ConnectionRules rules_;
-  net::Admission& admission_;
-  const net::Links& links_;  // the memory for long bodies
+  net::LoopStallDetector stall_detector_;  // ticks with each sweep
+  static constexpr auto kSide = overload::DescriptorBudget::Side::downstream;
+  overload::DescriptorBudget& descriptors_;
+  overload::KeepAlivePolicy keep_alive_;
+  net::LoadShedder& load_shedder_;
+  net::MemoryBudget& body_memory_;  // for long bodies
   std::size_t open_ = 0;
   Counts counts_;
   engine::MessagePool messages_;
--- a/src/http1/transport.cpp
+++ b/src/http1/transport.cpp
@@ -40,7 +40,7 @@
 class Upstream::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(Upstream& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {
-    owner.links_.opened();
+    owner.resources_.connections.on_opened();
   }
   ~Connection() = default;
   Connection(const Connection&) = delete;
@@ -128,7 +128,7 @@
   void close() {
     if (owner_ == nullptr) return;
     if (stream_) end_stream(engine::BodyStream::State::truncated);
-    owner_->links_.closed();
+    owner_->resources_.connections.on_closed();
     owner_ = nullptr;
     net::error_code ignored;
     socket_.close(ignored);
@@ -231,7 +231,7 @@
       }
     }
     writing_ = false;
-    ++owner_->links_.written_whole;
+    ++owner_->resources_.requests_sent;
     if (early_) written(false);
   }
 
@@ -251,7 +251,8 @@
   }
 
   void next_answer() {
-    parser_.emplace(head_, body_, std::max<std::uint64_t>(kLongestAnswer, owner_->links_.longest_in_parts));
+    parser_.emplace(head_, body_,
+                    std::max<std::uint64_t>(kLongestAnswer, owner_->resources_.streaming.max_body));
     reservation_ = {};
     header_seen_ = false;
   }
@@ -308,14 +309,15 @@
         const std::uint64_t length = parser_->content_length().value_or(0);
         // Without a length nobody knows how long it is: it is waited for no longer than a long one.
         if (!parser_->content_length() && head_.status == 200 && !drained_)
-          pass_on_after(owner_->links_.whole_wait);
+          pass_on_after(owner_->resources_.streaming.max_buffering_time);
         if (length > kLongestBody && !drained_) {
-          auto reservation = length <= owner_->links_.parts_from && length <= kLongestAnswer
-                                 ? owner_->links_.reservation(static_cast<std::size_t>(length))
-                                 : std::nullopt;
+          auto reservation =
+              length <= owner_->resources_.streaming.max_buffered_body && length <= kLongestAnswer
+                  ? owner_->resources_.body_memory.reserve(static_cast<std::size_t>(length))
+                  : std::nullopt;
           if (reservation) {
             reservation_ = std::move(*reservation);
-            pass_on_after(owner_->links_.whole_wait);
+            pass_on_after(owner_->resources_.streaming.max_buffering_time);
           } else if (!begin_parts()) {
             return spoilt("no memory for its body, or too long");
           }
@@ -354,11 +356,11 @@
   // From here on what comes of the body is passed on. The attempt has its answer: what happens to the rest
   // happens to an answer that the client has begun to read.
   bool begin_parts() {
-    const net::Links& links = owner_->links_;
+    net::UpstreamResources& resources = owner_->resources_;
     const auto length = parser_->content_length();
     if (!job_->message->accepts_streaming || head_.status != 200) return false;
-    if (length && *length > links.longest_in_parts) return false;
-    auto reservation = links.reservation(kPartsWaiting);
+    if (length && *length > resources.streaming.max_body) return false;
+    auto reservation = resources.body_memory.reserve(kPartsWaiting);
     if (!reservation) return false;
     reservation_ = std::move(*reservation);
     stream_ = std::make_shared<engine::BodyStream>(
@@ -372,8 +374,8 @@
     stream_->on_writable = [post] { post(&Connection::go_on); };
     stream_->on_reader_closed = [post] { post(&Connection::unwanted); };
     Upstream& owner = *owner_;
-    ++owner.links_.streams.begun;
-    ++owner.links_.streams.open;
+    ++owner.resources_.streams.started;
+    ++owner.resources_.streams.open;
     owner.busy_.erase(self);
     owner.passing_.insert(self);
     owner.answered_after(owner.clock_.now() - began);
@@ -391,7 +393,7 @@
   bool pass_on() {
     if (owner_ == nullptr || !stream_) return false;
     const bool whole = parser_->is_done();
-    if (stream_->bytes_written() + body_.size() > owner_->links_.longest_in_parts)
+    if (stream_->bytes_written() + body_.size() > owner_->resources_.streaming.max_body)
       return cut("it does not end"), false;
     const bool more = stream_->write(body_);
     body_.clear();
@@ -407,13 +409,13 @@
   }
   void unwanted() {
     if (owner_ == nullptr || !stream_) return;
-    ++owner_->links_.streams.left;
+    ++owner_->resources_.streams.abandoned;
     end_stream(engine::BodyStream::State::truncated);
     owner_->drop(shared_from_this());
   }
   void cut(const std::string& why) {
     net::log("answer from " + owner_->name_ + " cut: " + why);
-    ++owner_->links_.streams.cut;
+    ++owner_->resources_.streams.truncated;
     const auto self = shared_from_this();
     end_stream(engine::BodyStream::State::truncated);
     owner_->drop(self);
@@ -421,7 +423,7 @@
   void end_stream(engine::BodyStream::State how) {
     const auto stream = std::exchange(stream_, nullptr);
     stream->on_writable = stream->on_reader_closed = nullptr;
-    --owner_->links_.streams.open;
+    --owner_->resources_.streams.open;
     reservation_ = {};
     held_ = false;
     timer_.cancel();
@@ -513,7 +515,7 @@
       timer_.cancel();
       owner.stop_draining(self);
       if (!keep) return owner.drop(self);
-      ++owner.links_.drains.reused;
+      ++owner.resources_.drains.reused;
       last_used = answered_at = now;
       return owner.came_free(self);
     }
@@ -552,11 +554,11 @@
   std::array<char, kChunk> chunk_;
 };
 
-Upstream::Upstream(asio::io_context& io, engine::TimeSource& clock, net::Links& links,
+Upstream::Upstream(asio::io_context& io, engine::TimeSource& clock, net::UpstreamResources& resources,
                    engine::AttemptObserver& outcomes, std::string name)
     : io_(io),
       clock_(clock),
-      links_(links),
+      resources_(resources),
       outcomes_(outcomes),
       name_(std::move(name)),
       settled_(io),
@@ -566,7 +568,7 @@
   for (const Link& link : idle_) link->close();
   for (const Link& link : busy_) link->close();
   for (const Link& link : draining_) {
-    --links_.draining;
+    --resources_.drains.active;
     link->close();
   }
   for (const Link& link : dialling_) link->close();
@@ -650,9 +652,9 @@
     const bool must = waiting_.size() > dialling_.size() + idle_.size();
     const std::size_t open = idle_.size() + busy_.size() + dialling_.size();
     const bool worth = (usual_ > 0 && usual_ < kTooSoon) || waiting_.size() > dialling_.size() + 1;
-    if (!must && (!worth || open >= kAtRest || !links_.has_room())) return;
-    if (!links_.has_room()) links_.evict_idle_connection();
-    if (!links_.has_room()) {
+    if (!must && (!worth || open >= kAtRest || !resources_.connections.has_capacity())) return;
+    if (!resources_.connections.has_capacity()) resources_.evict_idle_connection();
+    if (!resources_.connections.has_capacity()) {
       net::log("no descriptor left for a connection to " + name_);
       end_soon(waiting_.back().attempt, Outcome::connect_failed);
       waiting_.pop_back();
@@ -663,10 +665,10 @@
 }
 
 void Upstream::dial() {
-  ++links_.dials;
+  ++resources_.connect_attempts;
   const auto link = std::make_shared<Connection>(*this);
   dialling_.insert(link);
-  link->dial(address_, links_.connect_timeout);
+  link->dial(address_, resources_.connect_timeout);
 }
 
 // All rules count from a request's first byte: an attempt that waited for its connection until its server
@@ -717,7 +719,7 @@
 }
 
 void Upstream::stop_draining(const Link& link) {
-  if (draining_.erase(link) > 0) --links_.draining;
+  if (draining_.erase(link) > 0) --resources_.drains.active;
 }
 
 bool Upstream::cancel_unsent(engine::AttemptId attempt) {
@@ -732,21 +734,22 @@
   });
   if (link == busy_.end()) return;
   const Link found = *link;
-  const overload::CancelRules::Attempt facts{.waited = clock_.now() - found->began,
-                                             .usual = static_cast<Time>(usual_),
-                                             .draining = links_.draining,
-                                             .connections = links_.connections,
-                                             .here = draining_.size()};
+  const overload::CancellationPolicy::CancelledAttempt facts{
+      .elapsed = clock_.now() - found->began,
+      .usual_latency = static_cast<Time>(usual_),
+      .draining = resources_.drains.active,
+      .open_connections = resources_.connections.open(),
+      .draining_at_endpoint = draining_.size()};
   const Time longest = reason == engine::CancelReason::no_longer_needed && found->can_drain() &&
                                clock_.now() < sending_stops_at_
-                           ? links_.cancels.wait(facts)
+                           ? resources_.cancellation.drain_timeout(facts)
                            : 0;
   if (reason == engine::CancelReason::timed_out && !found->heard) close_silent_as(*found);
   if (longest <= 0) return drop(found);
   busy_.erase(found);
   draining_.insert(found);
-  ++links_.draining;
-  ++links_.drains.begun;
+  ++resources_.drains.active;
+  ++resources_.drains.started;
   found->drain(longest);
 }
 
--- a/src/http1/transport.h
+++ b/src/http1/transport.h
@@ -15,13 +15,13 @@
 
 #include "engine/time.h"
 #include "engine/upstream.h"
-#include "net/links.h"
+#include "net/upstream_resources.h"
 
 namespace streampick::http1 {
 
 class Upstream final : public engine::Upstream {
  public:
-  Upstream(boost::asio::io_context& io, engine::TimeSource& clock, net::Links& links,
+  Upstream(boost::asio::io_context& io, engine::TimeSource& clock, net::UpstreamResources& resources,
            engine::AttemptObserver& outcomes, std::string name);
   ~Upstream() override;
   Upstream(const Upstream&) = delete;
@@ -65,7 +65,7 @@
 
   boost::asio::io_context& io_;
   engine::TimeSource& clock_;
-  net::Links& links_;
+  net::UpstreamResources& resources_;
   engine::AttemptObserver& outcomes_;
   std::string name_, address_text_;
   boost::asio::ip::tcp::endpoint address_;
--- a/src/management/command_server.cpp
+++ b/src/management/command_server.cpp
@@ -152,20 +152,20 @@
 
 CommandServer::CommandServer(asio::io_context& io, const tcp::endpoint& address, Handler handler)
     : handler_(std::move(handler)), listener_(io, address, *this) {
-  listener_.go_on();
+  listener_.resume();
 }
 
 CommandServer::~CommandServer() {
   for (const auto& session : std::exchange(sessions_, {})) session->detach();
 }
 
-void CommandServer::take(tcp::socket socket) {
+void CommandServer::on_accepted(tcp::socket socket) {
   ++counts_.accepted;
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   session->start(sessions_.insert(sessions_.end(), session));
 }
 
-bool CommandServer::has_place() { return sessions_.size() < kMaxConnections || evict_one(); }
+bool CommandServer::can_accept() { return sessions_.size() < kMaxConnections || evict_one(); }
 
 /// Those that have their answer go first, then those that have sent nothing, then those that have sent half a
 /// line; the oldest first.
@@ -191,7 +191,7 @@
 
 void CommandServer::on_closed(Sessions::iterator position) {
   sessions_.erase(position);
-  listener_.go_on();
+  listener_.resume();
 }
 
 }  // namespace streampick::management
--- a/src/management/command_server.h
+++ b/src/management/command_server.h
@@ -18,7 +18,7 @@
 
 namespace streampick::management {
 
-class CommandServer final : private net::Listener::Owner {
+class CommandServer final : private net::Listener::Handler {
  public:
   /// Takes the whole answer, with the ends of its lines; called once, at once or within 1 s.
   using Respond = std::function<void(std::string)>;
@@ -46,9 +46,9 @@
   class Session;
   using Sessions = std::list<std::shared_ptr<Session>>;
 
-  bool has_place() override;
-  void take(boost::asio::ip::tcp::socket socket) override;
-  void out_of_descriptors() override { evict_one(); }
+  bool can_accept() override;
+  void on_accepted(boost::asio::ip::tcp::socket socket) override;
+  void on_resource_exhausted() override { evict_one(); }
   bool evict_one();
   bool evict_first_of(const std::function<bool(const Session&)>& may_be_evicted);
   void on_closed(Sessions::iterator position);
--- /dev/null
+++ b/src/net/memory_budget.h
@@ -0,0 +1,34 @@
+/// \file
+/// The memory that large bodies may hold, of requests and of responses.
+#pragma once
+
+#include <cstddef>
+#include <memory>
+#include <optional>
+
+#include "engine/message.h"
+
+namespace streampick::net {
+
+/// Bounds the sum of all reservations. A body holds its reservation from its first byte read to its last byte
+/// written; reservations may outlive the budget. Single-threaded.
+class MemoryBudget {
+ public:
+  /// Reserves `bytes` if they are available. If not, many bodies arrive at once, or clients are slow to take
+  /// theirs.
+  [[nodiscard]] std::optional<engine::MemoryReservation> reserve(std::size_t bytes);
+
+  /// Reservations that exceed a lowered limit stay.
+  void set_limit(std::size_t bytes) { limit_ = bytes; }
+  [[nodiscard]] std::size_t limit() const { return limit_; }
+  /// Bytes reserved now.
+  [[nodiscard]] std::size_t reserved() const { return *reserved_; }
+
+ private:
+  static constexpr std::size_t kDefaultLimit = 8 * 1024 * 1024;
+
+  std::size_t limit_ = kDefaultLimit;
+  std::shared_ptr<std::size_t> reserved_ = std::make_shared<std::size_t>(0);
+};
+
+}  // namespace streampick::net
--- /dev/null
+++ b/src/overload/lag_window.h
@@ -0,0 +1,40 @@
+/// \file
+/// Event loop lag and CPU utilization over one measuring window.
+#pragma once
+
+#include <cstddef>
+
+#include "streampick/router.h"
+
+namespace streampick::overload {
+
+/// Collects samples until its owner ends the window and begins the next. All times in microseconds, `now` on
+/// any monotonic scale whose zero is never read.
+class LagWindow {
+ public:
+  static constexpr Time kLength = 100'000;
+
+  struct Result {
+    double mean_lag = 0;
+    double cpu_utilization = 0;  ///< CPU time per time passed and core
+    double lengths = 0;          ///< time passed, in windows: more than 1 if no sample came when it was over
+  };
+
+  /// Begins a window; `cpu_time` is what the process has used so far.
+  void begin(Time now, Time cpu_time);
+  [[nodiscard]] bool has_begun() const { return start_ != 0; }
+  [[nodiscard]] Time age(Time now) const { return now - start_; }
+  [[nodiscard]] bool is_over(Time now) const { return age(now) >= kLength; }
+
+  void add(Time lag);
+  /// At least one sample was added.
+  [[nodiscard]] Result result(Time now, Time cpu_time, double cores) const;
+
+ private:
+  Time start_ = 0;
+  Time cpu_time_at_start_ = 0;
+  double lag_sum_ = 0;
+  std::size_t samples_ = 0;
+};
+
+}  // namespace streampick::overload
--- a/src/overload/options.cpp
+++ b/src/overload/options.cpp
@@ -1,29 +1,65 @@
 #include "overload/options.h"
 
+#include <cstdint>
+
 namespace streampick::overload {
 
-Settings read_options(options::Table table) {
-  Settings out;
-  table.number("clients_floor", out.clients_floor, 0.05, 0.9);
-  table.number("servers_floor", out.servers_floor, 0.05, 0.9);
-  if (out.clients_floor + out.servers_floor > 1)
+namespace {
+constexpr std::int64_t kMicrosecondsPerMillisecond = 1'000;
+constexpr std::int64_t kDay = 86'400'000;     // ms
+constexpr std::int64_t kTenSeconds = 10'000;  // ms
+constexpr std::int64_t kKibibyte = 1'024;
+constexpr std::int64_t kMebibyte = 1'024 * kKibibyte;
+constexpr std::int64_t kTebibyte = 1'024 * 1'024 * kMebibyte;
+
+void read_descriptors(options::Table& table, Settings& settings) {
+  table.number("clients_floor", settings.client_minimum_share, 0.05, 0.9);
+  table.number("servers_floor", settings.upstream_minimum_share, 0.05, 0.9);
+  if (settings.client_minimum_share + settings.upstream_minimum_share > 1) {
     table.wrong("servers_floor", "with clients_floor it is more than the whole");
-  table.number("crowd", out.crowd, 0.01, 1);
-  table.integer("calm_idle_ms", out.calm_idle, 100, 86'400'000, 1000);
-  table.integer("crowded_idle_ms", out.crowded_idle, 100, 86'400'000, 1000);
-  if (out.crowded_idle > out.calm_idle) table.wrong("crowded_idle_ms", "it is longer than calm_idle_ms");
-  table.integer("late_ms", out.late, 0, 10'000, 1000);
-  table.number("busy", out.busy, 0.1, 1.5);
-  table.texts("spared", out.spared);
-  table.integer("drain_wait_ms", out.drain_wait, 0, 10'000, 1000);
-  table.number("drain_share", out.drain_share, 0, 1);
-  table.integer("drain_here", out.drain_here, 0, 1'000);
-  table.integer("whole_answer_bytes", out.whole_answer, 64 * 1024, 1024 * 1024);
-  table.integer("longest_answer_bytes", out.longest_answer, 64 * 1024, 1LL << 40);
-  if (out.longest_answer < out.whole_answer)
+  }
+}
+
+void read_client_connections(options::Table& table, Settings& settings) {
+  table.number("crowd", settings.connection_pressure_share, 0.01, 1);
+  table.integer("calm_idle_ms", settings.idle_timeout, 100, kDay, kMicrosecondsPerMillisecond);
+  table.integer("crowded_idle_ms", settings.idle_timeout_under_pressure, 100, kDay,
+                kMicrosecondsPerMillisecond);
+  if (settings.idle_timeout_under_pressure > settings.idle_timeout) {
+    table.wrong("crowded_idle_ms", "it is longer than calm_idle_ms");
+  }
+}
+
+void read_load_shedding(options::Table& table, Settings& settings) {
+  table.integer("late_ms", settings.target_loop_lag, 0, kTenSeconds, kMicrosecondsPerMillisecond);
+  table.number("busy", settings.saturated_cpu, 0.1, 1.5);
+  table.texts("spared", settings.protected_classes);
+}
+
+void read_cancellation(options::Table& table, Settings& settings) {
+  table.integer("drain_wait_ms", settings.max_drain_time, 0, kTenSeconds, kMicrosecondsPerMillisecond);
+  table.number("drain_share", settings.max_draining_share, 0, 1);
+  table.integer("drain_here", settings.max_draining_per_endpoint, 0, 1'000);
+}
+
+void read_response_bodies(options::Table& table, Settings& settings) {
+  table.integer("whole_answer_bytes", settings.max_buffered_response, 64 * kKibibyte, kMebibyte);
+  table.integer("longest_answer_bytes", settings.max_response, 64 * kKibibyte, kTebibyte);
+  if (settings.max_response < settings.max_buffered_response) {
     table.wrong("longest_answer_bytes", "it is less than whole_answer_bytes");
+  }
+}
+}  // namespace
+
+Settings read_options(options::Table table) {
+  Settings settings;
+  read_descriptors(table, settings);
+  read_client_connections(table, settings);
+  read_load_shedding(table, settings);
+  read_cancellation(table, settings);
+  read_response_bodies(table, settings);
   table.no_others();
-  return out;
+  return settings;
 }
 
 }  // namespace streampick::overload
--- a/src/overload/options.h
+++ b/src/overload/options.h
@@ -1,4 +1,5 @@
-// The options file's section [overload].
+/// \file
+/// The section [overload] of the options file (docs/operators/overload.md).
 #pragma once
 
 #include "options/table.h"
@@ -6,7 +7,8 @@
 
 namespace streampick::overload {
 
-// Throws options::Error.
+/// Keys that the section does not name keep their defaults. Throws options::Error, which names the file, the
+/// line and the key.
 Settings read_options(options::Table table);
 
 }  // namespace streampick::overload
--- a/src/overload/settings.h
+++ b/src/overload/settings.h
@@ -1,32 +1,48 @@
-// What an operator may set of the limits under load. The defaults are what the platform's build uses.
+/// \file
+/// What an operator may set of the limits under load. The defaults hold wherever no options file is read.
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <string>
 #include <vector>
 
+#include "streampick/router.h"
+
 namespace streampick::overload {
 
+/// All times in microseconds; shares are fractions of one.
 struct Settings {
-  // Shares of the descriptors that connections have in all.
-  double clients_floor = 1.0 / 3, servers_floor = 1.0 / 3;  // together at most 1
-  double crowd = 0.25;  // held connections of clients from which on there is a crowd
-  long long calm_idle = 10'000'000, crowded_idle = 2'000'000;  // us that a client's connection may rest
-  // The connection of a cancelled attempt: how long its answer is waited for at most, in us (0: closed at
-  // once), what share of the connections may wait so, and how many at one server.
-  long long drain_wait = 300'000;
-  double drain_share = 0.25;
-  std::size_t drain_here = 8;
-  // Requests are turned away once the loop comes this late, in us, to what is ready (0: never for that), or,
-  // nearly so late, uses this share of the processor's part.
-  long long late = 60'000;
-  double busy = 0.97;
-  std::vector<std::string> spared = {};  // classes that are never turned away for it
-  // Answers longer than this are passed on as they come, and none that is longer than the other. A shorter
-  // one is too once it has been coming for so long, in us.
-  std::size_t whole_answer = 1024 * 1024;
-  unsigned long long longest_answer = 32ULL * 1024 * 1024;
-  long long whole_wait = 40'000;
+  // ---- Descriptors. Shares of all descriptors that connections may use; together at most 1.
+  double client_minimum_share = 1.0 / 3;
+  double upstream_minimum_share = 1.0 / 3;
+
+  // ---- Connections of clients
+  /// Share of the descriptors from which on client connections are under pressure.
+  double connection_pressure_share = 0.25;
+  Time idle_timeout = 10'000'000;
+  Time idle_timeout_under_pressure = 2'000'000;
+
+  // ---- Connections of cancelled attempts
+  /// Maximum time to wait for the response of a cancelled attempt; 0: its connection is closed at once.
+  Time max_drain_time = 300'000;
+  /// Share of all upstream connections that may be draining at the same time.
+  double max_draining_share = 0.25;
+  std::size_t max_draining_per_endpoint = 8;
+
+  // ---- Load shedding
+  /// Event loop lag above which requests are rejected; 0: never.
+  Time target_loop_lag = 60'000;
+  /// CPU utilization that counts as saturated, as a share of the cores that the process may use.
+  double saturated_cpu = 0.97;
+  /// Names of request classes that are never rejected because of the event loop's lag.
+  std::vector<std::string> protected_classes = {};
+
+  // ---- Response bodies, in bytes
+  /// A longer response is streamed, and so is one that takes longer than `max_buffering_time` to arrive.
+  std::size_t max_buffered_response = 1024 * 1024;
+  std::uint64_t max_response = 32ULL * 1024 * 1024;
+  Time max_buffering_time = 40'000;
 };
 
 }  // namespace streampick::overload
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -88,9 +88,9 @@
 
 }  // namespace
 
-overload::Descriptors::Limits descriptor_limits(const NodeSettings& settings) {
-  return overload::Descriptors::limits(std::max(settings.sockets, kLeastDescriptors) - kOtherDescriptors,
-                                       settings.overload);
+overload::DescriptorBudget::Limits descriptor_limits(const NodeSettings& settings) {
+  return overload::DescriptorBudget::Limits::from_shares(
+      std::max(settings.sockets, kLeastDescriptors) - kOtherDescriptors, settings.overload);
 }
 
 NodeSettings parse_settings(const std::string& text) {
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "engine/endpoint_discovery.h"
-#include "overload/descriptors.h"
+#include "overload/descriptor_budget.h"
 #include "settings/settings.h"
 
 namespace streampick::platform {
@@ -30,7 +30,7 @@
 
 // The descriptors that connections may have, of clients and to servers: all but those of standard streams,
 // listeners, discovery and the loop.
-overload::Descriptors::Limits descriptor_limits(const NodeSettings& settings);
+overload::DescriptorBudget::Limits descriptor_limits(const NodeSettings& settings);
 
 // What the environment says, which is this process's own: it goes before the file, which may be shared with
 // the process that is to be replaced.
--- a/src/platform/options.cpp
+++ b/src/platform/options.cpp
@@ -48,24 +48,24 @@
       throw options::Error(options.file + ": grpc.route: " + route.method + ": the class " +
                            route.request_class + (route.save ? " is for reads" : " is not for reads"));
   }
-  for (const std::string& name : options.overload.spared)
+  for (const std::string& name : options.overload.protected_classes)
     if (index_of(node.settings.names.classes, name) == kNone)
       throw options::Error(options.file + ": overload.spared: the platform has no class " + name);
 #ifdef STREAMPICK_WITH_RESP
   const auto limits = descriptor_limits(node);
-  resp::resolve(options.resp, node.settings, options.file, limits.total - limits.servers_floor);
+  resp::resolve(options.resp, node.settings, options.file, limits.total - limits.upstream_minimum);
 #endif
 }
 
 std::string describe(const Options& options) {
   std::ostringstream out;
   const overload::Settings& limits = options.overload;
-  out << "overload: floors " << limits.clients_floor << " and " << limits.servers_floor << ", a crowd from "
-      << limits.crowd << " on, idle " << limits.calm_idle / 1000 << " ms, " << limits.crowded_idle / 1000
-      << " ms in a crowd\n"
-      << "overload: behind from " << limits.late / 1000 << " ms on, cancelled attempts waited for "
-      << limits.drain_wait / 1000 << " ms, answers passed on in parts from " << limits.whole_answer
-      << " bytes on, up to " << limits.longest_answer << "\n";
+  out << "overload: floors " << limits.client_minimum_share << " and " << limits.upstream_minimum_share
+      << ", a crowd from " << limits.connection_pressure_share << " on, idle " << limits.idle_timeout / 1000
+      << " ms, " << limits.idle_timeout_under_pressure / 1000 << " ms in a crowd\n"
+      << "overload: behind from " << limits.target_loop_lag / 1000 << " ms on, cancelled attempts waited for "
+      << limits.max_drain_time / 1000 << " ms, answers passed on in parts from "
+      << limits.max_buffered_response << " bytes on, up to " << limits.max_response << "\n";
   if (!options.grpc.routes.empty())
     out << "grpc: " << options.grpc.routes.size() << " routes, for programs on the client library\n";
   out << etcd::describe(options.etcd);
--- a/src/platform/transports.cpp
+++ b/src/platform/transports.cpp
@@ -5,15 +5,16 @@
 
 namespace streampick::platform {
 
-ServerTransports::ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+ServerTransports::ServerTransports(boost::asio::io_context& io, engine::TimeSource& time,
+                                   net::UpstreamResources& resources,
                                    [[maybe_unused]] const NodeSettings& settings)
-    : io_(io), time_(time), links_(links) {}
+    : io_(io), time_(time), resources_(resources) {}
 
 #ifdef STREAMPICK_WITH_OPTIONS
-ServerTransports::ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
-                                   [[maybe_unused]] NodeSettings& settings,
+ServerTransports::ServerTransports(boost::asio::io_context& io, engine::TimeSource& time,
+                                   net::UpstreamResources& resources, [[maybe_unused]] NodeSettings& settings,
                                    [[maybe_unused]] const Options& options)
-    : io_(io), time_(time), links_(links) {
+    : io_(io), time_(time), resources_(resources) {
 #ifdef STREAMPICK_WITH_RESP
   resp_ = options.resp.servers;
   kinds_ = settings.settings.names.kinds;
@@ -41,11 +42,11 @@
 #ifdef STREAMPICK_WITH_RESP
   if (resp_ && resp_->speak(kinds_, kind)) {
     const bool holds_copies = origin_kind_ != kNone && kind != origin_kind_;
-    return std::make_unique<resp::RespTransport>(io_, time_, links_, *outcomes_, resp_->settings,
+    return std::make_unique<resp::RespTransport>(io_, time_, resources_, *outcomes_, resp_->settings,
                                                  resp_counts_, name, holds_copies);
   }
 #endif
-  return std::make_unique<http1::Upstream>(io_, time_, links_, *outcomes_, name);
+  return std::make_unique<http1::Upstream>(io_, time_, resources_, *outcomes_, name);
 }
 
 std::string ServerTransports::summary() const {
--- a/src/platform/transports.h
+++ b/src/platform/transports.h
@@ -7,7 +7,7 @@
 
 #include "engine/time.h"
 #include "engine/upstream.h"
-#include "net/links.h"
+#include "net/upstream_resources.h"
 #include "platform/node_settings.h"
 #ifdef STREAMPICK_WITH_OPTIONS
 #include "platform/options.h"
@@ -18,12 +18,12 @@
 class ServerTransports final : public engine::UpstreamFactory {
  public:
   // All but the settings outlive it. report_to() comes before the first make().
-  ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+  ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                    const NodeSettings& settings);
 #ifdef STREAMPICK_WITH_OPTIONS
   // `options` are resolved. Classes whose repeats would run twice at the servers that take them count as
   // unsafe in `settings` from then on.
-  ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+  ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                    NodeSettings& settings, const Options& options);
   // The same, of settings that come later.
   static void as_servers_have_it(const Options& options, Settings& settings);
@@ -38,7 +38,7 @@
  private:
   boost::asio::io_context& io_;
   engine::TimeSource& time_;
-  net::Links& links_;
+  net::UpstreamResources& resources_;
   engine::AttemptObserver* outcomes_ = nullptr;
 #ifdef STREAMPICK_WITH_RESP
   std::vector<std::string> kinds_;
--- a/src/plugin/client.cpp
+++ b/src/plugin/client.cpp
@@ -17,8 +17,8 @@
 #include <vector>
 
 #include "engine/engine.h"
-#include "net/links.h"
 #include "net/log.h"
+#include "net/upstream_resources.h"
 #include "platform/node_settings.h"
 #include "platform/transports.h"
 #include "plugin/callbacks.h"
@@ -99,15 +99,15 @@
         (static_cast<std::uint64_t>(device()) << 32U) ^ device() ^ told.settings.seed;
     const std::uint64_t seed = XXH3_64bits(&first_id, sizeof first_id);
     servers = make_servers(settings);
-    descriptors = overload::Descriptors(overload::Descriptors::Limits{
+    descriptors = overload::DescriptorBudget(overload::DescriptorBudget::Limits{
         platform::descriptor_limits(told).total, 0, platform::descriptor_limits(told).total});
-    links.descriptors = &descriptors;
-    links.most_large = told.memory_mb * (1024 * 1024 / 4);
-    links.connect_timeout = told.settings.config.connect_timeout;
-    links.cancels = overload::CancelRules(told.overload);
-    links.evict_idle_connection = [this] { engine->evict_idle_connection(); };
+    resources.connections.share_descriptors(descriptors);
+    resources.body_memory.set_limit(told.memory_mb * (1024 * 1024 / 4));
+    resources.connect_timeout = told.settings.config.connect_timeout;
+    resources.cancellation = overload::CancellationPolicy(told.overload);
+    resources.evict_idle_connection = [this] { engine->evict_idle_connection(); };
     engine::EngineSettings engine_settings{told.settings.config, seed};
-    engine_settings.is_idle = [this] { return links.connections == 0; };
+    engine_settings.is_idle = [this] { return resources.connections.open() == 0; };
     engine.emplace(clock, engine_settings, static_cast<engine::UpstreamFactory&>(*this),
                    [](std::string_view text) { net::log(text); });
     servers->report_to(*engine);
@@ -130,7 +130,7 @@
 
   std::unique_ptr<platform::ServerTransports> make_servers(const ClientSettings& settings) {
     if (settings.options.empty() && settings.options_path.empty())
-      return std::make_unique<platform::ServerTransports>(io, clock, links, told);
+      return std::make_unique<platform::ServerTransports>(io, clock, resources, told);
     // On the host's own thread, whose log is not ours.
     const net::LogSink sink([this](std::string_view text) {
       if (own.log) own.log(text);
@@ -141,7 +141,7 @@
                                       ? platform::load_options(settings.options_path)
                                       : platform::parse_options(settings.options, "options");
       platform::resolve(options, told);
-      return std::make_unique<platform::ServerTransports>(io, clock, links, told, options);
+      return std::make_unique<platform::ServerTransports>(io, clock, resources, told, options);
     } catch (const options::Error& error) {
       throw ClientError(std::string("streampick client: ") + error.what());
     }
@@ -302,8 +302,8 @@
   asio::io_context io{1};
   asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
   plugin::HostClock clock;
-  overload::Descriptors descriptors;
-  net::Links links;
+  overload::DescriptorBudget descriptors;
+  net::UpstreamResources resources;
   std::vector<plugin::HeldTransport*> transports;
   std::unique_ptr<platform::ServerTransports> servers;  // the engine has its transports
   std::optional<engine::Engine> engine;
@@ -477,8 +477,8 @@
       out.attempts = impl_->engine->counts().attempts;
       out.cancels = impl_->engine->counts().cancelled_attempts;
       out.servers = impl_->engine->servers();
-      out.connects = impl_->links.dials;
-      out.connections = impl_->links.connections;
+      out.connects = impl_->resources.connect_attempts;
+      out.connections = impl_->resources.connections.open();
       read.set_value();
     });
     read.get_future().wait();
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -64,7 +64,7 @@
   // What was read just now, the loop having waited for it without a delay, has no old end behind it.
   bool client_gone() override {
     if (owner_ == nullptr) return true;
-    if (prompt_ && !owner_->loop_delay_.held_up()) return false;
+    if (prompt_ && !owner_->stall_detector_.was_stalled()) return false;
     return hung_up();
   }
 
@@ -106,7 +106,8 @@
     counted_ = 0;
     const auto self = shared_from_this();
     owner.sessions_.erase(place_);
-    if (owner.descriptors_ != nullptr) owner.descriptors_->give(overload::Descriptors::Side::clients);
+    if (owner.descriptors_ != nullptr)
+      owner.descriptors_->release(overload::DescriptorBudget::Side::downstream);
     const auto open = std::exchange(open_, {});
     for (const auto& [tag, request] : open) owner.requests_.on_client_cancelled(request);
   }
@@ -233,11 +234,11 @@
     const bool write = is_write(ask.part.operation);
     const std::uint32_t kind = write ? settings.write_class : settings.read_class;
     const Time patience = ask.patience > 0 ? ask.patience : kAnyPatience;
-    if (owner_->admission_ != nullptr &&
-        owner_->admission_->refuses(kind, patience, owner_->last_id_ + ask.tag)) {
+    if (owner_->load_shedder_ != nullptr &&
+        owner_->load_shedder_->should_reject(kind, patience, owner_->last_id_ + ask.tag)) {
       ++owner_->counts_.shed;
       owner_->requests_.on_rejected_unread(kind);
-      const Time after = owner_->admission_->retry_after(owner_->last_id_ + ask.tag);
+      const Time after = owner_->load_shedder_->retry_after(owner_->last_id_ + ask.tag);
       return conversation_.answered(ask.tag,
                                     {.kind = engine::Response::Kind::rejected, .retry_after = after});
     }
@@ -295,7 +296,7 @@
       return false;
     }
     if (stopping_) to_read_ -= got;
-    if (owner_->admission_ != nullptr) owner_->admission_->touch();
+    if (owner_->load_shedder_ != nullptr) owner_->load_shedder_->on_client_activity();
     // Most often all of it is used at once: a connection that waits holds no buffer.
     const std::string_view bytes(scratch.data(), got);
     const std::size_t used = consume(bytes);
@@ -415,21 +416,21 @@
 
 RespFront::RespFront(asio::io_context& io, engine::TimeSource& time, const Names& names,
                      engine::RequestHandler& requests, const FrontSettings& settings,
-                     overload::Descriptors* descriptors, net::Admission* admission)
+                     overload::DescriptorBudget* descriptors, net::LoadShedder* load_shedder)
     : io_(io),
       time_(time),
       names_(names),
       requests_(requests),
       settings_(settings),
       descriptors_(descriptors),
-      admission_(admission),
+      load_shedder_(load_shedder),
       listener_(io, settings.listen, *this),
       sweep_(io),
       scratch_(kScratch),
       last_id_(settings.seed),
       started_(time.now()) {
   settings_.rules.figures = [this] { return figures(); };
-  listener_.go_on();
+  listener_.resume();
   sweep();
 }
 
@@ -443,13 +444,13 @@
   return XXH3_64bits(&last_id_, sizeof last_id_);
 }
 
-void RespFront::take(tcp::socket socket) {
+void RespFront::on_accepted(tcp::socket socket) {
   if (is_full() && !make_room()) {
     ++counts_.turned_away;
     return rejections_.reject(std::move(socket), time_.now());
   }
   ++counts_.accepted;
-  if (descriptors_ != nullptr) descriptors_->take(overload::Descriptors::Side::clients);
+  if (descriptors_ != nullptr) descriptors_->reserve(overload::DescriptorBudget::Side::downstream);
   const auto session = std::make_shared<Session>(*this, std::move(socket), ++last_session_);
   session->placed(sessions_.insert(sessions_.end(), session));
   session->go_on();
@@ -543,8 +544,8 @@
     for (const auto& session : all) session->check(now);
     rejections_.close_overdue(now);
   }
-  loop_delay_.tick();
-  sweep_.expires_at(loop_delay_.due());
+  stall_detector_.on_tick();
+  sweep_.expires_at(stall_detector_.next_tick());
   sweep_.async_wait([this](error_code cancelled) {
     if (!cancelled) sweep();
   });
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -12,10 +12,10 @@
 
 #include "engine/downstream.h"
 #include "engine/time.h"
-#include "net/admission.h"
 #include "net/listener.h"
-#include "net/loop_delay.h"
-#include "overload/descriptors.h"
+#include "net/load_shedder.h"
+#include "net/loop_stall_detector.h"
+#include "overload/descriptor_budget.h"
 #include "resp/conversation.h"
 #include "resp/rejections.h"
 #include "settings/settings.h"
@@ -33,7 +33,7 @@
   std::uint64_t seed = 0;           // of the ids that the front chooses
 };
 
-class RespFront final : public engine::Downstream, private net::Listener::Owner {
+class RespFront final : public engine::Downstream, private net::Listener::Handler {
  public:
   struct Counts {
     std::uint64_t accepted = 0, turned_away = 0, commands = 0, requests = 0, bad = 0;
@@ -43,7 +43,7 @@
   // Throws boost::system::system_error when the address can't be listened on.
   RespFront(boost::asio::io_context& io, engine::TimeSource& time, const Names& names,
             engine::RequestHandler& requests, const FrontSettings& settings,
-            overload::Descriptors* descriptors = nullptr, net::Admission* admission = nullptr);
+            overload::DescriptorBudget* descriptors = nullptr, net::LoadShedder* load_shedder = nullptr);
   ~RespFront() override;
   RespFront(const RespFront&) = delete;
   RespFront& operator=(const RespFront&) = delete;
@@ -68,13 +68,14 @@
   class Session;
   using Sessions = std::list<std::shared_ptr<Session>>;
 
-  bool has_place() override { return true; }  // whoever finds none is told so
+  bool can_accept() override { return true; }  // whoever finds none is told so
   bool is_full() const {
     return sessions_.size() >= settings_.most_clients ||
-           (descriptors_ != nullptr && !descriptors_->has_room(overload::Descriptors::Side::clients));
+           (descriptors_ != nullptr &&
+            !descriptors_->has_capacity(overload::DescriptorBudget::Side::downstream));
   }
-  void take(boost::asio::ip::tcp::socket socket) override;
-  void out_of_descriptors() override { make_room(); }
+  void on_accepted(boost::asio::ip::tcp::socket socket) override;
+  void on_resource_exhausted() override { make_room(); }
   bool make_room();
   std::shared_ptr<Session> oldest_lingering(Time min_age) const;
   std::shared_ptr<Session> oldest_resting(Time min_age) const;
@@ -89,11 +90,11 @@
   const Names& names_;
   engine::RequestHandler& requests_;
   FrontSettings settings_;
-  overload::Descriptors* descriptors_;  // shared with other fronts; none: only its own limit holds
-  net::Admission* admission_;           // none: nothing is refused for the loop's sake
+  overload::DescriptorBudget* descriptors_;  // shared with other fronts; none: only its own limit holds
+  net::LoadShedder* load_shedder_;           // none: nothing is refused for the loop's sake
   net::Listener listener_;
   boost::asio::steady_timer sweep_;
-  net::LoopDelay loop_delay_;  // ticks with each sweep
+  net::LoopStallDetector stall_detector_;  // ticks with each sweep
   unsigned ticks_ = 0;
   Sessions sessions_;
   Rejections rejections_;
--- a/src/resp/transport.cpp
+++ b/src/resp/transport.cpp
@@ -40,7 +40,7 @@
         owner_(&owner),
         socket_(owner.io_),
         timer_(owner.io_) {
-    owner.links_.opened();
+    owner.resources_.connections.on_opened();
   }
 
   void dial(const tcp::endpoint& to, Time time_out) {
@@ -78,7 +78,7 @@
       const std::string_view bytes = pipe.output();
       error_code error;
       const std::size_t put = socket_.write_some(asio::buffer(bytes.data(), bytes.size()), error);
-      owner_->links_.written_whole += pipe.written(put);
+      owner_->resources_.requests_sent += pipe.written(put);
       if (error == asio::error::would_block) {
         writing_ = true;
         blocked_at_ = owner_->time_.fresh();
@@ -108,7 +108,7 @@
   // Does not tell the owner.
   void close() {
     if (owner_ == nullptr) return;
-    owner_->links_.closed();
+    owner_->resources_.connections.on_closed();
     owner_ = nullptr;
     error_code ignored;
     socket_.close(ignored);
@@ -119,7 +119,7 @@
   // replies is lost. Returns whether the connection can be used.
   bool absorb() {
     for (;;) {
-      auto& scratch = owner_->links_.scratch;
+      auto& scratch = owner_->resources_.read_buffer;
       error_code error;
       const std::size_t got = socket_.read_some(asio::buffer(scratch), error);
       if (error == asio::error::would_block) break;
@@ -170,7 +170,7 @@
   void read() {
     for (int rounds = 0; rounds < 8; ++rounds) {
       if (owner_ == nullptr) return;
-      auto& scratch = owner_->links_.scratch;
+      auto& scratch = owner_->resources_.read_buffer;
       error_code error;
       const std::size_t got = socket_.read_some(asio::buffer(scratch), error);
       if (error == asio::error::would_block) break;
@@ -192,12 +192,13 @@
   Time blocked_at_ = 0;  // when the socket took no more
 };
 
-RespTransport::RespTransport(asio::io_context& io, engine::TimeSource& time, net::Links& links,
-                             engine::AttemptObserver& outcomes, const ServerSettings& settings,
-                             ServerCounts& counts, std::string name, bool null_is_miss, PushHook on_push)
+RespTransport::RespTransport(asio::io_context& io, engine::TimeSource& time,
+                             net::UpstreamResources& resources, engine::AttemptObserver& outcomes,
+                             const ServerSettings& settings, ServerCounts& counts, std::string name,
+                             bool null_is_miss, PushHook on_push)
     : io_(io),
       time_(time),
-      links_(links),
+      resources_(resources),
       outcomes_(outcomes),
       settings_(settings),
       counts_(counts),
@@ -321,12 +322,12 @@
 }
 
 bool RespTransport::dial() {
-  if (!links_.has_room()) links_.evict_idle_connection();
-  if (!links_.has_room()) return false;
-  ++links_.dials;
+  if (!resources_.connections.has_capacity()) resources_.evict_idle_connection();
+  if (!resources_.connections.has_capacity()) return false;
+  ++resources_.connect_attempts;
   const auto link = std::make_shared<Connection>(*this);
   connections_.push_back(link);
-  link->dial(address_, links_.connect_timeout);
+  link->dial(address_, resources_.connect_timeout);
   return true;
 }
 
@@ -371,7 +372,7 @@
       outcomes_;  // the last of these may be the last that is heard of this server
   for (Ended& end : ended) {
     if (end.answer.body.size() <= kLargeBody) continue;
-    if (auto reservation = links_.reservation(end.answer.body.size()))
+    if (auto reservation = resources_.body_memory.reserve(end.answer.body.size()))
       end.answer.memory = std::move(*reservation);
     else
       end = {end.attempt, Outcome::malformed, {}};
--- a/src/resp/transport.h
+++ b/src/resp/transport.h
@@ -13,7 +13,7 @@
 
 #include "engine/time.h"
 #include "engine/upstream.h"
-#include "net/links.h"
+#include "net/upstream_resources.h"
 #include "resp/pipeline.h"
 
 namespace streampick::resp {
@@ -44,7 +44,7 @@
  public:
   // `settings` and `counts` outlive it. `on_push` hears of each push; it may be empty.
   using PushHook = std::function<void(const std::string& server, const Value& push)>;
-  RespTransport(boost::asio::io_context& io, engine::TimeSource& time, net::Links& links,
+  RespTransport(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                 engine::AttemptObserver& outcomes, const ServerSettings& settings, ServerCounts& counts,
                 std::string name, bool null_is_miss, PushHook on_push = {});
   ~RespTransport() override;
@@ -92,7 +92,7 @@
 
   boost::asio::io_context& io_;
   engine::TimeSource& time_;
-  net::Links& links_;
+  net::UpstreamResources& resources_;
   engine::AttemptObserver& outcomes_;
   const ServerSettings& settings_;
   ServerCounts& counts_;
--- a/tests/daemon/host_test.cpp
+++ b/tests/daemon/host_test.cpp
@@ -110,14 +110,14 @@
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 200);
   EXPECT_TRUE(one->body() == body);
-  EXPECT_TRUE(wait_for([&] { return *host->links().large == 0; }));
+  EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
 }
 
 TEST_F(Loopback, LargeBodiesThatClientsDoNotTakeAreHeldWithinABound) {
   const std::string body(1'000'000, 'x');
   cache.answer = origin.answer = [&](const std::string&) { return response(200, body); };
   start();
-  host->links().most_large = 4'000'000;
+  host->upstream_resources().body_memory.set_limit(4'000'000);
   std::vector<std::unique_ptr<net::tcp::socket>> deaf;  // they ask and never read
   for (int i = 0; i < 24; ++i) {
     deaf.push_back(std::make_unique<net::tcp::socket>(io));
@@ -127,11 +127,11 @@
     asio::write(*deaf.back(), asio::buffer(a_read()));
   }
   ASSERT_TRUE(wait_for([&] {
-    EXPECT_LE(*host->links().large, 4'000'000U);
+    EXPECT_LE(host->upstream_resources().body_memory.reserved(), 4'000'000U);
     return host->counts().served + host->counts().refused + host->counts().failed == 24;
   }));
   deaf.clear();
-  EXPECT_TRUE(wait_for([&] { return *host->links().large == 0; }));
+  EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
 }
 
 // ---- AttemptObserver decide what may be sent again
--- a/tests/daemon/production_test.cpp
+++ b/tests/daemon/production_test.cpp
@@ -127,7 +127,7 @@
     EXPECT_EQ(one->status(), 503);  // nothing of it ran
   }
   EXPECT_LE(host->counts().attempts, 9U);
-  EXPECT_LE(host->links().dials, 9U);
+  EXPECT_LE(host->upstream_resources().connect_attempts, 9U);
 }
 
 TEST_F(IdleConnections, WhereEveryServerResetsEachRequestAttemptsAreBoundedAndEachHasOneAnswer) {
@@ -183,16 +183,16 @@
     upstream_.set_address(cache.address());
   }
   HeldUpClock held_{clock};
-  net::Links links_;
+  net::UpstreamResources resources_;
   AttemptEnds ends_;
   std::shared_ptr<engine::Message> message_ = std::make_shared<engine::Message>();
-  http1::Upstream upstream_{io, held_, links_, ends_, "s-1"};
+  http1::Upstream upstream_{io, held_, resources_, ends_, "s-1"};
 };
 
 // What an attempt tells its server is counted from the clock's reading: by as much as the hold-up more than
 // is left, at most.
 TEST_F(HeldUp, BetweenItsClockAndItsWriteAnAttemptTellsAtMostTheHoldUpTooMuch) {
-  links_.most_connections = 16;
+  resources_.connections.set_limit(16);
   upstream_.send({1, 0}, message_, clock.now() + 1'000'000, kNever);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(response(200, "x"));
--- a/tests/http1/clients_test.cpp
+++ b/tests/http1/clients_test.cpp
@@ -119,13 +119,13 @@
 TEST_F(Loopback, ClientsMayHoldAllButTheServersFloor) {
   start();
   const std::size_t most =
-      host->descriptors().total() - host->descriptors().floor(overload::Descriptors::Side::servers);
+      host->descriptors().total() - host->descriptors().minimum(overload::DescriptorBudget::Side::upstream);
   std::vector<std::unique_ptr<FakeClient>> silent;
   for (std::size_t i = 0; i < most; ++i) silent.push_back(client());
-  ASSERT_TRUE(
-      wait_for([&] { return host->descriptors().used(overload::Descriptors::Side::clients) == most; }));
+  ASSERT_TRUE(wait_for(
+      [&] { return host->descriptors().used(overload::DescriptorBudget::Side::downstream) == most; }));
   EXPECT_GT(most, host->descriptors().total() / 2);
-  EXPECT_TRUE(host->descriptors().has_room(overload::Descriptors::Side::servers));
+  EXPECT_TRUE(host->descriptors().has_capacity(overload::DescriptorBudget::Side::upstream));
 }
 
 TEST_F(Loopback, ABodyOf64KiBAndRequestsInOneSegmentAreTaken) {
--- a/tests/http1/crossings_test.cpp
+++ b/tests/http1/crossings_test.cpp
@@ -52,7 +52,7 @@
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 2; }));
   EXPECT_EQ(record.ended[1].second, Outcome::malformed);
   EXPECT_TRUE(record.bodies[1].empty());
-  EXPECT_EQ(record.connections, 0U);
+  EXPECT_EQ(record.connections.open(), 0U);
   send(2);
   Peer& next = asked(3);
   quiet(60);
@@ -68,13 +68,13 @@
     served(i + 1, std::to_string(i));
     quiet(30);
   }
-  EXPECT_EQ(record.dials, 1U);
+  EXPECT_EQ(record.connect_attempts, 1U);
 }
 
 // There is no descriptor for another one: what waits for a connection to settle must not wait for ever,
 // neither when that stays nor when it ends meanwhile.
 TEST_F(Crossing, WhoWaitsForAConnectionToSettleIsServedAlsoWhenThatEnds) {
-  record.most_connections = 1;
+  record.connections.set_limit(1);
   std::uint32_t n = 0;
   for (const bool ends : {false, true}) {
     send(n++);
@@ -87,7 +87,7 @@
     served(n, "second");
     quiet(30);
   }
-  EXPECT_EQ(record.dials, 2U);
+  EXPECT_EQ(record.connect_attempts, 2U);
 }
 
 // The server closes an idle connection just when the request is written: all of it left, it may have run.
@@ -151,7 +151,7 @@
   EXPECT_TRUE(upstream.cancel_unsent({1, 0}));
   full.open();
   quiet(1'300);                       // past the kernel's next try
-  EXPECT_EQ(record.connections, 1U);  // it came up, and rests
+  EXPECT_EQ(record.connections.open(), 1U);  // it came up, and rests
   EXPECT_EQ(full.requests(), 0U);
   EXPECT_TRUE(record.ended.empty());
 }
@@ -164,7 +164,7 @@
   upstream.stop_sending_at(clock.now());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::not_sent);
-  EXPECT_EQ(record.connections, 0U);  // the dial ended with it
+  EXPECT_EQ(record.connections.open(), 0U);  // the dial ended with it
   full.open();
   quiet(1'300);  // past the kernel's next try
   EXPECT_EQ(full.requests(), 0U);
--- a/tests/http1/ends_test.cpp
+++ b/tests/http1/ends_test.cpp
@@ -42,8 +42,9 @@
 
 TEST_F(Ends, ARequestThatComesAsItsConnectionsRestEndsIsServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  start_with(
-      [](platform::NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
+  start_with([](platform::NodeSettings& all) {
+    all.overload.idle_timeout = all.overload.idle_timeout_under_pressure = 200'000;
+  });
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(has_answers(one, 1));
@@ -68,8 +69,9 @@
 // One that crosses the end is read and dropped: its client sends it again elsewhere.
 TEST_F(Ends, ARequestThatCrossesTheEndOfARestIsNotSentOn) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  start_with(
-      [](platform::NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
+  start_with([](platform::NodeSettings& all) {
+    all.overload.idle_timeout = all.overload.idle_timeout_under_pressure = 200'000;
+  });
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(ended(one));
@@ -108,7 +110,9 @@
 }
 
 TEST_F(Ends, ARequestThatIsUnreadWhenTheOneBeforeItIsAnsweredIsAnsweredTooInACrowd) {
-  start_with([](platform::NodeSettings& all) { all.overload.crowd = 0.01; });  // of four connections
+  start_with([](platform::NodeSettings& all) {
+    all.overload.connection_pressure_share = 0.01;
+  });  // of four connections
   // Each on a connection of its own, so that the last one's is known.
   cache.answer = [](const std::string&) { return response(200, "x", "Connection: close\r\n"); };
   std::vector<std::unique_ptr<Raw>> crowd;
@@ -167,7 +171,7 @@
 // Only what could not be kept is lost to its sender, which is told so.
 TEST_F(Ends, WholeRequestsBeforeAFloodAreAnswered) {
   start();
-  host->links().most_large = 0;  // no memory for more than a little that is sent ahead
+  host->upstream_resources().body_memory.set_limit(0);  // no memory for more than a little that is sent ahead
   Raw one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
@@ -187,10 +191,10 @@
 
 TEST_F(Ends, WhoGivesItsPlaceToOthersHasNoRequestUnread) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
-  start_with([](platform::NodeSettings& all) { all.overload.crowd = 1; },
+  start_with([](platform::NodeSettings& all) { all.overload.connection_pressure_share = 1; },
              64);  // at most 22 of them for clients
   const std::size_t places =
-      host->descriptors().total() - host->descriptors().floor(overload::Descriptors::Side::servers);
+      host->descriptors().total() - host->descriptors().minimum(overload::DescriptorBudget::Side::upstream);
   std::vector<std::unique_ptr<Raw>> resting;
   for (std::size_t i = 0; i < places; ++i) {
     resting.push_back(std::make_unique<Raw>(io, host->address()));
--- a/tests/http1/held_up_test.cpp
+++ b/tests/http1/held_up_test.cpp
@@ -115,11 +115,11 @@
     return host->counts().outcomes[static_cast<std::size_t>(Outcome::connect_failed)];
   };
   ASSERT_TRUE(wait_for([&] { return failed() == 1; }));
-  const std::uint64_t dials = host->links().dials;
+  const std::uint64_t dials = host->upstream_resources().connect_attempts;
   net::tcp::acceptor back(io, nowhere);
   client_goes_and_timers_fall_due(one);
   expect_nothing_more(0);
-  EXPECT_EQ(host->links().dials, dials);
+  EXPECT_EQ(host->upstream_resources().connect_attempts, dials);
 }
 
 TEST_P(HeldUp, ARequestInTheQueueIsNotAdmittedBesideTheEnd) {
@@ -171,7 +171,7 @@
   host = std::make_unique<daemon::Host>(io, clock, settings);
   RawClient one(io, host->address());
   one.write(a_read());
-  ASSERT_TRUE(wait_for([&] { return host->links().dials == 1; }));
+  ASSERT_TRUE(wait_for([&] { return host->upstream_resources().connect_attempts == 1; }));
   full.open();
   quiet(20);
   if (GetParam().first == First::client) one.go(GetParam().way);
--- a/tests/http1/leaving_test.cpp
+++ b/tests/http1/leaving_test.cpp
@@ -262,7 +262,8 @@
   const std::string body(1'000'000, 'x');
   cache.answer = [&](const std::string&) { return response(200, body); };
   start();
-  host->links().most_large = 1'050'000;  // for the answer, and for nothing that is sent ahead
+  host->upstream_resources().body_memory.set_limit(
+      1'050'000);  // for the answer, and for nothing that is sent ahead
   Raw one(io);
   one.socket.open(net::tcp::v4());
   one.socket.set_option(asio::socket_base::receive_buffer_size(4'096));
@@ -336,13 +337,13 @@
     return host->counts().outcomes[static_cast<std::size_t>(Outcome::connect_failed)];
   };
   ASSERT_TRUE(wait_for([&] { return failed() == 1; }));
-  const std::uint64_t dials = host->links().dials;
+  const std::uint64_t dials = host->upstream_resources().connect_attempts;
   client_goes(one);
   net::tcp::acceptor back(io, nowhere);
   bool dialled = false;
   back.async_accept([&](net::error_code error, net::tcp::socket) { dialled = !error; });
   quiet(1'000);
-  EXPECT_EQ(host->links().dials, dials);
+  EXPECT_EQ(host->upstream_resources().connect_attempts, dials);
   EXPECT_FALSE(dialled);
 }
 
@@ -358,7 +359,7 @@
   host = std::make_unique<daemon::Host>(io, clock, settings);
   Raw one(io, host->address());
   one.write(a_read());
-  ASSERT_TRUE(wait_for([&] { return host->links().dials == 1; }));
+  ASSERT_TRUE(wait_for([&] { return host->upstream_resources().connect_attempts == 1; }));
   client_goes(one);
   full.open();
   quiet(2'500);  // past the kernel's next two tries
--- a/tests/http1/one_server.h
+++ b/tests/http1/one_server.h
@@ -12,7 +12,7 @@
 
 namespace streampick::test {
 
-struct Record final : net::Links, engine::AttemptObserver {
+struct Record final : net::UpstreamResources, engine::AttemptObserver {
   void on_attempt_ended(engine::AttemptId attempt, Outcome outcome, engine::Answer answer) override {
     ended.emplace_back(attempt, outcome);
     bodies.push_back(answer.body);
@@ -81,7 +81,7 @@
 class ToOneServer : public Loopback {
  protected:
   ToOneServer() {
-    record.most_connections = 16;
+    record.connections.set_limit(16);
     forward->target = "/read/1";
     forward->transaction_id = "9b1f03aa5c7e2d41";
     upstream.set_address(cache.address());
--- a/tests/http1/parts_test.cpp
+++ b/tests/http1/parts_test.cpp
@@ -12,8 +12,8 @@
             text_of(discovery.local_endpoint()),
             list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}))
             .dump());
-    settings.overload.whole_answer = whole;
-    settings.overload.longest_answer = longest;
+    settings.overload.max_buffered_response = whole;
+    settings.overload.max_response = longest;
     host = std::make_unique<daemon::Host>(io, clock, settings);
   }
   std::string head(std::size_t length) {
@@ -46,7 +46,7 @@
   static std::string a_last_read() {
     return request_text("GET", "/read/7f3a9c21e0b4d655", "read", "", "8.0", "Connection: close\r\n");
   }
-  const net::Links::Streams& streams() { return host->links().streams; }
+  const net::StreamCounts& streams() { return host->upstream_resources().streams; }
 };
 
 TEST_F(Parts, TheFirstPartIsPassedOnWhileTheRestIsStillToCome) {
@@ -64,7 +64,7 @@
   EXPECT_EQ(one->body(), body);
   EXPECT_NE(one->answers[0].find("Content-Type: image/x"), std::string::npos);
   EXPECT_EQ(streams().open, 0U);
-  EXPECT_EQ(*host->links().large, 0U);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 0U);
   // Both connections are used again.
   cache.answer = [](const std::string&) { return response(200, "small"); };
   one->ask(a_read());
@@ -97,7 +97,7 @@
   asio::async_write(cache.peers[0]->socket, asio::buffer(answer), [](net::error_code, std::size_t) {});
   const std::string got = rest_of(one);
   EXPECT_TRUE(got.substr(got.find("\r\n\r\n") + 4) == body);
-  EXPECT_EQ(*host->links().large, 0U);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 0U);
 }
 
 TEST_F(Parts, ALongAnswerThatEndsWithItsConnectionIsWholeIfThatEndsInOrder) {
@@ -117,7 +117,7 @@
         one->peer->got.find("\r\n0\r\n\r\n") != std::string::npos || one->answers.size() > 1;
     EXPECT_EQ(last_chunk, !reset);
   }
-  EXPECT_EQ(streams().cut, 1U);
+  EXPECT_EQ(streams().truncated, 1U);
 }
 
 // Only the connection's end marks theirs. Those that come whole are forwarded, whatever their size and
@@ -181,11 +181,11 @@
     quiet(200);
   }
   EXPECT_LT(written, answer.size());
-  EXPECT_EQ(*host->links().large, 64U * 1024);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 64U * 1024);
   const std::string got = rest_of(slow);
   ASSERT_EQ(got.size() - got.find("\r\n\r\n") - 4, body.size());
   EXPECT_TRUE(got.substr(got.find("\r\n\r\n") + 4) == body);
-  EXPECT_EQ(*host->links().large, 0U);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 0U);
 }
 
 TEST_F(Parts, AnAnswerThatBreaksInItsMidstIsSeenToBeCutAndIsNotAskedForAgain) {
@@ -193,11 +193,11 @@
   net::tcp::socket one = asks(a_last_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(head(200'000) + pattern(100'000));
-  ASSERT_TRUE(wait_for([&] { return streams().begun == 1; }));
+  ASSERT_TRUE(wait_for([&] { return streams().started == 1; }));
   cache.peers[0]->close();
   const std::string got = rest_of(one);
   EXPECT_LT(got.size(), 200'000U);
-  EXPECT_EQ(streams().cut, 1U);
+  EXPECT_EQ(streams().truncated, 1U);
   EXPECT_EQ(streams().open, 0U);
   EXPECT_EQ(cache.requests.size(), 1U);
   EXPECT_TRUE(origin.requests.empty());
@@ -216,7 +216,7 @@
     peer.write(std::string("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n") + size + body + "\r\n");
     if (!cut) peer.write("0\r\n\r\n");
     if (cut) {
-      ASSERT_TRUE(wait_for([&] { return streams().begun == 2; }));
+      ASSERT_TRUE(wait_for([&] { return streams().started == 2; }));
       peer.close();
     }
     const std::string got = rest_of(one);
@@ -224,7 +224,7 @@
     const bool whole = got.size() > 7 && got.substr(got.size() - 7) == "\r\n0\r\n\r\n";
     EXPECT_EQ(whole, !cut);
   }
-  EXPECT_EQ(streams().cut, 1U);
+  EXPECT_EQ(streams().truncated, 1U);
 }
 
 TEST_F(Parts, AClientThatGoesInTheMidstEndsTheServersConnectionToo) {
@@ -232,12 +232,12 @@
   net::tcp::socket one = asks(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(head(1 << 20) + pattern(100'000));
-  ASSERT_TRUE(wait_for([&] { return streams().begun == 1; }));
+  ASSERT_TRUE(wait_for([&] { return streams().started == 1; }));
   one.close();
   ASSERT_TRUE(wait_for([&] { return cache.open() == 0 && streams().open == 0; }));
-  EXPECT_EQ(streams().left, 1U);
-  EXPECT_EQ(host->links().connections, 0U);
-  EXPECT_EQ(*host->links().large, 0U);
+  EXPECT_EQ(streams().abandoned, 1U);
+  EXPECT_EQ(host->upstream_resources().connections.open(), 0U);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 0U);
 }
 
 TEST_F(Parts, AServerThatLeavesTheListFinishesTheAnswerItHasBegun) {
@@ -249,7 +249,7 @@
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(head(body.size()) + body.substr(0, 100'000));
-  ASSERT_TRUE(wait_for([&] { return streams().begun == 1; }));
+  ASSERT_TRUE(wait_for([&] { return streams().started == 1; }));
   chunk(list_json(2, false, {{"s-cache", cache.address(), "box", "terminated"}}).dump() + "\n");
   quiet(1'500);  // a second's round has looked at what can be forgotten
   cache.peers[0]->write(body.substr(100'000));
@@ -267,11 +267,11 @@
   EXPECT_GT(host->counts().outcomes[static_cast<std::size_t>(Outcome::malformed)], 0U);
   const std::string body = pattern(500'000);
   cache.answer = [&](const std::string&) { return response(200, body); };
-  host->links().most_large = 100'000;  // for one part that waits, not for the whole
+  host->upstream_resources().body_memory.set_limit(100'000);  // for one part that waits, not for the whole
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
   EXPECT_EQ(one->body(1), body);
-  EXPECT_EQ(streams().begun, 1U);
+  EXPECT_EQ(streams().started, 1U);
 }
 
 // ---- Connections of cancelled attempts
@@ -300,10 +300,10 @@
 
 TEST_F(Cancelled, ItsConnectionIsUsedAgainOnceTheAnswerNobodyWantsIsIn) {
   leave(50);
-  EXPECT_EQ(host->links().draining, 1U);
-  EXPECT_EQ(host->links().drains.begun, 1U);
+  EXPECT_EQ(host->upstream_resources().drains.active, 1U);
+  EXPECT_EQ(host->upstream_resources().drains.started, 1U);
   cache.peers[0]->write(response(200, "nobody's"));
-  ASSERT_TRUE(wait_for([&] { return host->links().drains.reused == 1; }));
+  ASSERT_TRUE(wait_for([&] { return host->upstream_resources().drains.reused == 1; }));
   quiet(30);
   const auto next = client();
   next->ask(a_read());
@@ -318,16 +318,16 @@
 TEST_F(Cancelled, ItsConnectionIsClosedWhenTheAnswerDoesNotComeSoon) {
   leave(20);
   ASSERT_TRUE(wait_for([&] { return cache.open() == 0; }));
-  EXPECT_EQ(host->links().draining, 0U);
-  EXPECT_EQ(host->links().drains.reused, 0U);
-  EXPECT_EQ(host->links().connections, 0U);
+  EXPECT_EQ(host->upstream_resources().drains.active, 0U);
+  EXPECT_EQ(host->upstream_resources().drains.reused, 0U);
+  EXPECT_EQ(host->upstream_resources().connections.open(), 0U);
 }
 
 TEST_F(Cancelled, ItsConnectionGivesWayWhereAnotherIsWanted) {
   leave(200);
-  ASSERT_EQ(host->links().draining, 1U);
-  host->links().evict_idle_connection();
-  EXPECT_EQ(host->links().draining, 0U);
+  ASSERT_EQ(host->upstream_resources().drains.active, 1U);
+  host->upstream_resources().evict_idle_connection();
+  EXPECT_EQ(host->upstream_resources().drains.active, 0U);
   ASSERT_TRUE(wait_for([&] { return cache.open() == 0; }));
 }
 
--- a/tests/http1/upload_test.cpp
+++ b/tests/http1/upload_test.cpp
@@ -37,7 +37,7 @@
   ASSERT_EQ(origin.requests.size(), 2U);
   EXPECT_TRUE(body_of(origin.requests[0]) == body);
   EXPECT_TRUE(body_of(origin.requests[1]) == body);
-  EXPECT_TRUE(wait_for([&] { return *host->links().large == 0; }));
+  EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
   one->ask(request_text("PUT", "/pay/1", "pay", "x"));  // the connection is good for more
   EXPECT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
 }
@@ -52,14 +52,14 @@
   // The server has what came, and the request is not whole.
   ASSERT_TRUE(
       wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > (3U << 20) - 4'096; }));
-  EXPECT_EQ(*host->links().large, 64U * 1024);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 64U * 1024);
   EXPECT_TRUE(origin.requests.empty());
   send(*one, text.substr(3 << 20));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 200);
   ASSERT_EQ(origin.requests.size(), 1U);
   EXPECT_TRUE(body_of(origin.requests[0]) == body);
-  EXPECT_TRUE(wait_for([&] { return *host->links().large == 0; }));
+  EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
   quiet(30);
   one->ask(request_text("PUT", "/pay/1", "pay", "x"));
   EXPECT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
@@ -133,7 +133,8 @@
   send(*one, head("Content-Length: 4000000") + pattern(2'000'000));
   ASSERT_TRUE(wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > 1'000'000; }));
   one.reset();
-  ASSERT_TRUE(wait_for([&] { return origin.open() == 0 && *host->links().large == 0; }));
+  ASSERT_TRUE(
+      wait_for([&] { return origin.open() == 0 && host->upstream_resources().body_memory.reserved() == 0; }));
   EXPECT_EQ(host->counts().cancelled_by_client, 1U);
   EXPECT_TRUE(origin.requests.empty());
 }
@@ -164,7 +165,7 @@
     quiet(200);
   }
   EXPECT_LT(written, text->size());
-  EXPECT_EQ(*host->links().large, 64U * 1024);
+  EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 64U * 1024);
 }
 
 TEST_F(Upload, TooLongIsToldAndWhatIsSlowerThanAllowedIsEnded) {
@@ -198,7 +199,7 @@
 TEST_F(Upload, ManyAtOnceStayWithinTheMemoryAndEachHasOneAnswer) {
   start();
   origin.answer = [](const std::string& message) { return response(200, std::to_string(message.size())); };
-  host->links().most_large = 2'000'000;
+  host->upstream_resources().body_memory.set_limit(2'000'000);
   std::vector<std::unique_ptr<FakeClient>> all;
   const std::string body = pattern(900'000);
   for (int i = 0; i < 24; ++i) {
@@ -206,7 +207,7 @@
     send(*all.back(), head(length_of(body)) + body);
   }
   ASSERT_TRUE(wait_for([&] {
-    EXPECT_LE(*host->links().large, 2'000'000U);
+    EXPECT_LE(host->upstream_resources().body_memory.reserved(), 2'000'000U);
     return std::all_of(all.begin(), all.end(), [](const auto& one) { return one->answers.size() == 1; });
   }));
   for (const std::string& message : origin.requests) EXPECT_TRUE(body_of(message) == body);
@@ -217,7 +218,7 @@
   }
   EXPECT_EQ(served, origin.requests.size());
   EXPECT_GT(served, 0U);
-  EXPECT_TRUE(wait_for([&] { return *host->links().large == 0; }));
+  EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
 }
 
 // Its request ends while its body still comes: the server's side is not left waiting for the rest.
--- a/tests/http1/upstream_test.cpp
+++ b/tests/http1/upstream_test.cpp
@@ -42,7 +42,7 @@
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   cache.peers[0]->close();
-  ASSERT_TRUE(wait_for([&] { return host->links().connections == 0; }));
+  ASSERT_TRUE(wait_for([&] { return host->upstream_resources().connections.open() == 0; }));
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
   EXPECT_EQ(one->status(1), 200);
@@ -60,7 +60,7 @@
   EXPECT_TRUE(record.ended.empty());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::connect_failed);
-  EXPECT_EQ(record.connections, 0U);
+  EXPECT_EQ(record.connections.open(), 0U);
 }
 
 TEST_F(OneServer, AnAttemptThatWaitsForADialTakesTheConnectionThatComesFreeFirst) {
@@ -83,7 +83,7 @@
   full.fill();  // again: the next dial is not made
   quiet(50);
   send(1);
-  EXPECT_EQ(record.dials, 2U);
+  EXPECT_EQ(record.connect_attempts, 2U);
   Peer& first = *ours();
   first.got.clear();
   first.write(response(200, "x"));
@@ -158,7 +158,7 @@
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::served);
   EXPECT_EQ(record.bodies[0], "whole");
-  EXPECT_EQ(record.connections, 0U);
+  EXPECT_EQ(record.connections.open(), 0U);
 }
 
 // It ends with its connection. A server that dies resets that, and then nobody knows how much was missing.
@@ -170,7 +170,7 @@
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::served);
   EXPECT_EQ(record.bodies[0], "until the end");
-  EXPECT_EQ(record.connections, 0U);
+  EXPECT_EQ(record.connections.open(), 0U);
 }
 
 TEST_F(OneServer, ABodyWithoutALengthIsNotWholeWhereItsConnectionIsReset) {
@@ -211,7 +211,7 @@
     cache.peers[i]->write(forms[i]);
     ASSERT_TRUE(wait_for([&] { return record.ended.size() == i + 1; })) << forms[i].substr(0, 80);
     EXPECT_EQ(record.ended[i].second, Outcome::malformed) << forms[i].substr(0, 80);
-    EXPECT_EQ(record.connections, 0U);
+    EXPECT_EQ(record.connections.open(), 0U);
   }
 }
 
@@ -271,11 +271,11 @@
   cache.peers[0]->write(response(400));
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::invalid_request);
-  EXPECT_EQ(record.connections, 1U);
+  EXPECT_EQ(record.connections.open(), 1U);
 }
 
 TEST_F(OneServer, WithoutADescriptorAnAttemptNeverRan) {
-  record.most_connections = 0;
+  record.connections.set_limit(0);
   send(0);
   EXPECT_TRUE(record.ended.empty());  // not from within send
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
--- a/tests/management/operators_test.cpp
+++ b/tests/management/operators_test.cpp
@@ -372,7 +372,7 @@
           list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}))
           .dump());
   settings.management.emplace() = any_port();
-  settings.overload.late = 2'000;
+  settings.overload.target_loop_lag = 2'000;
   host = std::make_unique<daemon::Host>(io, clock, settings);
   LoopLoad load(io);
   std::size_t served = 0, refused = 0;
@@ -386,7 +386,7 @@
   EXPECT_EQ(call("HEALTH"), "ACK serving\n");
   load.end();
   ASSERT_EQ(refused, 3U);
-  EXPECT_EQ(host->admission().refused(), 3U);
+  EXPECT_EQ(host->load_shedder().rejected(), 3U);
   const json told = figures();
   EXPECT_EQ(told["success"]["read"], served);
   EXPECT_EQ(told["busy"]["read"], 3);
--- a/tests/net/clock_test.cpp
+++ b/tests/net/clock_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr Time kMs = 1'000, kSecond = 1'000'000, kHour = 3'600 * kSecond;
 
-struct ClockSteps : ::testing::TestWithParam<Time> {
+struct WallClockStep : ::testing::TestWithParam<Time> {
   // Far below any step.
   static constexpr Time kNear = kSecond;
   void step() { steps += GetParam(); }
@@ -24,7 +24,7 @@
   net::Clock clock{io, [this] { return net::system_wall_time() + steps; }};
 };
 
-TEST_P(ClockSteps, MonotonicTimeRunsOnAndWallTimeFollows) {
+TEST_P(WallClockStep, Clock_MonotonicTimeContinuesAndWallTimeFollows) {
   const Time before = now();
   EXPECT_NEAR(static_cast<double>(clock.wall_time() - before), 0, kNear);
   step();
@@ -34,7 +34,7 @@
   EXPECT_NEAR(static_cast<double>(clock.wall_time() - after - GetParam()), 0, kNear);
 }
 
-TEST_P(ClockSteps, ATimerIsDueInRealTime) {
+TEST_P(WallClockStep, Timer_ExpiresInRealTime) {
   bool due = false;
   const auto timer = clock.timer([&] { due = true; });
   const auto start = net::Clock::Steady::now();
@@ -46,20 +46,20 @@
   EXPECT_LT(took, std::chrono::seconds(4));  // less than any step
 }
 
-TEST_P(ClockSteps, ByItAServersStartIsDatedAsItIs) {
+TEST_P(WallClockStep, ServerStart_IsConvertedToMonotonicTime) {
   engine::ServerStarts starts(clock);
   step();
   const Time started = clock.wall_time();
   EXPECT_NEAR(static_cast<double>(now() - starts.start_at(started)), 0, kNear);
 }
 
-INSTANTIATE_TEST_SUITE_P(By, ClockSteps, ::testing::Values(5 * kSecond, -5 * kSecond, kHour, -kHour),
+INSTANTIATE_TEST_SUITE_P(By, WallClockStep, ::testing::Values(5 * kSecond, -5 * kSecond, kHour, -kHour),
                          [](const auto& info) {
                            const Time seconds = info.param / kSecond;
                            return (seconds < 0 ? "Back" : "Forth") + std::to_string(std::abs(seconds)) + "s";
                          });
 
-TEST(WallOffset, AThreadHeldUpBetweenTwoReadingsIsNoStep) {
+TEST(WallOffset, ThreadSuspendedBetweenReadings_OffsetIsUnchanged) {
   Time monotonic = 0, wall = 1'000'000;
   int readings = 0;
   const auto offset = net::wall_offset(
--- a/tests/net/net_digest_test.cpp
+++ b/tests/net/net_digest_test.cpp
@@ -7,14 +7,14 @@
 #include <string>
 #include <vector>
 
-#include "net/admission.h"
 #include "net/clock.h"
-#include "net/links.h"
 #include "net/listener.h"
+#include "net/load_shedder.h"
 #include "net/log.h"
-#include "net/loop_delay.h"
+#include "net/loop_stall_detector.h"
+#include "net/socket_errors.h"
 #include "net/tcp.h"
-#include "net/transient.h"
+#include "net/upstream_resources.h"
 #include "net/wall_clock.h"
 #include "support/digest.h"
 #include "support/scripted_clock.h"
@@ -40,19 +40,19 @@
   std::mt19937_64 engine_;
 };
 
-TEST(NetDigest, ErrorsAreClassifiedAsRecorded) {
+TEST(NetDigest, ErrorCodes_AreClassifiedAsRecorded) {
   Digest digest;
   for (int value = 0; value < 140; ++value) {
     for (const auto* category : {&boost::system::system_category(), &boost::system::generic_category()}) {
       const boost::system::error_code error(value, *category);
-      digest.add("error", value, net::is_shortage(error), net::is_transient(error),
-                 net::is_of_one_connection(error));
+      digest.add("error", value, net::is_resource_exhausted(error), net::is_transient(error),
+                 net::is_connection_specific(error));
     }
   }
   EXPECT_TRUE(has_hash(digest, "d57a6bae856c3574"));
 }
 
-TEST(NetDigest, AddressesAreParsedAsRecorded) {
+TEST(NetDigest, Addresses_AreParsedAsRecorded) {
   Digest digest;
   for (const char* text : {"",
                            ":",
@@ -98,25 +98,25 @@
   return spared;
 }
 
-TEST(NetDigest, AdmissionOnAScriptedClockDecidesAsRecorded) {
+TEST(NetDigest, ScriptedClock_LoadShedderDecidesAsRecorded) {
   Digest digest;
   Draw draw(kSeed);
   for (int world = 0; world < 40; ++world) {
     ScriptedClock clock(kStart);
     boost::asio::io_context io{1};
     overload::Settings settings;
-    settings.late = draw.chance(0.1) ? 0 : draw.between(1'000, 100'000);
-    settings.busy = 0.1 + 1.2 * draw.unit();
+    settings.target_loop_lag = draw.chance(0.1) ? 0 : draw.between(1'000, 100'000);
+    settings.saturated_cpu = 0.1 + 1.2 * draw.unit();
     const Config config = drawn_config(draw);
     const double cores = 2 * draw.unit();
-    net::Admission admission(io, settings, config, cores, drawn_spared(draw));
+    net::LoadShedder load_shedder(io, settings, config, cores, drawn_spared(draw));
     for (int step = 0; step < 300; ++step) {
       if (draw.chance(0.01)) {
         const Config changed = drawn_config(draw);
-        admission.set(changed, drawn_spared(draw));
+        load_shedder.update(changed, drawn_spared(draw));
       }
-      admission.touch();
-      if (draw.chance(0.3)) admission.touch();
+      load_shedder.on_client_activity();
+      if (draw.chance(0.3)) load_shedder.on_client_activity();
       const long long lag = draw.chance(0.02) ? draw.between(0, 4'000'000)
                                               : draw.between(0, step % 150 < 75 ? 200'000 : 10'000);
       clock.advance(lag, static_cast<long long>(static_cast<double>(lag) * 1.5 * draw.unit()));
@@ -126,31 +126,31 @@
       for (int request = 0; request < 5; ++request) {
         const auto request_class = static_cast<std::uint32_t>(draw.below(6));
         const Time remaining = draw.between(0, 1'000'000);
-        refusals += admission.refuses(request_class, remaining, draw.below(~0ULL)) ? 'r' : '.';
+        refusals += load_shedder.should_reject(request_class, remaining, draw.below(~0ULL)) ? 'r' : '.';
       }
-      digest.add("step", probes, admission.calm(), refusals, admission.refused(),
-                 admission.retry_after(draw.below(~0ULL)), admission.pressure().level(),
-                 admission.pressure().late(), admission.pressure().windows_behind());
+      digest.add("step", probes, load_shedder.admits_all(), refusals, load_shedder.rejected(),
+                 load_shedder.retry_after(draw.below(~0ULL)), load_shedder.controller().level(),
+                 load_shedder.controller().mean_lag(), load_shedder.controller().overloaded_windows());
     }
   }
   EXPECT_TRUE(has_hash(digest, "8ebf8393c8405935"));
 }
 
-TEST(NetDigest, LoopDelayOnAScriptedClockDecidesAsRecorded) {
+TEST(NetDigest, ScriptedClock_StallsAreDetectedAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 1);
   ScriptedClock clock(kStart);
-  net::LoopDelay delay;
+  net::LoopStallDetector delay;
   for (int step = 0; step < 2'000; ++step) {
     clock.advance(draw.chance(0.03) ? draw.between(0, 600'000) : draw.between(0, 45'000));
-    const bool before = delay.held_up();
-    if (draw.chance(0.7)) delay.tick();
-    digest.add("step", before, delay.held_up(), delay.due().time_since_epoch().count());
+    const bool before = delay.was_stalled();
+    if (draw.chance(0.7)) delay.on_tick();
+    digest.add("step", before, delay.was_stalled(), delay.next_tick().time_since_epoch().count());
   }
   EXPECT_TRUE(has_hash(digest, "d520e5fccebb0e65"));
 }
 
-TEST(NetDigest, LogOnAScriptedClockDropsLinesAsRecorded) {
+TEST(NetDigest, ScriptedClock_LogDropsLinesAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 2);
   ScriptedClock clock(kStart);
@@ -162,7 +162,7 @@
   EXPECT_TRUE(has_hash(digest, "03b877eece628f96"));
 }
 
-TEST(NetDigest, ClockOnAScriptedClockTellsTimesAsRecorded) {
+TEST(NetDigest, ScriptedClock_ClockReadsAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 3);
   ScriptedClock scripted(kStart);
@@ -185,60 +185,62 @@
   EXPECT_TRUE(has_hash(digest, "7fd71fff840a6978"));
 }
 
-void add_counts(Digest& digest, const net::Links& links) {
-  digest.add("links", links.connections, links.has_room(), *links.large);
+void add_counts(Digest& digest, const net::UpstreamResources& resources) {
+  digest.add("links", resources.connections.open(), resources.connections.has_capacity(),
+             resources.body_memory.reserved());
 }
 
-TEST(NetDigest, SharedLimitsOfUpstreamConnectionsDecideAsRecorded) {
+TEST(NetDigest, DrawnUse_UpstreamResourcesDecideAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 4);
   for (int world = 0; world < 60; ++world) {
-    overload::Descriptors descriptors({.total = 40, .clients_floor = 10, .servers_floor = 10});
-    net::Links links;
+    overload::DescriptorBudget descriptors({.total = 40, .downstream_minimum = 10, .upstream_minimum = 10});
+    net::UpstreamResources resources;
     if (draw.chance(0.5)) {
-      links.descriptors = &descriptors;
+      resources.connections.share_descriptors(descriptors);
     } else {
-      links.most_connections = draw.below(30);
+      resources.connections.set_limit(draw.below(30));
     }
-    links.most_large = draw.below(10'000);
+    resources.body_memory.set_limit(draw.below(10'000));
     std::vector<engine::MemoryReservation> reserved;
     for (int step = 0; step < 100; ++step) {
       if (draw.chance(0.6)) {
-        if (links.has_room()) links.opened();
-      } else if (links.connections > 0) {
-        links.closed();
+        if (resources.connections.has_capacity()) resources.connections.on_opened();
+      } else if (resources.connections.open() > 0) {
+        resources.connections.on_closed();
       }
       if (draw.chance(0.5)) {
-        auto reservation = links.reservation(draw.below(4'000));
+        auto reservation = resources.body_memory.reserve(draw.below(4'000));
         digest.add("reserved", reservation.has_value());
         if (reservation) reserved.push_back(std::move(*reservation));
       } else if (!reserved.empty()) {
         reserved.pop_back();
       }
-      digest.add("servers", descriptors.used(overload::Descriptors::Side::servers));
-      add_counts(digest, links);
+      digest.add("servers", descriptors.used(overload::DescriptorBudget::Side::upstream));
+      add_counts(digest, resources);
     }
   }
-  const net::Links defaults;
-  digest.add("defaults", defaults.scratch.size(), defaults.most_large, defaults.parts_from,
-             defaults.longest_in_parts, defaults.whole_wait, defaults.connect_timeout);
+  const net::UpstreamResources defaults;
+  const std::size_t default_memory = defaults.body_memory.limit();
+  digest.add("defaults", defaults.read_buffer.size(), default_memory, defaults.streaming.max_buffered_body,
+             defaults.streaming.max_body, defaults.streaming.max_buffering_time, defaults.connect_timeout);
   EXPECT_TRUE(has_hash(digest, "9ae31a4c873403cf"));
 }
 
 // An owner whose answers are drawn, and that records all that it is asked.
-struct DrawnOwner final : net::Listener::Owner {
+struct DrawnOwner final : net::Listener::Handler {
   DrawnOwner(Digest& to, Draw& from) : digest(to), draw(from) {}
-  bool has_place() override {
+  bool can_accept() override {
     const bool answer = draw.chance(0.8);
     digest.add("has_place", answer);
     return answer;
   }
-  void take(net::tcp::socket socket) override {
+  void on_accepted(net::tcp::socket socket) override {
     digest.add("take");
     sockets.push_back(std::move(socket));
-    if (listener != nullptr && draw.chance(0.3)) listener->go_on();
+    if (listener != nullptr && draw.chance(0.3)) listener->resume();
   }
-  void out_of_descriptors() override { digest.add("out_of_descriptors"); }
+  void on_resource_exhausted() override { digest.add("out_of_descriptors"); }
 
   Digest& digest;
   Draw& draw;
@@ -246,7 +248,7 @@
   std::vector<net::tcp::socket> sockets;
 };
 
-TEST(NetDigest, ListenerAsksItsOwnerInTheOrderRecorded) {
+TEST(NetDigest, DrawnCapacity_ListenerCallsItsHandlerAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 5);
   for (int world = 0; world < 8; ++world) {
@@ -254,17 +256,17 @@
     DrawnOwner owner(digest, draw);
     net::Listener listener(io, {boost::asio::ip::make_address("127.0.0.1"), 0}, owner);
     owner.listener = &listener;
-    digest.add("world", listener.listens(), listener.shared());
+    digest.add("world", listener.is_listening(), listener.is_shared());
     std::vector<net::tcp::socket> clients;
     const auto connect = [&](int count) {
       for (; count > 0; --count) clients.emplace_back(io).connect(listener.address());
     };
     connect(10);
-    listener.go_on();
+    listener.resume();
     while (owner.sockets.size() < clients.size()) io.run_one();
     connect(5);
     listener.stop();
-    digest.add("stopped", listener.listens(), owner.sockets.size());
+    digest.add("stopped", listener.is_listening(), owner.sockets.size());
     io.run();
   }
   EXPECT_TRUE(has_hash(digest, "b0602d1491270a0c"));
--- a/tests/overload/crowd_test.cpp
+++ b/tests/overload/crowd_test.cpp
@@ -79,8 +79,8 @@
       return stay.back()->answers.size() == 1 &&
              std::chrono::steady_clock::now() >= begun + (batch + 1) * kBatchEvery;
     }));
-    ASSERT_LE(host->descriptors().used(overload::Descriptors::Side::clients),
-              host->descriptors().most(overload::Descriptors::Side::clients));
+    ASSERT_LE(host->descriptors().used(overload::DescriptorBudget::Side::downstream),
+              host->descriptors().capacity(overload::DescriptorBudget::Side::downstream));
   }
   ASSERT_TRUE(wait_for([&] {
     work();
@@ -135,8 +135,8 @@
           text_of(discovery.local_endpoint()),
           list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}))
           .dump());
-  settings.overload.late = 2'000;
-  settings.overload.spared = {"save"};
+  settings.overload.target_loop_lag = 2'000;
+  settings.overload.protected_classes = {"save"};
   host = std::make_unique<daemon::Host>(io, clock, settings);
   LoopLoad load(io);
   std::size_t shed = 0, saved = 0;
@@ -162,7 +162,7 @@
   EXPECT_GT(saved, 3U);
   // Of what was turned away nothing was taken: it went to no server.
   EXPECT_EQ(cache.requests.size() + origin.requests.size() + shed, 2 * saved);
-  EXPECT_EQ(host->admission().refused(), shed);
+  EXPECT_EQ(host->load_shedder().rejected(), shed);
 }
 
 }  // namespace
--- a/tests/overload/options_digest_test.cpp
+++ b/tests/overload/options_digest_test.cpp
@@ -16,16 +16,18 @@
 void add_result(Digest& digest, const std::string& toml) {
   try {
     const Settings settings = read_options(options::Table::parse(toml, "o.toml"));
-    digest.add("settings", settings.clients_floor, settings.servers_floor, settings.crowd, settings.calm_idle,
-               settings.crowded_idle, settings.late, settings.busy, settings.drain_wait, settings.drain_share,
-               settings.drain_here, settings.whole_answer, settings.longest_answer, settings.whole_wait);
-    for (const std::string& name : settings.spared) digest.add("spared", name);
+    digest.add("settings", settings.client_minimum_share, settings.upstream_minimum_share,
+               settings.connection_pressure_share, settings.idle_timeout,
+               settings.idle_timeout_under_pressure, settings.target_loop_lag, settings.saturated_cpu,
+               settings.max_drain_time, settings.max_draining_share, settings.max_draining_per_endpoint,
+               settings.max_buffered_response, settings.max_response, settings.max_buffering_time);
+    for (const std::string& name : settings.protected_classes) digest.add("spared", name);
   } catch (const options::Error& error) {
     digest.add("error", error.what());
   }
 }
 
-TEST(OverloadOptionsDigest, EachKeyAtAndBeyondItsBoundsIsReadAsRecorded) {
+TEST(OverloadOptionsDigest, KeysAtAndBeyondTheirBounds_AreReadAsRecorded) {
   constexpr std::array kKeys = {"clients_floor",        "servers_floor", "crowd",      "calm_idle_ms",
                                 "crowded_idle_ms",      "late_ms",       "busy",       "spared",
                                 "drain_wait_ms",        "drain_share",   "drain_here", "whole_answer_bytes",
@@ -79,7 +81,7 @@
   EXPECT_TRUE(has_hash(digest, "1c3a79011fd0fc94"));
 }
 
-TEST(OverloadOptionsDigest, KeysThatContradictEachOtherAreReadAsRecorded) {
+TEST(OverloadOptionsDigest, ContradictingKeys_AreReadAsRecorded) {
   Digest digest;
   add_result(digest, "clients_floor = 0.5\nservers_floor = 0.5\n");
   add_result(digest, "clients_floor = 0.6\nservers_floor = 0.5\n");
--- a/tests/overload/overload_digest_test.cpp
+++ b/tests/overload/overload_digest_test.cpp
@@ -3,10 +3,11 @@
 
 #include <random>
 
-#include "overload/cancelled.h"
-#include "overload/connections.h"
-#include "overload/descriptors.h"
-#include "overload/pressure.h"
+#include "overload/cancellation_policy.h"
+#include "overload/descriptor_budget.h"
+#include "overload/keep_alive_policy.h"
+#include "overload/load_shedding_controller.h"
+#include "overload/retry_after.h"
 #include "support/digest.h"
 
 namespace streampick::overload::test {
@@ -34,27 +35,27 @@
 
 Settings drawn_settings(Draw& draw) {
   Settings settings;
-  settings.clients_floor = 0.05 + 0.45 * draw.unit();
-  settings.servers_floor = 0.05 + 0.45 * draw.unit();
-  settings.crowd = draw.unit();
-  settings.calm_idle = draw.between(100'000, 20'000'000);
-  settings.crowded_idle = draw.between(100'000, settings.calm_idle);
-  settings.drain_wait = draw.chance(0.1) ? 0 : draw.between(1, 1'000'000);
-  settings.drain_share = draw.unit();
-  settings.drain_here = draw.below(20);
-  settings.late = draw.chance(0.1) ? 0 : draw.between(1'000, 200'000);
-  settings.busy = 0.1 + 1.4 * draw.unit();
+  settings.client_minimum_share = 0.05 + 0.45 * draw.unit();
+  settings.upstream_minimum_share = 0.05 + 0.45 * draw.unit();
+  settings.connection_pressure_share = draw.unit();
+  settings.idle_timeout = draw.between(100'000, 20'000'000);
+  settings.idle_timeout_under_pressure = draw.between(100'000, settings.idle_timeout);
+  settings.max_drain_time = draw.chance(0.1) ? 0 : draw.between(1, 1'000'000);
+  settings.max_draining_share = draw.unit();
+  settings.max_draining_per_endpoint = draw.below(20);
+  settings.target_loop_lag = draw.chance(0.1) ? 0 : draw.between(1'000, 200'000);
+  settings.saturated_cpu = 0.1 + 1.4 * draw.unit();
   return settings;
 }
 
-TEST(OverloadDigest, PressureOverDrawnLoadsDecidesAsRecorded) {
+TEST(OverloadDigest, DrawnLoads_LoadSheddingDecidesAsRecorded) {
   Digest digest;
   Draw draw(kSeed);
   for (int world = 0; world < 40; ++world) {
     const Settings settings = drawn_settings(draw);
     const double cores = draw.chance(0.1) ? 0 : 4 * draw.unit();
-    Pressure pressure(settings, cores);
-    digest.add("world", pressure.off());
+    LoadSheddingController pressure(settings, cores);
+    digest.add("world", pressure.is_disabled());
     long long now = draw.between(0, 1'000'000);
     long long cpu = 0;
     long long usual_late = draw.between(0, 300'000);
@@ -68,21 +69,21 @@
       const long long passed = draw.chance(0.01) ? draw.between(0, 5'000'000) : draw.between(0, 40'000);
       now += passed;
       cpu += static_cast<long long>(static_cast<double>(passed) * usual_load * cores);
-      pressure.came(now);
+      pressure.on_probe_queued(now);
       int cpu_readings = 0;
-      const bool ended = pressure.sample(now, draw.between(0, 2 * usual_late + 1), [&] {
+      const bool ended = pressure.on_probe_run(now, draw.between(0, 2 * usual_late + 1), [&] {
         ++cpu_readings;
         return cpu;
       });
       if (ended) {
-        digest.add("window", step, cpu_readings, pressure.level(), pressure.late(), pressure.used(),
-                   pressure.windows_behind());
+        digest.add("window", step, cpu_readings, pressure.level(), pressure.mean_lag(),
+                   pressure.cpu_utilization(), pressure.overloaded_windows());
       }
       for (int request = 0; request < 5; ++request) {
-        const bool refused = pressure.refuses({.worth = draw.unit(),
-                                               .remaining = draw.between(0, 2'000'000),
-                                               .spared = draw.chance(0.2),
-                                               .id = draw.below(~0ULL)});
+        const bool refused = pressure.should_reject({.weight = draw.unit(),
+                                                     .time_left = draw.between(0, 2'000'000),
+                                                     .is_protected = draw.chance(0.2),
+                                                     .id = draw.below(~0ULL)});
         refusals += refused ? 'r' : '.';
       }
     }
@@ -91,87 +92,94 @@
   EXPECT_TRUE(has_hash(digest, "32a3c7e716dee908"));
 }
 
-TEST(OverloadDigest, PlacesOfRequestIdsAreAsRecorded) {
+TEST(OverloadDigest, RequestIds_HashesAreAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 1);
-  for (std::uint64_t id = 0; id < 200; ++id) digest.add("counter", Pressure::to_unit(id));
-  for (int i = 0; i < 200; ++i) digest.add("drawn", Pressure::to_unit(draw.below(~0ULL)));
+  for (std::uint64_t id = 0; id < 200; ++id) digest.add("counter", hash_to_unit_interval(id));
+  for (int i = 0; i < 200; ++i) digest.add("drawn", hash_to_unit_interval(draw.below(~0ULL)));
   EXPECT_TRUE(has_hash(digest, "81bf57b94014658d"));
 }
 
-TEST(OverloadDigest, RetryAfterOverDrawnLevelsIsAsRecorded) {
+TEST(OverloadDigest, DrawnLevels_RetryAfterIsAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 2);
   for (int i = 0; i < 1'000; ++i) {
-    const RetrySpread spread(draw.chance(0.1) ? 0 : draw.between(1, 10'000'000));
+    const RetryAfterJitter spread(draw.chance(0.1) ? 0 : draw.between(1, 10'000'000));
     const long long meant = draw.between(-1'000, 10'000'000);
     const double level = draw.unit();
     const double place = draw.unit();
-    digest.add("after", spread.after(meant, place));
-    digest.add("under", spread.under(level, place));
+    digest.add("after", spread.around(meant, place));
+    digest.add("under", spread.at_level(level, place));
   }
   EXPECT_TRUE(has_hash(digest, "3b4e17cf2f4b03c4"));
 }
 
-TEST(OverloadDigest, ConnectionsOverDrawnCountsAreKeptAsRecorded) {
+TEST(OverloadDigest, DrawnConnectionCounts_KeepAliveIsAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 3);
   for (int world = 0; world < 100; ++world) {
     const std::size_t descriptors = draw.chance(0.1) ? draw.below(4) : draw.below(20'000);
-    const ConnectionRules rules(descriptors, drawn_settings(draw));
-    digest.add("world", rules.crowd());
+    const KeepAlivePolicy rules(descriptors, drawn_settings(draw));
+    digest.add("world", rules.pressure_threshold());
     for (int step = 0; step < 20; ++step) {
       const std::size_t held =
-          draw.chance(0.5) ? rules.crowd() - 2 + draw.below(4) : draw.below(descriptors + 1);
+          draw.chance(0.5) ? rules.pressure_threshold() - 2 + draw.below(4) : draw.below(descriptors + 1);
       const std::size_t answers = 1 + draw.below(3);
-      digest.add("held", held, rules.crowded(held), rules.keep(answers, held), rules.idle(held));
+      digest.add("held", held, rules.is_under_pressure(held), rules.keeps_open(answers, held),
+                 rules.idle_timeout(held));
     }
   }
-  const ConnectionRules by_default(352);
-  digest.add("default", by_default.crowd(), by_default.idle(87), by_default.idle(88));
+  const KeepAlivePolicy by_default(352);
+  digest.add("default", by_default.pressure_threshold(), by_default.idle_timeout(87),
+             by_default.idle_timeout(88));
   EXPECT_TRUE(has_hash(digest, "94233a792ebec6e2"));
 }
 
-TEST(OverloadDigest, CancelledAttemptsOverDrawnLoadsAreWaitedForAsRecorded) {
+TEST(OverloadDigest, DrawnCancelledAttempts_DrainTimeoutsAreAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 4);
   for (int world = 0; world < 100; ++world) {
-    const CancelRules rules = world == 0 ? CancelRules() : CancelRules(drawn_settings(draw));
+    const CancellationPolicy rules =
+        world == 0 ? CancellationPolicy() : CancellationPolicy(drawn_settings(draw));
     for (int step = 0; step < 40; ++step) {
       const long long usual = draw.chance(0.1) ? 0 : draw.between(1, 100'000);
       const long long waited = draw.between(0, 6 * usual + 1);
       const std::size_t connections = draw.below(400);
       const std::size_t draining = draw.below(connections / 2 + 2);
       const std::size_t here = draw.below(12);
-      const long long wait = rules.wait(
-          {.waited = waited, .usual = usual, .draining = draining, .connections = connections, .here = here});
+      const long long wait = rules.drain_timeout({.elapsed = waited,
+                                                  .usual_latency = usual,
+                                                  .draining = draining,
+                                                  .open_connections = connections,
+                                                  .draining_at_endpoint = here});
       digest.add("attempt", waited, usual, draining, connections, here, wait);
     }
   }
   EXPECT_TRUE(has_hash(digest, "85d54b501d5f8397"));
 }
 
-void add_state(Digest& digest, const Descriptors& budget) {
-  for (const auto side : {Descriptors::Side::clients, Descriptors::Side::servers}) {
-    digest.add("side", budget.floor(side), budget.used(side), budget.peak(side), budget.most(side),
-               budget.has_room(side), budget.borrows(side));
+void add_state(Digest& digest, const DescriptorBudget& budget) {
+  for (const auto side : {DescriptorBudget::Side::downstream, DescriptorBudget::Side::upstream}) {
+    digest.add("side", budget.minimum(side), budget.used(side), budget.peak(side), budget.capacity(side),
+               budget.has_capacity(side), budget.exceeds_minimum(side));
   }
-  digest.add("total", budget.total(), budget.over());
+  digest.add("total", budget.total(), budget.excess());
 }
 
-TEST(OverloadDigest, DescriptorsOverDrawnReservationsAreDividedAsRecorded) {
+TEST(OverloadDigest, DrawnReservations_DescriptorCapacityIsAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 5);
   for (int world = 0; world < 60; ++world) {
     const Settings settings = drawn_settings(draw);
-    Descriptors budget(Descriptors::limits(draw.below(300), settings));
+    DescriptorBudget budget(DescriptorBudget::Limits::from_shares(draw.below(300), settings));
     add_state(digest, budget);
     for (int step = 0; step < 200; ++step) {
-      const auto side = draw.chance(0.5) ? Descriptors::Side::clients : Descriptors::Side::servers;
-      if (draw.chance(0.01)) budget.halve(draw.chance(0.5));
+      const auto side =
+          draw.chance(0.5) ? DescriptorBudget::Side::downstream : DescriptorBudget::Side::upstream;
+      if (draw.chance(0.01)) budget.set_halved(draw.chance(0.5));
       const bool takes = draw.chance(0.6);
-      if (takes && budget.has_room(side)) budget.take(side);
-      if (!takes) budget.give(side);
+      if (takes && budget.has_capacity(side)) budget.reserve(side);
+      if (!takes) budget.release(side);
       if (step % 10 == 0) add_state(digest, budget);
     }
     add_state(digest, budget);
--- a/tests/resp/held_up_test.cpp
+++ b/tests/resp/held_up_test.cpp
@@ -85,7 +85,7 @@
 class ToldToResp : public RespLoopback {
  protected:
   ToldToResp() {
-    links.most_connections = 4;
+    resources.connections.set_limit(4);
     servers.rules.send_ids = true;
     servers.connections = 1;
     transport.set_address(text_of(acceptor.local_endpoint()));
@@ -129,11 +129,11 @@
 
   net::tcp::acceptor acceptor{io, any_port()};
   net::tcp::socket server{io};
-  net::Links links;
+  net::UpstreamResources resources;
   Ended ended;
   resp::ServerSettings servers;
   resp::ServerCounts counts;
-  resp::RespTransport transport{io, clock, links, ended, servers, counts, "c-0", false};
+  resp::RespTransport transport{io, clock, resources, ended, servers, counts, "c-0", false};
   std::shared_ptr<engine::Message> message = std::make_shared<engine::Message>();
 };
 
--- a/tests/resp/loopback_test.cpp
+++ b/tests/resp/loopback_test.cpp
@@ -358,12 +358,12 @@
     return nth == 1 ? Fault{Fault::Kind::stall} : Fault{};
   };
   Heard heard;
-  net::Links links;
-  links.most_connections = 8;
+  net::UpstreamResources resources;
+  resources.connections.set_limit(8);
   resp::ServerSettings one_at_a_time;
   one_at_a_time.connections = one_at_a_time.pipeline = 1;
   resp::ServerCounts counts;
-  resp::RespTransport transport(io, clock, links, heard, one_at_a_time, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, heard, one_at_a_time, counts, "c-0", false);
   transport.set_address(caches[0]->address());
   const auto message = std::make_shared<engine::Message>();
   message->key = "k";
@@ -384,18 +384,18 @@
 TEST_F(RespLoopback, WithNoDescriptorOrNoPlaceToWaitAnAttemptNeverRan) {
   add_caches(1);
   Heard heard;
-  net::Links links;  // none for servers
+  net::UpstreamResources resources;  // none for servers
   resp::ServerSettings servers;
   servers.waiting = 1;
   resp::ServerCounts counts;
-  resp::RespTransport transport(io, clock, links, heard, servers, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, heard, servers, counts, "c-0", false);
   transport.set_address(caches[0]->address());
   const auto message = std::make_shared<engine::Message>();
   transport.send({1, 0}, message, clock.now() + 8'000'000, kNever);
   EXPECT_TRUE(heard.ended.empty());  // never from within send()
   ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 1; }));
   EXPECT_EQ(heard.ended[0].second, Outcome::connect_failed);
-  links.most_connections = 1;
+  resources.connections.set_limit(1);
   transport.send({2, 0}, message, clock.now() + 8'000'000, kNever);
   transport.send({2, 1}, message, clock.now() + 8'000'000,
                  kNever);  // one waits for the dial: there is no second place
@@ -412,11 +412,11 @@
   caches[0]->values["k"] = "here";
   before.values["k"] = "gone";
   Heard heard;
-  net::Links links;
-  links.most_connections = 8;
+  net::UpstreamResources resources;
+  resources.connections.set_limit(8);
   resp::ServerSettings servers;
   resp::ServerCounts counts;
-  resp::RespTransport transport(io, clock, links, heard, servers, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, heard, servers, counts, "c-0", false);
   transport.set_address(before.address());
   const auto message = std::make_shared<engine::Message>();
   message->key = "k";
--- a/tests/roster/discovery_test.cpp
+++ b/tests/roster/discovery_test.cpp
@@ -443,7 +443,7 @@
                     {{before, cache.address(), "box", "terminated"}, {now, cache.address()}})
               .dump() +
           "\n");
-    ASSERT_TRUE(wait_for([&] { return host->links().connections == 0; }));
+    ASSERT_TRUE(wait_for([&] { return host->upstream_resources().connections.open() == 0; }));
     EXPECT_TRUE(read_goes_to(cache));
     EXPECT_EQ(cache.peers.size(), static_cast<std::size_t>(i) + 2);
     before = now;
