--- /dev/null
+++ b/tests/membership/drawn_world.cpp
@@ -0,0 +1,321 @@
+#include "drawn_world.h"
+
+#include <bit>
+#include <cstddef>
+#include <random>
+#include <string_view>
+
+#include "emulator/datagrams.h"
+#include "membership/wire.h"
+
+namespace streampick::membership {
+namespace {
+
+using emulator::Datagrams;
+
+// FNV-1a over bytes; numbers go in as eight bytes, least significant first.
+class Digest {
+ public:
+  void add(std::string_view bytes) {
+    add(std::uint64_t{bytes.size()});
+    for (const char byte : bytes) {
+      add_byte(static_cast<std::uint8_t>(byte));
+    }
+  }
+  void add(std::uint64_t number) {
+    for (unsigned shift = 0; shift < 64; shift += 8) {
+      add_byte(static_cast<std::uint8_t>(number >> shift));
+    }
+  }
+  std::uint64_t value() const { return value_; }
+
+ private:
+  void add_byte(std::uint8_t byte) {
+    constexpr std::uint64_t kPrime = 1'099'511'628'211U;
+    value_ = (value_ ^ byte) * kPrime;
+  }
+  std::uint64_t value_ = 14'695'981'039'346'656'037U;
+};
+
+class DrawnWorld {
+ public:
+  explicit DrawnWorld(std::uint64_t seed) : random_(seed), network_(seed) {
+    size_ = draw_size();
+    Settings& settings = network_.settings;
+    settings.datagram = draw(2) == 0 ? 256 : 1'200;
+    settings.helpers = draw(5);
+    if (draw(2) == 0) {
+      settings.lifetimes.unreachable = 20 * kSecond;
+    }
+    network_.record = true;
+    network_.changed = [this](std::size_t node, const Change& change) { add_change(node, change); };
+    network_.add_many(size_);
+    for (std::size_t node = 0; node < size_; ++node) {
+      network_.start(node);
+    }
+  }
+
+  WorldResult run() {
+    const int steps = size_ > 20 ? 6 : 12;
+    for (int step = 0; step < steps; ++step) {
+      inject_fault();
+      pass(draw(size_ > 20 ? 20 : 60));
+    }
+    heal();
+    pass(40);
+    return {digest_.value(), summary()};
+  }
+
+ private:
+  std::uint64_t draw(std::uint64_t below) { return random_() % below; }
+  std::size_t draw_node() { return draw(size_); }
+
+  // Small worlds more often: they cost less, and meet as many rules.
+  std::size_t draw_size() {
+    const std::uint64_t kind = draw(20);
+    if (kind == 0) {
+      return 21 + draw(40);
+    }
+    return kind < 6 ? 9 + draw(12) : 3 + draw(6);
+  }
+
+  void pass(std::uint64_t tenths) {
+    for (; tenths > 0; --tenths) {
+      network_.run_for(kSecond / 10);
+      add_datagrams();
+      if (tenths % 10 == 0) {
+        add_states();
+      }
+    }
+    add_states();
+  }
+
+  void inject_fault() {
+    const std::size_t node = draw_node();
+    switch (draw(16)) {
+      case 0:
+        if (network_.up(node)) {
+          network_.kill(node);
+        }
+        break;
+      case 1: network_.start(node); break;
+      case 2:
+        if (network_.up(node)) {
+          network_.leave(node);
+        }
+        break;
+      case 3: network_.pause(node); break;
+      case 4: network_.resume(node); break;
+      case 5: partition(); break;
+      case 6: network_.cut = [node](std::size_t, std::size_t to) { return to == node; }; break;
+      case 7: network_.cut = [](std::size_t, std::size_t) { return false; }; break;
+      case 8:
+      case 9: degrade_link(); break;
+      case 10: step_clock(node); break;
+      case 11: set_facts(node); break;
+      case 12: replay(); break;
+      case 13: lie(node); break;
+      case 14: send_payload(node); break;
+      case 15: set_contacts(node); break;
+    }
+  }
+
+  void partition() {
+    const std::uint64_t groups = draw(~std::uint64_t{0});
+    network_.cut = [groups](std::size_t from, std::size_t to) {
+      return ((groups >> (from % 64)) & 1U) != ((groups >> (to % 64)) & 1U);
+    };
+  }
+
+  void degrade_link() {
+    network_.link = {};
+    network_.link.loss = 0.01 * static_cast<double>(draw(60));
+    network_.link.twice = 0.2;
+    network_.link.damaged = 0.05;
+    network_.link.most = draw(2) == 0 ? 2'000 : 3 * kSecond;
+  }
+
+  void step_clock(std::size_t node) {
+    const Time step = draw(4) == 0 ? 3'600 * kSecond : static_cast<Time>(draw(30)) * kSecond;
+    network_.step_clock(node, step);
+  }
+
+  void set_facts(std::size_t node) {
+    const std::uint64_t version = draw(100);
+    if (network_.up(node)) {
+      network_.core(node).say(network_.now(node), {{kDraining, 1}, {kVersion, version}});
+      network_.after(node);
+    }
+  }
+
+  void set_contacts(std::size_t node) {
+    const std::size_t contact = draw_node();
+    if (network_.up(node)) {
+      network_.core(node).set_contacts({network_.address(contact)});
+    }
+  }
+
+  void send_payload(std::size_t node) {
+    const std::size_t to = draw_node();
+    const std::size_t length = draw(300);
+    if (network_.up(node)) {
+      network_.core(node).tell_for(7, network_.now(node), network_.address(to), std::string(length, 'p'));
+      network_.after(node);
+    }
+  }
+
+  // Some of the last datagrams once more, as a network or an attacker may send them.
+  void replay() {
+    const std::size_t count = std::min<std::size_t>(20, kept_.size());
+    for (std::size_t i = 0; i < count; ++i) {
+      const auto& [from, to, datagram] = kept_[draw(kept_.size())];
+      network_.inject(from, to, datagram, static_cast<Time>(i) * 1'000);
+    }
+  }
+
+  // A well-formed message with records that are not so.
+  void lie(std::size_t sender) {
+    const std::size_t subject = draw_node();
+    const std::size_t receiver = draw_node();
+    const std::uint64_t state = draw(4);
+    const std::uint64_t incarnation = draw(8) == 0 ? kHighestIncarnation : draw(3);
+    const std::uint64_t kind = draw(8);
+    const std::uint64_t depth = draw(17);
+    const std::uint64_t number = draw(1'000);
+    if (!network_.up(sender) || !network_.up(subject)) {
+      return;
+    }
+    Message message;
+    message.kind = static_cast<Message::Kind>(kind);
+    message.self = network_.core(sender).self();
+    message.number = static_cast<std::uint32_t>(number);
+    if (message.kind == Message::Kind::ask_to_probe) {
+      message.subject = network_.address(subject);
+      message.subject_boot = network_.core(subject).self().boot;
+    }
+    if (message.kind == Message::Kind::compare) {
+      message.parts.assign(kParts, static_cast<std::uint32_t>(number));
+    }
+    if (message.kind == Message::Kind::compare || message.kind == Message::Kind::records) {
+      message.depth = static_cast<std::uint32_t>(depth);
+    }
+    if (message.kind == Message::Kind::guest) {
+      message.guest = 7;
+      message.payload = "payload";
+    } else {
+      message.news.push_back(network_.core(subject).self());
+      message.news.back().state = static_cast<State>(state);
+      message.news.back().incarnation = incarnation;
+    }
+    network_.inject(sender, receiver, encode(message, ""), 1);
+  }
+
+  void heal() {
+    network_.cut = [](std::size_t, std::size_t) { return false; };
+    network_.link = {};
+    for (std::size_t node = 0; node < size_; ++node) {
+      network_.resume(node);
+      if (!network_.up(node)) {
+        network_.start(node);
+      }
+    }
+  }
+
+  void add_datagrams() {
+    for (const auto& [from, to, datagram] : network_.recorded) {
+      digest_.add(std::uint64_t{from});
+      digest_.add(std::uint64_t{to});
+      digest_.add(datagram);
+    }
+    if (!network_.recorded.empty()) {
+      kept_ = std::move(network_.recorded);
+    }
+    network_.recorded.clear();
+  }
+
+  void add_change(std::size_t node, const Change& change) {
+    ++changes_;
+    digest_.add(static_cast<std::uint64_t>(network_.now()));
+    digest_.add(std::uint64_t{node});
+    digest_.add(static_cast<std::uint64_t>(change.kind));
+    digest_.add(std::string_view(change.name));
+    digest_.add(std::uint64_t{change.boot});
+    digest_.add(std::uint64_t{change.address});
+  }
+
+  void add_states() {
+    for (std::size_t node = 0; node < size_; ++node) {
+      digest_.add(std::uint64_t{network_.up(node)});
+      if (network_.up(node)) {
+        add_state(node);
+      }
+    }
+  }
+
+  void add_state(std::size_t node) {
+    const auto& core = network_.core(node);
+    const auto counts = core.counts(network_.now(node));
+    const auto& figures = core.figures();
+    const std::uint64_t numbers[] = {
+        counts.alive,
+        counts.suspect,
+        counts.unreachable,
+        counts.left,
+        counts.least,
+        counts.most,
+        std::bit_cast<std::uint64_t>(counts.seen),
+        static_cast<std::uint64_t>(counts.unchanged_since),
+        std::uint64_t{counts.settled},
+        counts.digest,
+        counts.known,
+        figures.probes,
+        figures.unanswered,
+        figures.asked_to_probe,
+        figures.repairs,
+        figures.refutations,
+        figures.declared,
+        figures.stray,
+        figures.no_room,
+        figures.other_address,
+        figures.changes_dropped,
+        static_cast<std::uint64_t>(core.next()),
+        static_cast<std::uint64_t>(core.health()),
+        static_cast<std::uint64_t>(core.settle_periods()),
+        core.room_for_guests(),
+        std::uint64_t{core.overslept(network_.now(node))},
+    };
+    for (const std::uint64_t number : numbers) {
+      digest_.add(number);
+    }
+  }
+
+  std::string summary() {
+    const Datagrams::Sent sent = network_.sent();
+    std::string text = std::to_string(size_) + " processes, " + std::to_string(changes_) + " changes, " +
+                       std::to_string(sent.bytes) + " bytes;";
+    for (std::size_t kind = 0; kind < kKinds; ++kind) {
+      text += std::string(" ") + kKindNames[kind] + "=" + std::to_string(sent.datagrams[kind]);
+    }
+    for (std::size_t node = 0; node < size_; ++node) {
+      const auto counts = network_.core(node).counts(network_.now(node));
+      text += "\n  node " + std::to_string(node) + ": alive=" + std::to_string(counts.alive) +
+              " suspect=" + std::to_string(counts.suspect) +
+              " unreachable=" + std::to_string(counts.unreachable) + " left=" + std::to_string(counts.left) +
+              " probes=" + std::to_string(network_.core(node).figures().probes);
+    }
+    return text;
+  }
+
+  std::mt19937_64 random_;
+  Datagrams network_;
+  std::size_t size_ = 0;
+  Digest digest_;
+  std::uint64_t changes_ = 0;
+  std::vector<std::tuple<std::size_t, std::size_t, std::string>> kept_;  // of the last tenth with datagrams
+};
+
+}  // namespace
+
+WorldResult run_drawn_world(std::uint64_t seed) { return DrawnWorld(seed).run(); }
+
+}  // namespace streampick::membership
