--- /dev/null
+++ b/tests/shares/drawn_world.h
@@ -0,0 +1,379 @@
+// A fleet of lease protocols on virtual time with faults drawn from a seed, and a digest of all that can be
+// observed of them. Equal seeds give equal runs: the driver draws from its own generator only, and processes
+// events in the order of their time and number.
+#pragma once
+
+#include <bit>
+#include <cinttypes>
+#include <cstdint>
+#include <cstdio>
+#include <deque>
+#include <memory>
+#include <queue>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "shares/core.h"
+#include "shares/wire.h"
+
+namespace streampick::shares::test {
+
+// FNV-1a over 64-bit words. With `print`, each value is written to standard output as well, so that the dumps
+// of two versions can be compared line by line.
+class Digest {
+ public:
+  explicit Digest(bool print) : print_(print) {}
+
+  std::uint64_t value() const { return value_; }
+  void line(const char* name) {
+    if (print_) std::printf("\n%s", name);
+  }
+  void add(std::uint64_t word) {
+    value_ = (value_ ^ word) * kPrime;
+    value_ ^= value_ >> 29U;
+    if (print_) std::printf(" %" PRIu64, word);
+  }
+  void add(double number) {
+    value_ = (value_ ^ std::bit_cast<std::uint64_t>(number)) * kPrime;
+    value_ ^= value_ >> 29U;
+    if (print_) std::printf(" %.17g", number);
+  }
+  void add(const std::string& bytes) {
+    add(std::uint64_t{bytes.size()});
+    for (const char byte : bytes) value_ = (value_ ^ static_cast<unsigned char>(byte)) * kPrime;
+    if (!print_) return;
+    std::printf(" ");
+    for (const char byte : bytes)
+      std::printf("%02x", static_cast<unsigned>(static_cast<unsigned char>(byte)));
+  }
+
+ private:
+  static constexpr std::uint64_t kPrime = 1099511628211U;
+  std::uint64_t value_ = 14695981039346656037U;
+  bool print_;
+};
+
+// 3 to 60 processes, two hard limits and two soft ones on one to three seats. Datagrams are lost, delayed,
+// duplicated and cut off; processes are killed, restarted, suspended, resumed and leave; views are wrong,
+// clocks differ in speed and jump, totals change.
+class DrawnWorld {
+ public:
+  explicit DrawnWorld(std::uint64_t seed, bool print = false) : random_(seed), digest_(print) {
+    const std::uint64_t sizes[] = {3, 4, 5, 7, 9, 12};
+    size_ = seed % 30 == 0 ? 60 : seed % 15 == 7 ? 25 : sizes[draw(6)];
+    settings_.routers = static_cast<std::uint32_t>(size_ - draw(2));
+    settings_.seats = static_cast<std::uint32_t>(1 + draw(3));
+    const std::size_t voters = size_ < 5 ? (draw(4) == 0 ? 1 : 3) : 5;
+    for (std::size_t i = 0; i < voters; ++i) settings_.voters.push_back(address(i * size_ / voters));
+    settings_.work = static_cast<Time>(draw(5)) * kSecond / 2;
+    settings_.items = 1 + draw(8);
+    settings_.limits = drawn_limits();
+    nodes_.resize(size_);
+    for (Node& node : nodes_) node.rate = 1 + 0.05 * static_cast<double>(draw(3));
+  }
+
+  std::uint64_t run() {
+    for (std::size_t node = 0; node < size_; ++node) start(node);
+    run_for(8 * kSecond);
+    for (int fault = 0; fault < kFaults; ++fault) {
+      cause_fault();
+      run_for(static_cast<Time>(draw(4 * kSecond)));
+    }
+    end_faults();
+    run_for(12 * kSecond);
+    for (std::size_t node = 0; node < size_; ++node) observe_end(node);
+    return digest_.value();
+  }
+
+ private:
+  static constexpr int kFaults = 10;
+  static constexpr std::size_t kMaxQueued = 200;  // datagrams in the socket's buffer of a suspended process
+  static constexpr LimitId kFirstLimit = 6, kLimits = 4;
+
+  struct Node {
+    std::unique_ptr<Core> core;
+    double rate = 1;
+    Time ahead = 0;
+    bool paused = false;
+    std::uint64_t wake_up = 0;  // the number of the wake-up that counts
+    Time viewed = 0;
+    std::deque<std::pair<std::size_t, std::string>> queued;
+  };
+  struct Event {
+    Time time = 0;
+    std::uint64_t order = 0;
+    std::size_t to = 0;
+    std::size_t from = 0;
+    std::uint64_t wake_up = 0;
+    std::string datagram;  // empty: a wake-up
+    bool operator>(const Event& other) const {
+      return time != other.time ? time > other.time : order > other.order;
+    }
+  };
+
+  static Address address(std::size_t node) { return membership::numbered(static_cast<std::uint32_t>(node)); }
+  std::uint64_t draw(std::uint64_t below) { return random_() % below; }
+  bool draw_share(std::uint64_t of_hundred) { return of_hundred > 0 && draw(100) < of_hundred; }
+  Time clock(std::size_t node) const {
+    return static_cast<Time>(static_cast<double>(now_) * nodes_[node].rate) + nodes_[node].ahead;
+  }
+  bool up(std::size_t node) const { return nodes_[node].core != nullptr; }
+
+  std::vector<Limit> drawn_limits() {
+    std::vector<Limit> limits;
+    for (LimitId i = 0; i < kLimits; ++i) {
+      const bool hard = i % 2 == 0;
+      const auto total = static_cast<double>(1 + draw(hard ? 4 * size_ : 900));
+      limits.push_back({.name = "limit" + std::to_string(i),
+                        .id = kFirstLimit + i,
+                        .kind = hard ? Kind::hard : Kind::soft,
+                        .total = total});
+    }
+    return limits;
+  }
+
+  void start(std::size_t node) {
+    Settings own = settings_;
+    own.self = address(node);
+    own.weight = 1 + static_cast<double>(draw(4)) / 2;
+    const Boot boot = random_() | 1U;
+    const std::uint64_t seed = random_();
+    Node& started = nodes_[node];
+    started.core = std::make_unique<Core>(own, boot, seed, clock(node));
+    started.paused = false;
+    started.viewed = 0;
+    started.queued.clear();
+    if (draw(4) != 0) started.core->begin(clock(node));
+    draw_demand(node);
+    after(node);
+    started.core->begin(clock(node));
+    after(node);
+  }
+  void kill(std::size_t node) {
+    nodes_[node].core.reset();
+    ++nodes_[node].wake_up;
+  }
+  void leave(std::size_t node, bool ends) {
+    nodes_[node].core->leave(clock(node), ends);
+    after(node);
+    nodes_[node].core->leave(clock(node), true);
+    after(node);
+    kill(node);
+  }
+  void draw_demand(std::size_t node) {
+    for (LimitId i = 0; i < kLimits; ++i) {
+      const auto most = static_cast<std::uint64_t>(settings_.limits[i].total) + 2;
+      const auto want = static_cast<double>(draw(3) == 0 ? 0 : draw(most));
+      const auto in_use = static_cast<double>(draw(1 + static_cast<std::uint64_t>(want)));
+      nodes_[node].core->demand(clock(node), kFirstLimit + i, want, in_use);
+    }
+  }
+  void tell_view(std::size_t node) {
+    std::vector<Address> living;
+    std::uint32_t count = 0;
+    for (std::size_t other = 0; other < size_; ++other) {
+      const bool wrong = draw_share(wrong_views_);
+      if (up(other) == wrong) continue;
+      ++count;
+      if (other != node) living.push_back(address(other));
+    }
+    nodes_[node].core->view(clock(node), std::move(living), count + static_cast<std::uint32_t>(draw(2)));
+  }
+
+  void cause_fault() {
+    const std::size_t node = draw(size_);
+    const std::size_t other = draw(size_);
+    switch (draw(13)) {
+      case 0: loss_ = 30; break;
+      case 1: duplication_ = 20; break;
+      case 2: max_delay_ = 3 * kSecond; break;
+      case 3:
+        loss_ = duplication_ = wrong_views_ = 0;
+        max_delay_ = kShortDelay;
+        cut_low_ = cut_high_ = 0;
+        break;
+      case 4:
+        if (up(node)) kill(node);
+        break;
+      case 5:
+        for (std::size_t i = 0; i < size_; ++i)
+          if (!up(i) || draw(size_) == 0) start(i);
+        break;
+      case 6:
+        if (up(node)) nodes_[node].paused = true;
+        break;
+      case 7:
+        for (std::size_t i = 0; i < size_; ++i) resume(i);
+        break;
+      case 8:
+        cut_low_ = std::min(node, other);
+        cut_high_ = std::max(node, other);
+        one_way_ = draw(2) == 0;
+        break;
+      case 9: wrong_views_ = 10; break;
+      case 10:
+        nodes_[node].ahead += static_cast<Time>(draw(10)) * kSecond;
+        if (up(node)) after(node);
+        break;
+      case 11: {
+        settings_.limits = drawn_limits();
+        for (std::size_t i = 0; i < size_; ++i) {
+          if (!up(i) || draw(8) == 0) continue;
+          nodes_[i].core->set_limits(clock(i), settings_.limits);
+          after(i);
+        }
+        break;
+      }
+      default:
+        if (up(node) && !nodes_[node].paused) leave(node, draw(2) == 0);
+    }
+  }
+  void end_faults() {
+    loss_ = duplication_ = wrong_views_ = 0;
+    max_delay_ = kShortDelay;
+    cut_low_ = cut_high_ = 0;
+    for (std::size_t i = 0; i < size_; ++i) {
+      if (!up(i)) start(i);
+      resume(i);
+    }
+  }
+  void resume(std::size_t node) {
+    if (!up(node) || !nodes_[node].paused) return;
+    nodes_[node].paused = false;
+    tick(node);
+    for (const auto& [from, datagram] : std::exchange(nodes_[node].queued, {})) receive(from, node, datagram);
+  }
+
+  bool cut(std::size_t from, std::size_t to) const {
+    const bool from_inside = from >= cut_low_ && from < cut_high_;
+    const bool to_inside = to >= cut_low_ && to < cut_high_;
+    return one_way_ ? from_inside && !to_inside : from_inside != to_inside;
+  }
+  void transmit(std::size_t from, std::size_t to, const std::string& datagram) {
+    if (to >= size_ || cut(from, to)) return;
+    const int copies = draw_share(duplication_) ? 2 : 1;
+    for (int i = 0; i < copies; ++i) {
+      if (draw_share(loss_)) continue;
+      const Time delay = kShortestDelay + static_cast<Time>(draw(static_cast<std::uint64_t>(max_delay_)));
+      events_.push({now_ + delay, ++order_, to, from, 0, datagram});
+    }
+  }
+  // Records what the process did, sends its messages and sets its next wake-up.
+  void after(std::size_t node) {
+    Core& core = *nodes_[node].core;
+    for (const Send& send : core.take_sends()) {
+      const std::string datagram = encode(send.message);
+      digest_.line("send");
+      digest_.add(std::uint64_t{node});
+      digest_.add(std::uint64_t{send.to});
+      digest_.add(datagram);
+      transmit(node, send.to - 1, datagram);
+    }
+    if (core.take_changed()) observe_parts(node);
+    const Time next = core.next();
+    digest_.line("next");
+    digest_.add(static_cast<std::uint64_t>(next));
+    if (next == kNever) return;
+    const Node& it = nodes_[node];
+    const auto due = static_cast<Time>(static_cast<double>(next - it.ahead) / it.rate) + 1;
+    events_.push({std::max(now_, due), ++order_, node, 0, ++nodes_[node].wake_up, {}});
+  }
+  void observe_parts(std::size_t node) {
+    digest_.line("parts");
+    digest_.add(static_cast<std::uint64_t>(now_));
+    digest_.add(std::uint64_t{node});
+    for (LimitId id = kFirstLimit; id < kFirstLimit + kLimits; ++id) {
+      const Part part = nodes_[node].core->part(id);
+      digest_.add(static_cast<std::uint64_t>(part.kind));
+      digest_.add(part.floor);
+      digest_.add(part.amount);
+      digest_.add(static_cast<std::uint64_t>(part.until));
+      digest_.add(part.usable(clock(node)));
+    }
+  }
+  void observe_end(std::size_t node) {
+    observe_parts(node);
+    const Core& core = *nodes_[node].core;
+    const Figures& figures = core.figures();
+    digest_.line("figures");
+    for (const std::uint64_t figure :
+         {figures.claims, figures.grants, figures.granted, figures.stale, figures.homes_won,
+          figures.homes_lost, figures.refused, figures.unknown, figures.slept})
+      digest_.add(figure);
+    digest_.add(std::uint64_t{core.routers()});
+    for (std::uint32_t seat = 0; seat < settings_.seats; ++seat) {
+      digest_.line("seat");
+      digest_.add(std::uint64_t{core.home(seat, clock(node))});
+      digest_.add(std::uint64_t{core.grants(seat, clock(node))});
+      digest_.add(std::uint64_t{core.known_home(seat)});
+      digest_.add(core.epoch(seat).number);
+      digest_.add(core.epoch(seat).boot);
+    }
+    for (LimitId id = kFirstLimit; id < kFirstLimit + kLimits; ++id) {
+      digest_.line("ledger");
+      digest_.add(core.wanted(id));
+      const Ledger* ledger = core.ledger(id);
+      if (ledger == nullptr) continue;
+      digest_.add(ledger->out(clock(node)));
+      digest_.add(ledger->wanted());
+      digest_.add(std::uint64_t{ledger->holders()});
+    }
+  }
+
+  void tick(std::size_t node) {
+    Node& it = nodes_[node];
+    const Time time = clock(node);
+    if (time - it.viewed >= settings_.period) {
+      it.viewed = time;
+      tell_view(node);
+      if (draw(4) == 0) draw_demand(node);
+    }
+    it.core->tick(time);
+    after(node);
+  }
+  void receive(std::size_t from, std::size_t to, const std::string& datagram) {
+    const auto message = decode(datagram);
+    if (!message) return;
+    nodes_[to].core->receive(clock(to), address(from), *message);
+    after(to);
+  }
+  void play(const Event& event) {
+    Node& node = nodes_[event.to];
+    if (!node.core) return;
+    if (event.datagram.empty()) {
+      if (event.wake_up == node.wake_up && !node.paused) tick(event.to);
+    } else if (!node.paused) {
+      receive(event.from, event.to, event.datagram);
+    } else if (node.queued.size() < kMaxQueued) {
+      node.queued.emplace_back(event.from, event.datagram);
+    }
+  }
+  void run_for(Time time) {
+    const Time end = now_ + time;
+    while (!events_.empty() && events_.top().time <= end) {
+      const Event event = events_.top();
+      events_.pop();
+      now_ = event.time;
+      play(event);
+    }
+    now_ = end;
+  }
+
+  static constexpr Time kShortestDelay = 500;  // us
+  static constexpr Time kShortDelay = 1'500;   // us
+  std::mt19937_64 random_;
+  Digest digest_;
+  std::size_t size_ = 0;
+  Settings settings_;
+  std::vector<Node> nodes_;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
+  std::uint64_t order_ = 0;
+  Time now_ = 1'000 * kSecond;
+  std::uint64_t loss_ = 0, duplication_ = 0, wrong_views_ = 0;  // of a hundred
+  Time max_delay_ = kShortDelay;
+  std::size_t cut_low_ = 0, cut_high_ = 0;
+  bool one_way_ = false;
+};
+
+}  // namespace streampick::shares::test
