--- a/bench/shares/shares.cpp
+++ b/bench/shares/shares.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 using namespace streampick;
-using shares::Kind;
-using shares::kSecond;
+using leases::Kind;
+using leases::kSecond;
 
-constexpr shares::LimitId kPlaces = 0, kQuota = 5;  // of two seats
+constexpr leases::LimitId kPlaces = 0, kQuota = 5;  // of two seats
 
 double cpu_seconds() {
   timespec time{};
@@ -46,7 +46,7 @@
     net.after(node);
   }
   double guests() const { return static_cast<double>(net.sent().datagrams.back()); }
-  double usable(std::size_t node, shares::LimitId limit) const {
+  double usable(std::size_t node, leases::LimitId limit) const {
     return net.share(node).part(limit).usable(net.now(node));
   }
   double until(const std::function<bool()>& done, double most) {
@@ -54,11 +54,11 @@
     std::size_t events = 0;
     const std::size_t each = net.size() > 50 ? 20 : 1;
     const bool is = net.run_until([&] { return ++events % each == 0 && done(); },
-                                  static_cast<shares::Time>(most * kSecond));
+                                  static_cast<leases::Time>(most * kSecond));
     const double took = static_cast<double>(net.now() - from) / kSecond;
     return is ? took : -took;
   }
-  shares::Settings settings;
+  leases::Settings settings;
   emulator::Datagrams net;
 };
 
@@ -93,8 +93,8 @@
   fleet.until([&] { return !leased(); }, 10);
   const double back = fleet.until(leased, 120);
   std::printf("| %zu, %zu | %.1f | %.2f | %.2f | %.0f | %.2f (%.1f) | %.1f (%.1f) |\n", routers, datagram,
-              begun, rest, shift, cpu, moved, shares::moved_seconds(fleet.settings), back,
-              shares::back_seconds(fleet.settings));
+              begun, rest, shift, cpu, moved, leases::moved_seconds(fleet.settings), back,
+              leases::back_seconds(fleet.settings));
   std::fflush(stdout);
 }
 
--- a/fuzz/shares.cpp
+++ b/fuzz/shares.cpp
@@ -11,7 +11,7 @@
 #include "shares/wire.h"
 
 using namespace streampick;
-using namespace streampick::shares;
+using namespace streampick::leases;
 
 namespace {
 
--- a/src/emulator/datagrams.cpp
+++ b/src/emulator/datagrams.cpp
@@ -35,12 +35,12 @@
   it.paused = false;
   it.waiting.clear();
   it.share.reset();
-  if (std::optional<shares::Settings> own = shares(node)) {
+  if (std::optional<leases::Settings> own = shares(node)) {
     own->self = address(node);
-    own->items = shares::items_in(it.core->room_for_guests());
+    own->items = leases::items_in(it.core->room_for_guests());
     it.count.emplace(own->routers, own->period * 10);
     it.told = 0;
-    it.share = std::make_unique<shares::Core>(*own, random_() | 1U, random_(), now(node));
+    it.share = std::make_unique<leases::Core>(*own, random_() | 1U, random_(), now(node));
     it.share->begin(now(node));
   }
   after(node);
@@ -93,7 +93,7 @@
   if (it.share && time >= it.share->next()) {
     if (time - it.told >= it.share->settings().period || it.told == 0) {
       it.told = time;
-      it.share->view(time, shares::living(*it.core), it.count->see(time, it.core->counts(time)));
+      it.share->view(time, leases::living(*it.core), it.count->see(time, it.core->counts(time)));
     }
     it.share->tick(time);
   }
@@ -132,11 +132,11 @@
 void Datagrams::after(std::size_t node) {
   Node& it = nodes_[node];
   for (const Guest& guest : it.core->take_guests())
-    if (const auto message = shares::decode(guest.payload); message && it.share && guest.guest == kShares)
+    if (const auto message = leases::decode(guest.payload); message && it.share && guest.guest == kShares)
       it.share->receive(now(node), guest.from, *message);
   if (it.share)
-    for (const shares::Send& send : it.share->take_sends())
-      it.core->tell_for(kShares, now(node), send.to, shares::encode(send.message));
+    for (const leases::Send& send : it.share->take_sends())
+      it.core->tell_for(kShares, now(node), send.to, leases::encode(send.message));
   for (Send& send : it.core->take_sends()) {
     std::string datagram = encode(send.message, "");
     ++it.sent.datagrams[static_cast<std::size_t>(send.message.kind)];
--- a/src/emulator/datagrams.h
+++ b/src/emulator/datagrams.h
@@ -54,7 +54,7 @@
                                                                                 const membership::Change&) {};
 
   // The shared limits of a node that is started; its address is made. None: it has none.
-  std::function<std::optional<shares::Settings>(std::size_t node)> shares = [](std::size_t) {
+  std::function<std::optional<leases::Settings>(std::size_t node)> shares = [](std::size_t) {
     return std::nullopt;
   };
 
@@ -87,8 +87,8 @@
   bool up(std::size_t node) const { return nodes_[node].core != nullptr; }
   membership::Core& core(std::size_t node) { return *nodes_[node].core; }
   const membership::Core& core(std::size_t node) const { return *nodes_[node].core; }
-  shares::Core& share(std::size_t node) { return *nodes_[node].share; }
-  const shares::Core& share(std::size_t node) const { return *nodes_[node].share; }
+  leases::Core& share(std::size_t node) { return *nodes_[node].share; }
+  const leases::Core& share(std::size_t node) const { return *nodes_[node].share; }
   bool paused(std::size_t node) const { return nodes_[node].paused; }
   // What the node's host does after it has told its core something.
   void after(std::size_t node);
@@ -104,7 +104,7 @@
  private:
   struct Node {
     std::unique_ptr<membership::Core> core;
-    std::unique_ptr<shares::Core> share;
+    std::unique_ptr<leases::Core> share;
     std::optional<fleet::RouterCount> count;
     Time told = 0;  // when the view was last told
     membership::Settings settings;
--- a/src/fleet/limits.cpp
+++ b/src/fleet/limits.cpp
@@ -9,11 +9,11 @@
 
 namespace streampick::fleet {
 
+using leases::kSecond;
+using leases::Part;
+using leases::Time;
 using membership::Address;
 using nlohmann::ordered_json;
-using shares::kSecond;
-using shares::Part;
-using shares::Time;
 
 namespace {
 
@@ -21,7 +21,7 @@
 // the part of an even share that is claimed with nothing asked for, so that a first request finds something.
 constexpr double kHeadroom = 1.1, kAtRest = 0.02;
 constexpr std::size_t kLately = 3;  // samples
-const shares::LimitId kOriginId = limit_id(kOriginPlaces);
+const leases::LimitId kOriginId = limit_id(kOriginPlaces);
 
 bool same(const Shares& one, const Shares& other) {
   return one.quotas == other.quotas && one.origin_reserved == other.origin_reserved &&
@@ -31,7 +31,7 @@
 }  // namespace
 
 Limits::Limits(engine::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
-               const std::vector<Tenant>& tenants, shares::Boot boot, std::uint64_t seed, Hooks hooks)
+               const std::vector<Tenant>& tenants, leases::Boot boot, std::uint64_t seed, Hooks hooks)
     : time_(time),
       options_(options),
       hooks_(std::move(hooks)),
@@ -57,7 +57,7 @@
 }
 
 void Limits::heard(Address from, const std::string& payload) {
-  const auto message = shares::decode(payload);
+  const auto message = leases::decode(payload);
   if (!message) {
     ++unreadable_;
     return;
@@ -130,7 +130,7 @@
 }
 
 void Limits::after(Time now) {
-  for (const shares::Send& send : core_.take_sends()) hooks_.tell(send.to, shares::encode(send.message));
+  for (const leases::Send& send : core_.take_sends()) hooks_.tell(send.to, leases::encode(send.message));
   Shares own;
   // Tenants beyond those that may be told have an even part of theirs.
   for (const Quota& quota : quotas_)
@@ -168,11 +168,11 @@
                             {"self", core_.home(seat, now)},
                             {"grants", core_.grants(seat, now)}});
   out["limits"] = ordered_json::array();
-  for (const shares::Limit& limit : core_.settings().limits) {
+  for (const leases::Limit& limit : core_.settings().limits) {
     const Part part = core_.part(limit.id);
     ordered_json one;
     one["name"] = limit.name;
-    one["kind"] = limit.kind == shares::Kind::hard ? "hard" : "soft";
+    one["kind"] = limit.kind == leases::Kind::hard ? "hard" : "soft";
     one["total"] = limit.total;
     one["floor"] = part.floor;
     one["leased"] = now < part.until ? part.amount : 0;
@@ -180,12 +180,12 @@
     one["usable"] = part.usable(now);
     one["wanted"] = core_.wanted(limit.id);
     if (limit.name == kOriginPlaces) one["out"] = hooks_.origin().in_flight;
-    if (const shares::Ledger* ledger = core_.ledger(limit.id))
+    if (const leases::Ledger* ledger = core_.ledger(limit.id))
       one["at_home"] = {
           {"out", ledger->out(now)}, {"wanted", ledger->wanted()}, {"holders", ledger->holders()}};
     out["limits"].push_back(std::move(one));
   }
-  const shares::Figures& figures = core_.figures();
+  const leases::Figures& figures = core_.figures();
   const std::pair<const char*, std::uint64_t> numbers[] = {
       {"claims", figures.claims},   {"grants", figures.grants},       {"granted", figures.granted},
       {"stale", figures.stale},     {"homes_won", figures.homes_won}, {"homes_lost", figures.homes_lost},
@@ -199,7 +199,7 @@
   const Time now = time_.now();
   std::size_t homes = 0, leased = 0;
   for (std::uint32_t seat = 0; seat < core_.settings().seats; ++seat) homes += core_.home(seat, now) ? 1 : 0;
-  for (const shares::Limit& limit : core_.settings().limits)
+  for (const leases::Limit& limit : core_.settings().limits)
     leased += now < core_.part(limit.id).until ? 1 : 0;
   return " shares: homes=" + std::to_string(homes) + " leased=" + std::to_string(leased) + "/" +
          std::to_string(core_.settings().limits.size());
--- a/src/fleet/limits.h
+++ b/src/fleet/limits.h
@@ -31,7 +31,7 @@
   };
   // `boot`: a random number of this process, not 0.
   Limits(engine::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
-         const std::vector<Tenant>& tenants, shares::Boot boot, std::uint64_t seed, Hooks hooks);
+         const std::vector<Tenant>& tenants, leases::Boot boot, std::uint64_t seed, Hooks hooks);
 
   void begin();  // messages get through from now on
   void heard(membership::Address from, const std::string& payload);
@@ -49,32 +49,32 @@
  private:
   static constexpr std::size_t kSamples = 10;  // of a period
   struct Sample {
-    shares::Time time = 0;
+    leases::Time time = 0;
     std::vector<std::uint64_t> asked;
     double origin = 0;  // the most that had, or wanted, a place since the last one
   };
   void take(const std::vector<std::string>& names, const std::vector<Tenant>& tenants);
   void due();
-  void sample(shares::Time now);
-  void look_at_use(shares::Time now);
-  void after(shares::Time now);
+  void sample(leases::Time now);
+  void look_at_use(leases::Time now);
+  void after(leases::Time now);
   double rate(std::size_t tenant, std::size_t samples) const;
   const Sample& back(std::size_t count) const { return samples_[(at_ + kSamples - count) % kSamples]; }
 
   engine::TimeSource& time_;
   ShareOptions options_;
   struct Quota {
-    shares::LimitId id = 0;
+    leases::LimitId id = 0;
     double total = 0;  // 0: it has none
   };
   std::vector<Quota> quotas_;  // by tenant
   Hooks hooks_;
-  shares::Core core_;
+  leases::Core core_;
   std::unique_ptr<engine::Timer> timer_;
   std::array<Sample, kSamples> samples_;  // a ring; at_ is the last one
   std::size_t at_ = 0, sampled_ = 0;
   std::size_t until_view_ = 0;  // samples
-  shares::Time next_sample_ = 0;
+  leases::Time next_sample_ = 0;
   double origin_most_ = 0;  // since the last sample
   bool begun_ = false, told_once_ = false;
   Shares last_;
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -44,9 +44,9 @@
   out.core.work = 0;
   table.texts("voters", out.voters);
   if (out.voters.size() > kMostVoters) table.wrong("voters", "expected at most 9 addresses");
-  table.integer("origin_places", out.origin_places, 0, static_cast<std::int64_t>(shares::kMostTotal));
+  table.integer("origin_places", out.origin_places, 0, static_cast<std::int64_t>(leases::kMostTotal));
   table.yes("quotas", out.quotas);
-  table.integer("seats", out.core.seats, 1, shares::kMostSeats);
+  table.integer("seats", out.core.seats, 1, leases::kMostSeats);
   out.core.routers = 0;
   table.integer("routers", out.core.routers, 1, 4'096);
   table.integer("period_ms", out.core.period, 50, 60'000, 1'000);
@@ -61,7 +61,7 @@
   table.number("drift", out.core.drift, 0, 0.5);
   table.number("floor", out.core.floor, 0, 1);
   table.number("reserve", out.core.reserve, 0, 0.5);
-  table.number("weight", out.core.weight, shares::kLeastWeight, shares::kMostWeight);
+  table.number("weight", out.core.weight, leases::kLeastWeight, leases::kMostWeight);
   table.no_others();
   return out;
 }
@@ -95,8 +95,8 @@
   if (options.core.work == 0) options.core.work = longest_work(settings);
   check_work(options, settings, file);
   options.core.limits = limits_of(options, settings.settings.names.tenants, config.tenants);
-  std::set<shares::LimitId> ids;
-  for (const shares::Limit& limit : options.core.limits)
+  std::set<leases::LimitId> ids;
+  for (const leases::Limit& limit : options.core.limits)
     if (!ids.insert(limit.id).second) wrong(": two limits have one number; rename tenant of " + limit.name);
 }
 
@@ -111,20 +111,20 @@
 
 std::string quota_of(const std::string& tenant) { return "quota of " + tenant; }
 
-shares::LimitId limit_id(const std::string& name) { return XXH32(name.data(), name.size(), 0); }
+leases::LimitId limit_id(const std::string& name) { return XXH32(name.data(), name.size(), 0); }
 
-std::vector<shares::Limit> limits_of(const ShareOptions& options, const std::vector<std::string>& names,
+std::vector<leases::Limit> limits_of(const ShareOptions& options, const std::vector<std::string>& names,
                                      const std::vector<Tenant>& tenants) {
-  std::vector<shares::Limit> out;
+  std::vector<leases::Limit> out;
   if (options.origin_places > 0)
-    out.push_back({kOriginPlaces, limit_id(kOriginPlaces), shares::Kind::hard,
+    out.push_back({kOriginPlaces, limit_id(kOriginPlaces), leases::Kind::hard,
                    static_cast<double>(options.origin_places)});
   // The rest, beyond what may be told, is divided evenly as without this.
-  for (std::size_t i = 0; options.quotas && i < tenants.size() && out.size() < shares::kMostLimits; ++i) {
+  for (std::size_t i = 0; options.quotas && i < tenants.size() && out.size() < leases::kMostLimits; ++i) {
     if (tenants[i].quota_per_s <= 0) continue;
     const std::string name = quota_of(i < names.size() ? names[i] : std::to_string(i));
     out.push_back(
-        {name, limit_id(name), shares::Kind::soft, std::min(tenants[i].quota_per_s, shares::kMostTotal)});
+        {name, limit_id(name), leases::Kind::soft, std::min(tenants[i].quota_per_s, leases::kMostTotal)});
   }
   return out;
 }
--- a/src/fleet/share_options.h
+++ b/src/fleet/share_options.h
@@ -12,7 +12,7 @@
 
 struct ShareOptions {
   bool on = false;
-  shares::Settings core;  // own address, voters, the count of routers and limits come with resolve()
+  leases::Settings core;  // own address, voters, the count of routers and limits come with resolve()
   std::vector<std::string> voters;
   std::int64_t origin_places = 0;  // 0: not shared
   bool quotas = true;              // whether tenants' quotas are shared
@@ -28,10 +28,10 @@
 std::string describe(const ShareOptions& options);
 
 // What is shared where the platform's settings have these tenants.
-std::vector<shares::Limit> limits_of(const ShareOptions& options, const std::vector<std::string>& names,
+std::vector<leases::Limit> limits_of(const ShareOptions& options, const std::vector<std::string>& names,
                                      const std::vector<Tenant>& tenants);
 inline constexpr const char* kOriginPlaces = "origin places";
 std::string quota_of(const std::string& tenant);
-shares::LimitId limit_id(const std::string& name);
+leases::LimitId limit_id(const std::string& name);
 
 }  // namespace streampick::fleet
--- a/src/shares/bounds.h
+++ b/src/shares/bounds.h
@@ -6,7 +6,7 @@
 
 #include "shares/settings.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 inline double seconds(Time time) { return static_cast<double>(time) / kSecond; }
 
@@ -36,4 +36,4 @@
 // part has moved and its former holder has not heard. It ends with its lease, whatever is lost.
 inline double over_seconds(const Settings& settings) { return seconds(settings.lease); }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/candidacy.cpp
+++ b/src/shares/candidacy.cpp
@@ -5,7 +5,7 @@
 // Tests build the core once more for each rule, with the rule taken out, and look whether they notice.
 #include "shares/without.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 void Candidacy::begin(Time now, Epoch epoch) {
   *this = Candidacy();
@@ -41,4 +41,4 @@
   return first;
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/candidacy.h
+++ b/src/shares/candidacy.h
@@ -8,7 +8,7 @@
 
 #include "shares/settings.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 class Candidacy {
  public:
@@ -44,4 +44,4 @@
   Time began_ = 0, until_ = 0, grants_from_ = 0;
 };
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/core.cpp
+++ b/src/shares/core.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 namespace {
 
@@ -443,4 +443,4 @@
   own_.clear();
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/core.h
+++ b/src/shares/core.h
@@ -21,7 +21,7 @@
 #include "shares/voter.h"
 #include "shares/without.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 // What this router may use of a limit. To be compared with at the moment of use.
 struct Part {
@@ -156,4 +156,4 @@
   Figures figures_;
 };
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/division.cpp
+++ b/src/shares/division.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <numeric>
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 std::vector<double> max_min(double total, std::span<const Want> wants) {
   std::vector<std::size_t> order(wants.size());
@@ -55,4 +55,4 @@
   return out;
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/division.h
+++ b/src/shares/division.h
@@ -4,7 +4,7 @@
 #include <span>
 #include <vector>
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 struct Want {
   double want = 0, weight = 1;
@@ -21,4 +21,4 @@
 std::vector<double> whole_max_min(double total, std::span<const Want> wants, std::span<double> credits,
                                   std::span<const double> has);
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/ledger.cpp
+++ b/src/shares/ledger.cpp
@@ -7,7 +7,7 @@
 #include "shares/division.h"
 #include "shares/without.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 namespace {
 constexpr std::size_t kMostOut = 16;    // grants that a holder has not owned up to
@@ -176,4 +176,4 @@
   return amount;
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/ledger.h
+++ b/src/shares/ledger.h
@@ -9,7 +9,7 @@
 
 #include "shares/settings.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 class Ledger {
  public:
@@ -62,4 +62,4 @@
   bool changed_ = false;
 };
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/messages.h
+++ b/src/shares/messages.h
@@ -10,7 +10,7 @@
 
 #include "membership/record.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 using membership::Address;
 using membership::Boot;
@@ -64,4 +64,4 @@
   Message message;
 };
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/settings.h
+++ b/src/shares/settings.h
@@ -8,7 +8,7 @@
 
 #include "shares/messages.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 // `hard`: places for work in flight. The sum of what all use is never over the total.
 // `soft`: a rate. The sum may be over for a stated time by a stated part.
@@ -63,4 +63,4 @@
   return limit.total - floors_of(limit, settings);
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/view.h
+++ b/src/shares/view.h
@@ -5,7 +5,7 @@
 
 #include "membership/core.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 // The others that are there, as far as is known.
 inline std::vector<membership::Address> living(const membership::Core& core) {
@@ -15,4 +15,4 @@
   return out;
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/voter.h
+++ b/src/shares/voter.h
@@ -8,7 +8,7 @@
 #include "shares/settings.h"
 #include "shares/without.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 class Voter {
  public:
@@ -41,4 +41,4 @@
   Time until_ = 0, silent_until_ = 0;
 };
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/wire.cpp
+++ b/src/shares/wire.cpp
@@ -4,10 +4,12 @@
 
 #include "streampick/shares.pb.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 namespace {
 
+namespace proto = streampick::shares::proto;  // the wire form keeps its package
+
 // Tags and the longest values of a message's fields, and of an item with its length.
 constexpr std::size_t kHead = 2 + 9 + 2 + 10 + 9 + 6 + 6 + 9 + 7 + 8 + 5;
 constexpr std::size_t kItem = 2 + 5 + 5 + 5 + 6 + 5;
@@ -71,4 +73,4 @@
   return out;
 }
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/wire.h
+++ b/src/shares/wire.h
@@ -8,7 +8,7 @@
 
 #include "shares/messages.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 std::string encode(const Message& message);
 std::optional<Message> decode(std::string_view payload);
@@ -16,4 +16,4 @@
 // So many items are sure to go into `bytes`; 0: not even one.
 std::size_t items_in(std::size_t bytes);
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/src/shares/without.h
+++ b/src/shares/without.h
@@ -5,7 +5,7 @@
 #define STREAMPICK_SHARES_WITHOUT 0
 #endif
 
-namespace streampick::shares {
+namespace streampick::leases {
 
 inline constexpr int kWithout = STREAMPICK_SHARES_WITHOUT;
 inline constexpr int kMargin = 1;    // for clocks that differ in speed
@@ -16,4 +16,4 @@
 inline constexpr int kSilence = 6;   // of a voter that has just started, or slept
 inline constexpr int kOut = 7;       // what was granted before counts until its holder has said otherwise
 
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using fleet::Limits;
-using shares::kSecond;
+using leases::kSecond;
 
 // A router that is the only voter and the only one there, so that it divides all among itself.
 struct Alone {
@@ -20,7 +20,7 @@
     options.core.self = membership::numbered(0);
     options.core.voters = {options.core.self};
     options.core.routers = 4;
-    options.core.work = shares::kSecond;
+    options.core.work = leases::kSecond;
     options.core.seats = 2;
     for (std::size_t i = 0; i < tenants; ++i) {
       names.push_back("t" + std::to_string(i));
--- a/tests/shares/drawn_world.h
+++ b/tests/shares/drawn_world.h
@@ -17,7 +17,7 @@
 #include "shares/core.h"
 #include "shares/wire.h"
 
-namespace streampick::shares::test {
+namespace streampick::leases::test {
 
 // FNV-1a over 64-bit words. With `print`, each value is written to standard output as well, so that the dumps
 // of two versions can be compared line by line.
@@ -376,4 +376,4 @@
   bool one_way_ = false;
 };
 
-}  // namespace streampick::shares::test
+}  // namespace streampick::leases::test
--- a/tests/shares/histories_test.cpp
+++ b/tests/shares/histories_test.cpp
@@ -9,7 +9,7 @@
 #include "occupancy.h"
 #include "shares/bounds.h"
 
-namespace streampick::shares::test {
+namespace streampick::leases::test {
 namespace {
 
 constexpr LimitId kPlaces = 8, kQuota = 9;
@@ -255,4 +255,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::shares::test
+}  // namespace streampick::leases::test
--- a/tests/shares/model_test.cpp
+++ b/tests/shares/model_test.cpp
@@ -12,7 +12,7 @@
 #include "occupancy.h"
 #include "shares/bounds.h"
 
-namespace streampick::shares::test {
+namespace streampick::leases::test {
 namespace {
 
 constexpr std::size_t kRouters = 3;
@@ -415,4 +415,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::shares::test
+}  // namespace streampick::leases::test
--- a/tests/shares/occupancy.h
+++ b/tests/shares/occupancy.h
@@ -7,7 +7,7 @@
 
 #include "shares/core.h"
 
-namespace streampick::shares::test {
+namespace streampick::leases::test {
 
 class Occupancy {
  public:
@@ -53,4 +53,4 @@
   std::vector<Span> spans_;
 };
 
-}  // namespace streampick::shares::test
+}  // namespace streampick::leases::test
--- a/tests/shares/parts_test.cpp
+++ b/tests/shares/parts_test.cpp
@@ -12,7 +12,7 @@
 #include "shares/ledger.h"
 #include "shares/wire.h"
 
-namespace streampick::shares {
+namespace streampick::leases {
 namespace {
 
 std::vector<Want> some_wants(std::mt19937_64& random, bool whole) {
@@ -277,4 +277,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::shares
+}  // namespace streampick::leases
--- a/tests/shares/protocol_digest_test.cpp
+++ b/tests/shares/protocol_digest_test.cpp
@@ -10,7 +10,7 @@
 
 #include "drawn_world.h"
 
-namespace streampick::shares::test {
+namespace streampick::leases::test {
 namespace {
 
 constexpr std::uint64_t kFleetsInGroup = 30;
@@ -53,4 +53,4 @@
 }
 
 }  // namespace
-}  // namespace streampick::shares::test
+}  // namespace streampick::leases::test
