--- a/bench/shares/shares.cpp
+++ b/bench/shares/shares.cpp
@@ -1,7 +1,6 @@
-// What shared limits cost and how soon they follow: guests' datagrams and bytes of one router at rest and
-// after demand has moved, the time of a move and of the way back after a home's death beside the bounds, on
-// virtual time; and what a request pays in the module.
-// bench_shares [ROUTERS:BYTES ...]
+// Cost and reaction time of the lease protocol on virtual time: datagrams of one router at rest and while
+// demand moves, the time of a move and of the recovery after a granter's death beside their bounds; and the
+// cost of a request in the decision module. bench_shares [ROUTERS:BYTES ...]
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -80,17 +79,18 @@
   fleet.net.run_for(10 * kSecond);
   const double rest = (fleet.guests() - guests) / 10 / each;
   cpu = 1e6 * (cpu_seconds() - cpu) / 10 / each;
-  // All of a tenant's demand is at one router from one moment on.
+  // All of a tenant's demand moves to one router at once.
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 0, i == 0 ? quota : 0);
   guests = fleet.guests();
   const double moved = fleet.until([&] { return fleet.usable(0, kQuota) >= 0.95 * quota; }, 60);
   const double shift = (fleet.guests() - guests) / std::max(0.1, moved) / each;
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 8, 12);
   fleet.until(leased, 60);
-  // The home of the places dies.
-  std::size_t home = 0;
-  while (home + 1 < routers && !fleet.net.share(home).is_granter(kPlaces % 4, fleet.net.now(home))) ++home;
-  fleet.net.kill(home);
+  // The granter of the hard limit is killed.
+  std::size_t granter = 0;
+  while (granter + 1 < routers && !fleet.net.share(granter).is_granter(kPlaces % 4, fleet.net.now(granter)))
+    ++granter;
+  fleet.net.kill(granter);
   fleet.until([&] { return !leased(); }, 10);
   const double back = fleet.until(leased, 120);
   std::printf("| %zu, %zu | %.1f | %.2f | %.2f | %.0f | %.2f (%.1f) | %.1f (%.1f) |\n", routers, datagram,
@@ -107,7 +107,7 @@
   void poll_discovery() override {}
 };
 
-// Nanoseconds for a request of a tenant with a quota, from its coming to its answer.
+// CPU time in nanoseconds for a request of a tenant with a quota, from arrival to cancellation.
 double a_request(bool shared) {
   Config config;
   config.routers = 12;
--- a/src/shares/messages.h
+++ b/src/shares/messages.h
@@ -27,7 +27,10 @@
   std::uint64_t number = 0;     // 0: none
   Incarnation incarnation = 0;  // of the granter
   friend bool operator==(const Epoch&, const Epoch&) = default;
-  friend std::strong_ordering operator<=>(const Epoch&, const Epoch&) = default;
+  friend std::strong_ordering operator<=>(const Epoch& left, const Epoch& right) {
+    if (left.number != right.number) return left.number <=> right.number;
+    return left.incarnation <=> right.incarnation;
+  }
 };
 
 /// One limit in a claim (all fields) or in a grant (`limit` and `amount`).
--- a/src/shares/wire.cpp
+++ b/src/shares/wire.cpp
@@ -16,7 +16,22 @@
 constexpr Time kMaxDuration = 3'600 * kSecond;
 constexpr std::uint64_t kMaxEpoch = std::uint64_t{1} << 61U;
 
-bool within(float value, double most) { return std::isfinite(value) && value >= 0 && value <= most; }
+// A claim may report any finite number: the granter bounds it.
+constexpr double kMaxReported = 1e30;
+
+bool is_within(float value, double max) { return std::isfinite(value) && value >= 0 && value <= max; }
+
+bool is_valid(const proto::Message& message) {
+  return message.kind() < kMessageKinds && message.self() != 0 && message.seat() < kMaxShards &&
+         message.epoch() <= kMaxEpoch && message.length_us() <= static_cast<std::uint64_t>(kMaxDuration) &&
+         message.home() <= membership::kHighestAddress && is_within(message.weight(), kMaxWeight) &&
+         message.items_size() <= int{kMaxItems};
+}
+
+bool is_valid(const proto::Item& item) {
+  return is_within(item.want(), kMaxReported) && is_within(item.over(), kMaxReported) &&
+         is_within(item.amount(), kMaxTotal);
+}
 
 }  // namespace
 
@@ -38,12 +53,12 @@
   out.set_home(message.granter);
   out.set_weight(static_cast<float>(message.weight));
   for (const LimitItem& item : message.items) {
-    proto::Item& it = *out.add_items();
-    it.set_limit(item.limit);
-    it.set_want(static_cast<float>(item.demand));
-    it.set_over(static_cast<float>(item.in_use));
-    it.set_seen(item.acknowledged_grant);
-    it.set_amount(static_cast<float>(item.amount));
+    proto::Item& entry = *out.add_items();
+    entry.set_limit(item.limit);
+    entry.set_want(static_cast<float>(item.demand));
+    entry.set_over(static_cast<float>(item.in_use));
+    entry.set_seen(item.acknowledged_grant);
+    entry.set_amount(static_cast<float>(item.amount));
   }
   return out.SerializeAsString();
 }
@@ -51,15 +66,12 @@
 std::optional<Message> decode(std::string_view payload) {
   proto::Message in;
   if (!in.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) return std::nullopt;
-  if (in.kind() >= kMessageKinds || in.self() == 0 || in.seat() >= kMaxShards || in.epoch() > kMaxEpoch ||
-      in.length_us() > static_cast<std::uint64_t>(kMaxDuration) || in.home() > membership::kHighestAddress ||
-      !within(in.weight(), kMaxWeight) || in.items_size() > int{kMaxItems})
-    return std::nullopt;
+  if (!is_valid(in)) return std::nullopt;
   Message out;
   out.kind = static_cast<Message::Kind>(in.kind());
   out.sender = in.self();
   out.shard = in.seat();
-  out.epoch = {in.epoch(), in.epoch_boot()};
+  out.epoch = {.number = in.epoch(), .incarnation = in.epoch_boot()};
   out.sequence = in.number();
   out.grant_number = in.grant();
   out.holder = in.holder();
@@ -67,10 +79,12 @@
   out.granter = in.home();
   out.weight = in.weight();
   for (const proto::Item& item : in.items()) {
-    // A claim may say any number that is one: what is made of it is the home's affair.
-    if (!within(item.want(), 1e30) || !within(item.over(), 1e30) || !within(item.amount(), kMaxTotal))
-      return std::nullopt;
-    out.items.push_back({item.limit(), item.want(), item.over(), item.seen(), item.amount()});
+    if (!is_valid(item)) return std::nullopt;
+    out.items.push_back({.limit = item.limit(),
+                         .demand = item.want(),
+                         .in_use = item.over(),
+                         .acknowledged_grant = item.seen(),
+                         .amount = item.amount()});
   }
   return out;
 }
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -28,28 +28,37 @@
     }
     asked.resize(tenants);
     options.core.limits = fleet::limits_of(options, names, all);
-    limits = std::make_unique<Limits>(
-        time, options, names, all, 7, 7,
-        Limits::Hooks{[this] {
-      return Limits::View{{}, routers}; },
-                      [this]() -> const auto& { return asked;
+    limits = std::make_unique<Limits>(time, options, names, all, 7, 7, hooks());
   }
-  , [this] { return origin; }, [this](Shares own) { told = std::move(own), ++changes; },
-      [this](membership::Address, const std::string&) { ++said; }, [](std::string_view) {}});
-}  // namespace
-HandDriven time;
-fleet::ShareOptions options;
-std::vector<std::string> names;
-std::vector<Tenant> all;
-std::vector<std::uint64_t> asked;
-OriginWork origin;
-std::uint32_t routers = 1;
-Shares told;
-int changes = 0, said = 0;
-std::unique_ptr<Limits> limits;
-};  // namespace streampick::test
 
-TEST(FleetLimits, UntilItBeginsNothingOfAHardLimitIsUsedAndAnEvenPartOfASoftOne) {
+  Limits::Hooks hooks() {
+    Limits::Hooks hooks;
+    hooks.view = [this] { return Limits::View{{}, routers}; };
+    hooks.asked = [this]() -> const auto& { return asked; };
+    hooks.origin = [this] { return origin; };
+    hooks.take = [this](Shares own) {
+      told = std::move(own);
+      ++changes;
+    };
+    hooks.tell = [this](membership::Address, const std::string&) { ++said; };
+    hooks.log = [](std::string_view) {};
+    return hooks;
+  }
+
+  HandDriven time;
+  fleet::ShareOptions options;
+  std::vector<std::string> names;
+  std::vector<Tenant> all;
+  std::vector<std::uint64_t> asked;
+  OriginWork origin;
+  std::uint32_t routers = 1;
+  Shares told;
+  int changes = 0;
+  int said = 0;
+  std::unique_ptr<Limits> limits;
+};
+
+TEST(FleetLimits, BeforeStart_HardLimitIsUnusableAndSoftLimitIsEvenShare) {
   Alone router(1, 16);
   EXPECT_EQ(router.told.origin_reserved, 0);
   EXPECT_EQ(router.told.quotas, std::vector<double>{25});  // of four, as the settings say
@@ -57,7 +66,7 @@
   EXPECT_EQ(router.told.origin_reserved, 1);  // of sixteen a quarter needs no lease
 }
 
-TEST(FleetLimits, WhatIsAskedAndWhatWaitsIsClaimed) {
+TEST(FleetLimits, RequestedAndQueuedWork_IsClaimed) {
   Alone router(2, 16);
   router.limits->begin();
   router.time.advance(20 * kSecond);
@@ -76,7 +85,7 @@
   EXPECT_EQ(router.told.origin_reserved + router.told.origin_leased, 0);
 }
 
-TEST(FleetLimits, OneThatGoesOnByItselfKeepsItsFloorsAndEvenParts) {
+TEST(FleetLimits, LeftButRunning_KeepsMinimaAndEvenShares) {
   Alone router(1, 16);
   router.limits->begin();
   router.time.advance(20 * kSecond);
@@ -89,7 +98,7 @@
 }
 
 // Of more tenants than may be told those beyond keep their even part.
-TEST(FleetLimits, TenantsBeyondThoseThatMayBeToldHaveAnEvenPart) {
+TEST(FleetLimits, TenantsBeyondMaximumOfLimits_HaveEvenShares) {
   Alone router(70, 0);
   router.routers = 2;
   router.limits->begin();
@@ -101,7 +110,7 @@
 
 // New settings, with other tenants at the same places: their claims begin anew, and those that have gone
 // leave nothing behind.
-TEST(FleetLimits, TenantsOfNewSettingsBeginAnew) {
+TEST(FleetLimits, ChangedTenants_StartWithoutDemand) {
   Alone router(2, 0);
   router.limits->begin();
   router.time.advance(20 * kSecond);
@@ -118,7 +127,7 @@
   EXPECT_EQ(router.limits->told().find("quota of t0"), std::string::npos);
 }
 
-TEST(FleetLimits, WhatCanNotBeReadIsCountedAndNothingElse) {
+TEST(FleetLimits, UnreadablePayload_IsOnlyCounted) {
   Alone router(1, 16);
   router.limits->begin();
   const int before = router.changes;
--- a/tests/shares/histories_test.cpp
+++ b/tests/shares/histories_test.cpp
@@ -1,7 +1,7 @@
-// Fleets of 3 to 300 that share limits, on virtual time, each with its own view of the fleet: datagrams are
-// lost, doubled, delayed by seconds and cut, processes are killed, stopped and started, and clocks differ in
-// speed. At every event what may be in use of a hard limit is within its total; after faults end, all that is
-// wanted is leased within the bound.
+// Fleets of 3 to 300 routers that share limits, on virtual time, each with its own membership view. Datagrams
+// are lost, duplicated, delayed by seconds and cut off, processes are killed, suspended and restarted, and
+// clocks differ in speed. At every event the use of a hard limit is within its total; after faults end, all
+// demand is leased within the bound.
 #include <gtest/gtest.h>
 
 #include "emulator/datagrams.h"
@@ -14,7 +14,7 @@
 
 constexpr LimitId kPlaces = 8, kQuota = 9;
 
-// In seconds, by a period of one.
+// In seconds, with a period of one second.
 double membership_settles(std::size_t size) { return membership::settle_periods(size, 1'200); }
 
 struct Fleet {
@@ -59,8 +59,8 @@
     net.share(node).set_demand(net.now(node), kPlaces, wants[node], most[node]);
     net.share(node).set_demand(net.now(node), kQuota, asks[node], 0);
   }
-  // Work is begun wherever it may be, and at each event the sum is looked at. What one has in use falls
-  // without an event of its own, so the sum of what was seen last is never too low.
+  // Each router begins as much work as it may, and the sum is checked at each event. A router's use falls
+  // without an event of its own, so the sum of the last observations is never too low.
   void look(std::size_t node) {
     const bool up = net.up(node);
     if (up) {
@@ -162,17 +162,17 @@
   EXPECT_EQ(fleet.highest, 0) << seed;
 }
 
-class SharesHistories : public testing::TestWithParam<std::uint64_t> {};
+class LeaseHistories : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(SharesHistories, NothingIsEverOverAndAllIsLeasedAgain) {
-  // A hundred each, so that they run beside each other.
+TEST_P(LeaseHistories, DrawnFaults_KeepUseWithinTotalAndEndInFullLease) {
+  // A hundred for each parameter, so that they run in parallel.
   for (std::uint64_t i = 0; i < 95; ++i) drawn(3 + i % 5, GetParam() * 100 + i);
   for (std::uint64_t i = 0; i < 5; ++i) drawn(12, GetParam() * 100 + 95 + i);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, SharesHistories, testing::Range<std::uint64_t>(0, 10));
+INSTANTIATE_TEST_SUITE_P(Seeds, LeaseHistories, testing::Range<std::uint64_t>(0, 10));
 
-// All of a tenant's demand is at one router from one moment on, and then at another.
-TEST(SharesSizes, ARateFollowsDemandWithinTheBoundAndIsNotOverForLonger) {
+// All of a tenant's demand moves to one router at once, and then to another.
+TEST(LeaseFleet, DemandMoves_RateFollowsWithinBoundAndOvershootEndsWithinLease) {
   constexpr std::size_t kSize = 12;
   constexpr double kTotal = 600;
   Fleet fleet(kSize, 7, 12, kTotal);
@@ -198,15 +198,15 @@
     fleet.net.run_until(
         [&] { return looks(false); },
         from + static_cast<Time>(soft_overshoot_bound_seconds(fleet.settings) * kSecond) - fleet.net.now());
-    EXPECT_LE(most, 2 * kTotal);  // what moved may be used twice
+    EXPECT_LE(most, 2 * kTotal);  // what moved may be used by both
     most = 0;
     fleet.net.run_until([&] { return looks(false); }, 10 * kSecond);
     EXPECT_LE(most, kTotal * 1.0001);
   }
 }
 
-// Half of the routers are gone for good: once they are forgotten, all of a quota is the others' again.
-TEST(SharesSizes, AQuotaIsWholeAgainOnceTheDeadAreForgotten) {
+// Half of the routers never return.
+TEST(LeaseFleet, DeadRoutersForgotten_WholeQuotaIsUsableAgain) {
   constexpr std::size_t kSize = 12;
   membership::Settings view;
   view.lifetimes.unreachable = 20 * kSecond;
@@ -216,14 +216,14 @@
   for (std::size_t i = 0; i < kSize; ++i) fleet.asks[i] = 600;
   for (std::size_t i = 1; i < kSize; i += 2) fleet.kill(i);
   fleet.net.run_for(10 * kSecond);
-  EXPECT_LE(fleet.usable(kQuota), 601);  // those that may be there have their even parts
+  EXPECT_LE(fleet.usable(kQuota), 601);  // routers that may exist have their even shares
   fleet.net.run_for(static_cast<Time>(membership_settles(kSize) + 20 + 10 + 10) * kSecond);
-  // All but the reserve, which is kept for bursts where more is wanted than is there.
+  // All but the reserve, which is kept while demand exceeds the total.
   EXPECT_GE(fleet.usable(kQuota), 0.9499 * 600);
 }
 
-// Names are long and datagrams short.
-TEST(SharesSizes, AsManyLimitsAsMayBeAreLeasedInDatagramsOf256Bytes) {
+// With long names of routers in the datagrams.
+TEST(LeaseFleet, MaximumOfLimits_AreLeasedInDatagramsOf256Bytes) {
   membership::Settings view;
   view.datagram = 256;
   Fleet fleet(5, 9, 10, 100, view, "a-name-as-long-as-a-name-may-be");
@@ -239,8 +239,8 @@
   EXPECT_LE(fleet.net.sent().longest, 256U);
 }
 
-// A tenant's thin traffic at each of many: all of it is within the quota.
-TEST(SharesSizes, ThreeHundredWithOneRequestASecondEachHaveIt) {
+// One request a second of a tenant at each of 300 routers, all within the quota.
+TEST(LeaseFleet, ThreeHundredRoutersWithThinTraffic_AllGetTheirRate) {
   constexpr std::size_t kSize = 300;
   Fleet fleet(kSize, 6, 300, 330);
   for (double& one : fleet.asks) one = 1.1;
@@ -251,7 +251,7 @@
   EXPECT_LE(fleet.usable(kQuota), 330.1);
 }
 
-TEST(SharesSizes, ThreeHundredKilledAndStartedAtOnceAreNeverOver) {
+TEST(LeaseFleet, ThreeHundredRestartedAtOnce_KeepUseWithinTotal) {
   constexpr std::size_t kSize = 300;
   Fleet fleet(kSize, 5, 900);
   fleet.start_all();
--- a/tests/shares/model_test.cpp
+++ b/tests/shares/model_test.cpp
@@ -64,7 +64,7 @@
   Time clock(std::size_t router) const {
     return static_cast<Time>(static_cast<double>(now) * rates[router]) + ahead[router];
   }
-  // Its clock is set forward, and its timers are due.
+  // Sets a router's clock forward; its timers are due.
   void jump(std::size_t router, Time by) {
     ahead[router] += by;
     if (up[router] && !paused[router]) pass(0);
@@ -108,7 +108,7 @@
     for (OutgoingMessage& send : cores[router].take_messages())
       if (const std::size_t to = send.to - 1; up[to])
         network.push_back({router, to, std::move(send.message)});
-    // What is beyond this counts as lost: the oldest first.
+    // Beyond this the oldest messages are lost.
     while (!lossless && network.size() > most_under_way) network.erase(network.begin());
     look(router);
     check();
@@ -148,7 +148,7 @@
       if (up[i]) out += allowance(i).usable(clock(i));
     return out;
   }
-  // No fault any more; returns whether all of the total that routers can have is theirs within the time.
+  // Ends all faults; returns whether the whole total becomes usable within `time`.
   bool calm(Time time) {
     for (std::size_t i = 0; i < kRouters; ++i) {
       paused[i] = false;
@@ -163,7 +163,7 @@
     }
     return usable() >= kTotal;
   }
-  std::size_t home() const {
+  std::size_t granter() const {
     for (std::size_t i = 0; i < kRouters; ++i)
       if (up[i] && cores[i].is_granter(0, clock(i))) return i;
     return kRouters;
@@ -223,39 +223,39 @@
   }
 }
 
-// Where the search begins: in a fleet at rest with one home, and after its home has been lost in each way.
+// Initial states of the search: a fleet at rest with one granter, and each way of losing the granter.
 std::vector<World> beginnings(const std::vector<double>& rates) {
   World world;
   world.rates = rates;
   for (std::size_t i = 0; i < kRouters; ++i) world.start(i);
-  if (!world.calm(30 * kSecond) || world.home() == kRouters) return {};
+  if (!world.calm(30 * kSecond) || world.granter() == kRouters) return {};
   std::vector<World> out{world};
-  const std::size_t home = world.home();
-  // Its promises are about to end, and nobody has heard of more.
+  const std::size_t granter = world.granter();
+  // The granter's votes are about to expire, and its extensions were lost.
   World late = world;
   for (int i = 0; i < 2; ++i) {
     late.network.clear();
     late.pass(kStep);
   }
   out.push_back(late);
-  // It is stopped, and another has taken its place.
+  // The granter is suspended, and another router was elected.
   World stopped = world;
-  stopped.paused[home] = true;
+  stopped.paused[granter] = true;
   --stopped.pauses;
   for (int i = 0; i < 60 && stopped.broken.empty(); ++i) {
     while (!stopped.network.empty()) stopped.deliver(0, false, true);
     bool another = false;
     for (std::size_t k = 0; k < kRouters; ++k)
-      another |= k != home && stopped.cores[k].is_granting(0, stopped.clock(k));
+      another |= k != granter && stopped.cores[k].is_granting(0, stopped.clock(k));
     if (another) break;
     stopped.pass(kSecond / 5, true);
   }
   out.push_back(stopped);
-  // It is killed and started again, and voters have just been asked by it.
+  // The granter was killed and restarted.
   World killed = world;
-  killed.kill(home);
+  killed.kill(granter);
   --killed.kills;
-  killed.start(home);
+  killed.start(granter);
   --killed.starts;
   out.push_back(killed);
   return out;
@@ -268,7 +268,7 @@
   found.faults_end = [](World calm) {
     const Settings own = settings(0, calm.work, calm.term);
     if (!calm.calm(static_cast<Time>(recovery_bound_seconds(own) * kSecond)))
-      return std::string("the total did not come to be of use");
+      return std::string("the whole total did not become usable");
     return calm.broken;
   };
   for (const std::vector<double>& rates :
@@ -283,9 +283,8 @@
   EXPECT_GE(found.states, 1'000U);
 }
 
-// Long histories, drawn: of all that the search has, and of messages that are played again much later, of
-// demand that moves, and of a router that is cut off for a while.
-// `world`: with the rules to be used, and no router started.
+// A long random history: all steps of the search, late replays, demand that moves, a router that is cut off,
+// wrong views, clocks that jump. `world`: holds the rules to check; no router is started in it.
 std::string drawn_history(std::uint64_t seed, World world = {}) {
   std::mt19937_64 random(seed);
   const auto draw = [&](std::uint64_t below) { return random() % below; };
@@ -296,7 +295,7 @@
   for (std::size_t i = 0; i < kRouters; ++i) world.start(i);
   std::vector<World::UnderWay> old;
   std::size_t cut = kRouters;
-  // Some histories are calm for long, in some much goes wrong at once.
+  // Rates of faults differ between histories.
   const std::uint64_t disorder = 1 + draw(50), trouble = 1 + draw(12), ends = 1 + draw(6),
                       moves = 1 + draw(60), wrong_views = draw(10), jumps = draw(2);
   for (int step = 0; step < 2'000 && world.broken.empty(); ++step) {
@@ -319,7 +318,7 @@
     } else if (in(moves)) {
       world.wants[who] = static_cast<double>(draw(6));
     } else if (in(wrong_views)) {
-      // Some that live are held unreachable, some dead alive, and a count may be too low.
+      // A wrong view: living routers are missing, dead ones are listed, the count may be too low.
       std::vector<Address> seen;
       for (std::uint32_t i = 0; i < kRouters; ++i)
         if (draw(2) == 0) seen.push_back(membership::numbered(i));
@@ -351,7 +350,7 @@
   world.network.clear();
   const Settings own = settings(0, world.work, world.term);
   if (!world.calm(static_cast<Time>(recovery_bound_seconds(own) * kSecond)) && world.broken.empty())
-    return "the total did not come to be of use";
+    return "the whole total did not become usable";
   return world.broken;
 }
 
@@ -378,14 +377,14 @@
   const auto claim = [&](Incarnation holder, double demand, std::uint32_t acknowledged, bool same_epoch) {
     now += own.period / 5;
     ++sequence;
-    const LeaseTable::Claim claim{
+    const LeaseTable::Claim request{
         .holder = holder,
         .from = holder,
         .sequence = sequence,
         .item = {.limit = kLimit, .demand = demand, .acknowledged_grant = acknowledged},
         .weight = 1,
         .same_epoch = same_epoch};
-    return table.claim(now, own, own.limits[0], kRouters, claim, {.number = sequence, .duration = kSecond})
+    return table.claim(now, own, own.limits[0], kRouters, request, {.number = sequence, .duration = kSecond})
         .value_or(-1);
   };
   std::vector<double> amounts;
@@ -403,8 +402,8 @@
   EXPECT_EQ(claims_with_foreign_acknowledgement(kStandardSafetyRules), kOneStaysOutstanding);
 }
 
-// A process that follows another at its address numbers its claims anew: what was granted to the one before
-// is not for it.
+// A successor at the same address numbers its claims from 1 again, so that a grant to its predecessor could
+// match one.
 TEST(LeaseModel, GrantForAnotherIncarnation_IsNotApplied) {
   Settings alone = settings(0, kSecond, 3 * kSecond);
   alone.self = membership::numbered(1);
@@ -435,7 +434,7 @@
     EXPECT_EQ(core.allowance(kLimit).leased, holder == 5 ? 2 : 0);
   }
   EXPECT_EQ(core.counters().stale_grants, 1U);
-  // It ends by the holder's clock, a margin before the home's.
+  // The lease ends by the holder's clock, with a margin for the granter's.
   EXPECT_EQ(core.allowance(kLimit).usable(now + shrink_for_drift(kSecond, alone.max_clock_drift) - 1), 3);
   EXPECT_EQ(core.allowance(kLimit).usable(now + shrink_for_drift(kSecond, alone.max_clock_drift)), 1);
 }
--- a/tests/shares/parts_test.cpp
+++ b/tests/shares/parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of shared limits by themselves: division, a home's book, payloads.
+// Units of the lease protocol: fair division, the lease table, applying grants, payloads.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -25,9 +25,9 @@
   return out;
 }
 
-// Nobody has more than it wants; all is given out that is wanted; and whoever has less than it wants has, by
-// weight, no less than anybody else.
-TEST(SharesDivision, IsMaxMinFair) {
+// No share exceeds its demand; the total is used up or all demand is met; and a demand that is not met has,
+// by weight, no less than any other.
+TEST(FairDivision, RandomDemands_AreDividedMaxMinFair) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const std::vector<Demand> wants = some_wants(random, false);
@@ -47,7 +47,7 @@
   });
 }
 
-TEST(SharesDivision, InWholePartsNothingIsLeftAndNobodyIsFarFromItsFairPart) {
+TEST(FairDivision, IntegralUnits_LeaveNothingAndAverageToFairShares) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const std::vector<Demand> wants = some_wants(random, true);
@@ -69,14 +69,14 @@
       RC_ASSERT(given == std::min(total, wanted));
       has = parts;
     }
-    // Over time each has its fair allowance, to within what it may be short of.
+    // The mean is the fair share, up to the bound of accumulated shortfalls.
     for (std::size_t i = 0; i < wants.size(); ++i)
       RC_ASSERT(std::abs(sums[i] / kRounds - fair[i]) <
                 (static_cast<double>(wants.size()) + 2 * kHoldDivisions) / kRounds + 0.02);
   });
 }
 
-TEST(SharesDivision, OnePlaceGoesRoundAmongTwelve) {
+TEST(FairDivision, OneUnitAmongTwelve_RotatesSlowly) {
   const std::vector<Demand> wants(12, Demand{1, 1});
   std::vector<double> credits(12), has(12), had(12);
   int moves = 0;
@@ -87,15 +87,14 @@
     has = parts;
   }
   for (const double one : had) EXPECT_GE(one, 30);
-  EXPECT_LE(moves, 130);  // it stays for some divisions
+  EXPECT_LE(moves, 130);  // a unit stays for kHoldDivisions
 }
 
-// One that claims without end gets no more than its fair allowance, and the rest what is theirs.
-TEST(SharesLedger, AClaimWithoutEndGetsItsFairPart) {
+TEST(LeaseTable, UnboundedClaim_GetsItsFairShare) {
   Settings settings;
   settings.expected_routers = 4;
   for (const LimitKind kind : {LimitKind::hard, LimitKind::soft}) {
-    const Limit limit{"x", 1, kind, 100};
+    const Limit limit{.name = "x", .id = 1, .kind = kind, .total = 100};
     LeaseTable table;
     Time now = kSecond;
     std::vector<double> has(4);
@@ -104,9 +103,12 @@
     for (int round = 0; round < 40; ++round, now += kSecond / 2)
       for (std::size_t i = 0; i < 4; ++i) {
         ++number;
-        const LimitItem item{1, i == 0 ? 1e9 : 30.0, 0, seen[i], has[i]};
-        const auto got = table.claim(now, settings, limit, 4, {i + 1, i + 1, number, item, 1, true},
-                                     {.number = number, .duration = 3 * kSecond});
+        const LimitItem item{
+            .limit = 1, .demand = i == 0 ? 1e9 : 30.0, .acknowledged_grant = seen[i], .amount = has[i]};
+        const auto got = table.claim(
+            now, settings, limit, 4,
+            {.holder = i + 1, .from = i + 1, .sequence = number, .item = item, .same_epoch = true},
+            {.number = number, .duration = 3 * kSecond});
         ASSERT_TRUE(got);
         has[i] = *got;
         seen[i] = number;
@@ -114,20 +116,22 @@
     const double pool = kind == LimitKind::hard ? leasable_total(limit, settings) : 100;
     for (std::size_t i = 0; i < 4; ++i) EXPECT_NEAR(has[i], pool / 4, 0.06 * pool) << i;
     EXPECT_LE(std::accumulate(has.begin(), has.end(), 0.0), pool);
-    // An older claim says nothing.
-    EXPECT_FALSE(table.claim(now, settings, limit, 4, {1, 1, 1, {1, 5, 0, 0, 0}, 1, true},
-                             {.number = ++number, .duration = kSecond}));
+    // A late claim is ignored.
+    EXPECT_FALSE(table.claim(
+        now, settings, limit, 4,
+        {.holder = 1, .from = 1, .sequence = 1, .item = {.limit = 1, .demand = 5}, .same_epoch = true},
+        {.number = ++number, .duration = kSecond}));
   }
 }
 
-// However many processes claim from one address, one after the other: together they have one allowance, and
-// nobody else's falls under its own. Of a hard limit the next one waits out what the one before it holds.
-TEST(SharesLedger, AnAddressHasOnePartHoweverManyClaimFromIt) {
+// Processes that claim from one address one after the other share one router's share. Of a hard limit, the
+// next one waits until its predecessor's leases have expired.
+TEST(LeaseTable, ManyProcessesAtOneAddress_HaveOneShare) {
   Settings settings;
   settings.expected_routers = 4;
   settings.reserve_share = 0;
   for (const LimitKind kind : {LimitKind::hard, LimitKind::soft}) {
-    const Limit limit{"x", 1, kind, 80};
+    const Limit limit{.name = "x", .id = 1, .kind = kind, .total = 80};
     const double pool = kind == LimitKind::hard ? leasable_total(limit, settings) : 80;
     LeaseTable table;
     Time now = kSecond;
@@ -135,12 +139,14 @@
     std::map<Address, double> has;
     for (int round = 0; round < 60; ++round, now += settings.period)
       for (Address at = 1; at <= 4; ++at) {
-        // The first makes up another boot each time.
+        // The first address claims as a new process each time.
         const Incarnation boot = at == 1 ? 100 + static_cast<Incarnation>(round) : at;
-        const LimitItem item{1, 80, 0, number, has[at]};
+        const LimitItem item{.limit = 1, .demand = 80, .acknowledged_grant = number, .amount = has[at]};
         ++number;
-        const auto got = table.claim(now, settings, limit, 4, {boot, at, number, item, 1, true},
-                                     {.number = number, .duration = settings.lease_duration});
+        const auto got =
+            table.claim(now, settings, limit, 4,
+                        {.holder = boot, .from = at, .sequence = number, .item = item, .same_epoch = true},
+                        {.number = number, .duration = settings.lease_duration});
         has[at] = got.value_or(0);
         ASSERT_LE(table.holder_count(), 3 + LeaseTable::kMaxHoldersPerAddress);
         if (kind == LimitKind::hard) ASSERT_LE(table.outstanding(now), pool);
@@ -150,8 +156,8 @@
   }
 }
 
-// At each instant what is out is within the pool, however claims come, are answered, and are owned up to.
-TEST(SharesLedger, WhatIsOutIsNeverMoreThanThePool) {
+// Whatever the order of claims, grants and acknowledgements.
+TEST(LeaseTable, RandomClaims_KeepOutstandingWithinPool) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     Settings settings;
@@ -181,9 +187,14 @@
         continue;
       }
       it.amount = std::min(it.amount, static_cast<double>(random() % 20));
-      const LimitItem item{1, static_cast<double>(random() % 20), 0, it.seen, it.amount};
-      const auto got = table.claim(now, settings, limit, 6, {i + 1, i + 1, ++number, item, 1, true},
-                                   {.number = number, .duration = 3 * kSecond});
+      const LimitItem item{.limit = 1,
+                           .demand = static_cast<double>(random() % 20),
+                           .acknowledged_grant = it.seen,
+                           .amount = it.amount};
+      const auto got = table.claim(
+          now, settings, limit, 6,
+          {.holder = i + 1, .from = i + 1, .sequence = ++number, .item = item, .same_epoch = true},
+          {.number = number, .duration = 3 * kSecond});
       if (got) it.under_way.emplace_back(number, *got);
       RC_ASSERT(table.outstanding(now) <= pool);
       for (std::size_t k = 0; k < holders.size(); ++k) RC_ASSERT(holders[k].amount <= pool);
@@ -191,9 +202,8 @@
   });
 }
 
-// As many limits as may be, each claimed by a datagram of its own: every answer is taken, whatever their
-// order.
-TEST(SharesCore, EveryAnswerToAPeriodsClaimsIsTaken) {
+// With the maximum number of limits, each claimed by its own datagram.
+TEST(LeaseProtocol, OneClaimForEachLimit_AllGrantsAreApplied) {
   Settings settings;
   settings.self = membership::numbered(1);
   settings.voters = {membership::numbered(0)};
@@ -246,7 +256,7 @@
   return out;
 }
 
-TEST(SharesWire, WhatIsWrittenIsReadAndTakesNoMoreThanWasSaid) {
+TEST(LeaseWire, EncodedMessage_DecodesEqualAndFitsItsBound) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const Message message = some_message(random);
@@ -258,8 +268,7 @@
   });
 }
 
-// Any bytes are a message whose fields are within their bounds, or none.
-TEST(SharesWire, DamagedBytesAreNoMessageBeyondItsBounds) {
+TEST(LeaseWire, DamagedBytes_DecodeWithinBoundsOrNotAtAll) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     std::string payload = encode(some_message(random));
