--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -11,9 +11,7 @@
 
 using membership::Change;
 using membership::Counts;
-using membership::Member;
 using membership::Record;
-using membership::State;
 using nlohmann::ordered_json;
 
 namespace {
@@ -62,20 +60,20 @@
   hooks_.count_anew();
   const auto view = [this] {
     const std::uint32_t routers = count_.value();
-    return Limits::View{leases::living_peers(shell_.core()), routers};
+    return SharedLimits::View{leases::living_peers(shell_.core()), routers};
   };
   const auto tell = [this](membership::Address to, std::string payload) {
     shell_.tell_for(membership::kShares, to, std::move(payload));
   };
   ShareOptions own = options;
   own.core.max_items = std::max<std::size_t>(1, leases::max_items_in(shell_.core().room_for_guests()));
-  limits_ = std::make_unique<Limits>(
+  limits_ = std::make_unique<SharedLimits>(
       time_, own, tenants.names, tenants.all, shell_.core().self().boot, seed,
-      Limits::Hooks{view, hooks_.asked, hooks_.origin, hooks_.take, tell, hooks_.log});
+      SharedLimits::Hooks{view, hooks_.asked, hooks_.origin, hooks_.take, tell, hooks_.log});
   shell_.set_guests({[this](const membership::Guest& guest) {
-                       if (guest.guest == membership::kShares) limits_->heard(guest.from, guest.payload);
+                       if (guest.guest == membership::kShares) limits_->on_payload(guest.from, guest.payload);
                      },
-                     [this] { limits_->begin(); }});
+                     [this] { limits_->start(); }});
 }
 
 void Fleet::set_tenants(const Tenants& tenants) {
@@ -187,7 +185,7 @@
   return counted(shell_.core().counts(now), now, hooks_.divided_by()).dump();
 }
 
-std::string Fleet::shares() const { return limits_ ? limits_->told() : ""; }
+std::string Fleet::shares() const { return limits_ ? limits_->status() : ""; }
 
 std::string Fleet::view() const {
   const auto now = time_.now();
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -10,9 +10,9 @@
 #include <optional>
 #include <string>
 
-#include "fleet/limits.h"
 #include "fleet/options.h"
 #include "fleet/router_count.h"
+#include "fleet/shared_limits.h"
 #include "membership/udp.h"
 
 namespace streampick::fleet {
@@ -38,7 +38,7 @@
   // `constant`: the number of routers in the platform's settings.
   Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options, std::uint64_t seed,
         std::uint32_t constant, Hooks hooks);
-  // Limits that are shared, from now on.
+  // SharedLimits that are shared, from now on.
   void share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
 
   // By how many totals are to be divided where the platform's settings say so many routers; and those
@@ -78,7 +78,7 @@
   std::string was_closed_;
   boost::asio::steady_timer second_;
   membership::UdpShell shell_;
-  std::unique_ptr<Limits> limits_;
+  std::unique_ptr<SharedLimits> limits_;
 };
 
 }  // namespace streampick::fleet
--- a/tests/fleet/limits_digest_test.cpp
+++ b/tests/fleet/limits_digest_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "engine/hand_driven.h"
-#include "fleet/limits.h"
+#include "fleet/shared_limits.h"
 #include "shares/wire.h"
 
 namespace streampick::test {
@@ -64,14 +64,14 @@
   }
 
   const Transcript& run() {
-    for (auto& limits : limits_) limits->begin();
+    for (auto& limits : limits_) limits->start();
     for (int step = 0; step < kSteps; ++step) {
       draw_load();
       time_.advance(kSecond / 10);
       deliver();
       if (step % 50 == 49) report();
       if (step == kSteps / 3) reconfigure();
-      if (step == kSteps / 2) limits_[1]->heard(membership::numbered(0), "no message");
+      if (step == kSteps / 2) limits_[1]->on_payload(membership::numbered(0), "no message");
       if (step == kSteps * 2 / 3) limits_[0]->leave(false);
     }
     for (auto& limits : limits_) limits->leave(true);
@@ -83,7 +83,7 @@
  private:
   static constexpr int kSteps = 600;
 
-  std::unique_ptr<fleet::Limits> make(std::size_t router) {
+  std::unique_ptr<fleet::SharedLimits> make(std::size_t router) {
     fleet::ShareOptions options;
     options.origin_places = 24;
     options.core.self = membership::numbered(static_cast<std::uint32_t>(router));
@@ -93,8 +93,10 @@
     options.core.max_work_duration = kSecond;
     options.core.shards = 2;
     options.core.limits = fleet::limits_of(options, names_, tenants_);
-    fleet::Limits::Hooks hooks;
-    hooks.view = [router] { return fleet::Limits::View{{membership::numbered(router == 0 ? 1U : 0U)}, 2}; };
+    fleet::SharedLimits::Hooks hooks;
+    hooks.view = [router] {
+      return fleet::SharedLimits::View{{membership::numbered(router == 0 ? 1U : 0U)}, 2};
+    };
     hooks.asked = [this, router]() -> const std::vector<std::uint64_t>& { return asked_[router]; };
     hooks.origin = [this, router] { return origin_[router]; };
     hooks.take = [this, router](const Shares& shares) {
@@ -107,8 +109,8 @@
     hooks.log = [this, router](std::string_view line) {
       transcript_.add(std::to_string(router) + " log " + std::string(line));
     };
-    return std::make_unique<fleet::Limits>(time_, options, names_, tenants_, 7 + router, 90 + router,
-                                           std::move(hooks));
+    return std::make_unique<fleet::SharedLimits>(time_, options, names_, tenants_, 7 + router, 90 + router,
+                                                 std::move(hooks));
   }
   void draw_load() {
     for (const std::size_t router : {0U, 1U}) {
@@ -120,7 +122,7 @@
   void deliver() {
     for (int round = 0; round < 4; ++round)
       for (const auto& [from, payload] : std::exchange(sent_, {}))
-        limits_[1 - from]->heard(membership::numbered(static_cast<std::uint32_t>(from)), payload);
+        limits_[1 - from]->on_payload(membership::numbered(static_cast<std::uint32_t>(from)), payload);
   }
   void reconfigure() {
     for (const std::size_t router : {0U, 1U}) {
@@ -130,7 +132,7 @@
   }
   void report() {
     for (const auto& limits : limits_) {
-      transcript_.add(limits->told());
+      transcript_.add(limits->status());
       transcript_.add(limits->summary());
     }
   }
@@ -144,7 +146,7 @@
                                                       std::vector<std::uint64_t>(3)};
   std::array<OriginWork, 2> origin_{};
   std::vector<std::pair<std::size_t, std::string>> sent_;
-  std::array<std::unique_ptr<fleet::Limits>, 2> limits_;
+  std::array<std::unique_ptr<fleet::SharedLimits>, 2> limits_;
 };
 
 TEST(FleetLimitsDigest, TwoRouters_SendAndReportWhatWasRecorded) {
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -1,16 +1,15 @@
 // A router's own side of shared limits, on a hand-driven clock: what it claims by what it is asked, and what
 // the decision module is told.
-#include "fleet/limits.h"
-
 #include <gtest/gtest.h>
 
 #include "engine/hand_driven.h"
+#include "fleet/shared_limits.h"
 #include "shares/wire.h"
 
 namespace streampick::test {
 namespace {
 
-using fleet::Limits;
+using fleet::SharedLimits;
 using leases::kSecond;
 
 // A router that is the only voter and the only one there, so that it divides all among itself.
@@ -28,12 +27,12 @@
     }
     asked.resize(tenants);
     options.core.limits = fleet::limits_of(options, names, all);
-    limits = std::make_unique<Limits>(time, options, names, all, 7, 7, hooks());
+    limits = std::make_unique<SharedLimits>(time, options, names, all, 7, 7, hooks());
   }
 
-  Limits::Hooks hooks() {
-    Limits::Hooks hooks;
-    hooks.view = [this] { return Limits::View{{}, routers}; };
+  SharedLimits::Hooks hooks() {
+    SharedLimits::Hooks hooks;
+    hooks.view = [this] { return SharedLimits::View{{}, routers}; };
     hooks.asked = [this]() -> const auto& { return asked; };
     hooks.origin = [this] { return origin; };
     hooks.take = [this](Shares own) {
@@ -55,20 +54,20 @@
   Shares told;
   int changes = 0;
   int said = 0;
-  std::unique_ptr<Limits> limits;
+  std::unique_ptr<SharedLimits> limits;
 };
 
 TEST(FleetLimits, BeforeStart_HardLimitIsUnusableAndSoftLimitIsEvenShare) {
   Alone router(1, 16);
   EXPECT_EQ(router.told.origin_reserved, 0);
   EXPECT_EQ(router.told.quotas, std::vector<double>{25});  // of four, as the settings say
-  router.limits->begin();
+  router.limits->start();
   EXPECT_EQ(router.told.origin_reserved, 1);  // of sixteen a quarter needs no lease
 }
 
 TEST(FleetLimits, RequestedAndQueuedWork_IsClaimed) {
   Alone router(2, 16);
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   router.origin = {0, 9};
   for (int i = 0; i < 100; ++i) {
@@ -87,7 +86,7 @@
 
 TEST(FleetLimits, LeftButRunning_KeepsMinimaAndEvenShares) {
   Alone router(1, 16);
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   router.limits->leave(false);
   EXPECT_EQ(router.told.origin_reserved, 1);
@@ -101,7 +100,7 @@
 TEST(FleetLimits, TenantsBeyondMaximumOfLimits_HaveEvenShares) {
   Alone router(70, 0);
   router.routers = 2;
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   ASSERT_EQ(router.told.quotas.size(), 70U);
   EXPECT_EQ(router.told.quotas[69], 50);
@@ -112,7 +111,7 @@
 // leave nothing behind.
 TEST(FleetLimits, ChangedTenants_StartWithoutDemand) {
   Alone router(2, 0);
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   for (int i = 0; i < 50; ++i) {
     router.asked[0] += 8;
@@ -124,15 +123,15 @@
   router.time.advance(5 * kSecond);
   ASSERT_EQ(router.told.quotas.size(), 1U);
   EXPECT_LT(router.told.quotas[0], 10);
-  EXPECT_EQ(router.limits->told().find("quota of t0"), std::string::npos);
+  EXPECT_EQ(router.limits->status().find("quota of t0"), std::string::npos);
 }
 
 TEST(FleetLimits, UnreadablePayload_IsOnlyCounted) {
   Alone router(1, 16);
-  router.limits->begin();
+  router.limits->start();
   const int before = router.changes;
-  router.limits->heard(membership::numbered(3), "no message");
-  EXPECT_EQ(router.limits->unreadable(), 1U);
+  router.limits->on_payload(membership::numbered(3), "no message");
+  EXPECT_EQ(router.limits->unreadable_payloads(), 1U);
   EXPECT_EQ(router.changes, before);
 }
 
