--- a/bench/shares/shares.cpp
+++ b/bench/shares/shares.cpp
@@ -1,7 +1,6 @@
-// What shared limits cost and how soon they follow: guests' datagrams and bytes of one router at rest and
-// after demand has moved, the time of a move and of the way back after a home's death beside the bounds, on
-// virtual time; and what a request pays in the module.
-// bench_shares [ROUTERS:BYTES ...]
+// Cost and reaction time of the lease protocol on virtual time: datagrams of one router at rest and while
+// demand moves, the time of a move and of the recovery after a granter's death beside their bounds; and the
+// cost of a request in the decision module. bench_shares [ROUTERS:BYTES ...]
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -16,10 +15,10 @@
 namespace {
 
 using namespace streampick;
-using shares::Kind;
-using shares::kSecond;
+using leases::kSecond;
+using leases::LimitKind;
 
-constexpr shares::LimitId kPlaces = 0, kQuota = 5;  // of two seats
+constexpr leases::LimitId kPlaces = 0, kQuota = 5;  // of two seats
 
 double cpu_seconds() {
   timespec time{};
@@ -30,35 +29,36 @@
 struct Fleet {
   Fleet(std::size_t size, std::size_t datagram) : net(3) {
     net.settings.max_datagram_size = datagram;
-    settings.routers = static_cast<std::uint32_t>(size);
-    settings.seats = 4;
+    settings.expected_routers = static_cast<std::uint32_t>(size);
+    settings.shards = 4;
     for (std::uint32_t i = 0; i < 5; ++i)
       settings.voters.push_back(membership::numbered(i * static_cast<std::uint32_t>(size) / 5));
     const auto each = static_cast<double>(size);
-    settings.limits = {{"places", kPlaces, Kind::hard, 4 * each}, {"quota", kQuota, Kind::soft, 10 * each}};
+    settings.limits = {{"places", kPlaces, LimitKind::hard, 4 * each},
+                       {"quota", kQuota, LimitKind::soft, 10 * each}};
     net.shares = [this](std::size_t) { return std::optional(settings); };
     net.add_many(size);
     for (std::size_t i = 0; i < size; ++i) net.start(i);
   }
   void demand(std::size_t node, double places, double quota) {
-    net.share(node).demand(net.now(node), kPlaces, places, 0);
-    net.share(node).demand(net.now(node), kQuota, quota, 0);
+    net.share(node).set_demand(net.now(node), kPlaces, places, 0);
+    net.share(node).set_demand(net.now(node), kQuota, quota, 0);
     net.flush(node);
   }
   double guests() const { return static_cast<double>(net.traffic().datagrams.back()); }
-  double usable(std::size_t node, shares::LimitId limit) const {
-    return net.share(node).part(limit).usable(net.now(node));
+  double usable(std::size_t node, leases::LimitId limit) const {
+    return net.share(node).allowance(limit).usable(net.now(node));
   }
   double until(const std::function<bool()>& done, double most) {
     const auto from = net.now();
     std::size_t events = 0;
     const std::size_t each = net.size() > 50 ? 20 : 1;
     const bool is = net.run_until([&] { return ++events % each == 0 && done(); },
-                                  static_cast<shares::Time>(most * kSecond));
+                                  static_cast<leases::Time>(most * kSecond));
     const double took = static_cast<double>(net.now() - from) / kSecond;
     return is ? took : -took;
   }
-  shares::Settings settings;
+  leases::Settings settings;
   emulator::SimulatedNetwork net;
 };
 
@@ -79,22 +79,23 @@
   fleet.net.run_for(10 * kSecond);
   const double rest = (fleet.guests() - guests) / 10 / each;
   cpu = 1e6 * (cpu_seconds() - cpu) / 10 / each;
-  // All of a tenant's demand is at one router from one moment on.
+  // All of a tenant's demand moves to one router at once.
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 0, i == 0 ? quota : 0);
   guests = fleet.guests();
   const double moved = fleet.until([&] { return fleet.usable(0, kQuota) >= 0.95 * quota; }, 60);
   const double shift = (fleet.guests() - guests) / std::max(0.1, moved) / each;
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 8, 12);
   fleet.until(leased, 60);
-  // The home of the places dies.
-  std::size_t home = 0;
-  while (home + 1 < routers && !fleet.net.share(home).home(kPlaces % 4, fleet.net.now(home))) ++home;
-  fleet.net.kill(home);
+  // The granter of the hard limit is killed.
+  std::size_t granter = 0;
+  while (granter + 1 < routers && !fleet.net.share(granter).is_granter(kPlaces % 4, fleet.net.now(granter)))
+    ++granter;
+  fleet.net.kill(granter);
   fleet.until([&] { return !leased(); }, 10);
   const double back = fleet.until(leased, 120);
   std::printf("| %zu, %zu | %.1f | %.2f | %.2f | %.0f | %.2f (%.1f) | %.1f (%.1f) |\n", routers, datagram,
-              begun, rest, shift, cpu, moved, shares::moved_seconds(fleet.settings), back,
-              shares::back_seconds(fleet.settings));
+              begun, rest, shift, cpu, moved, leases::demand_shift_bound_seconds(fleet.settings), back,
+              leases::recovery_bound_seconds(fleet.settings));
   std::fflush(stdout);
 }
 
@@ -106,7 +107,7 @@
   void poll_discovery() override {}
 };
 
-// Nanoseconds for a request of a tenant with a quota, from its coming to its answer.
+// CPU time in nanoseconds for a request of a tenant with a quota, from arrival to cancellation.
 double a_request(bool shared) {
   Config config;
   config.routers = 12;
@@ -148,7 +149,7 @@
   std::sort(shared.begin(), shared.end());
   std::sort(alone.begin(), alone.end());
   std::printf(
-      "a request in the module, ns: %.0f with an even part, %.0f with its own (median of 7; least %.0f, "
+      "a request in the module, ns: %.0f with an even allowance, %.0f with its own (median of 7; least %.0f, "
       "%.0f)\n\n",
       alone[3], shared[3], alone[0], shared[0]);
   std::printf(
--- a/cmake/fleet.cmake
+++ b/cmake/fleet.cmake
@@ -32,7 +32,8 @@
 
 # Limits that routers share. Its core does no I/O.
 streampick_plain_proto(shares streampick_shares_proto)
-set(streampick_shares_core src/shares/candidacy.cpp src/shares/core.cpp src/shares/division.cpp src/shares/ledger.cpp)
+set(streampick_shares_core src/shares/candidate_order.cpp src/shares/election.cpp src/shares/fair_division.cpp
+  src/shares/lease_granter.cpp src/shares/lease_holder.cpp src/shares/lease_protocol.cpp src/shares/lease_table.cpp)
 add_library(streampick_shares STATIC ${streampick_shares_core} src/shares/wire.cpp
   ${streampick_shares_proto})
 target_include_directories(streampick_shares SYSTEM PRIVATE ${streampick_messages} ${XXHASH_INCLUDE})
@@ -47,7 +48,8 @@
 target_compile_definitions(streampick_platform PUBLIC STREAMPICK_WITH_FLEET)
 target_link_libraries(streampick_platform PUBLIC streampick_membership_records)
 # The shell on a socket, and what the daemon does with the view.
-add_library(streampick_fleet_parts STATIC src/fleet/fleet.cpp src/fleet/limits.cpp src/membership/gossip_socket.cpp
+add_library(streampick_fleet_parts STATIC src/fleet/demand_sampler.cpp src/fleet/fleet.cpp
+  src/fleet/shared_limits.cpp src/fleet/shared_limits_status.cpp src/membership/gossip_socket.cpp
   src/membership/send_budget.cpp)
 target_link_libraries(streampick_fleet_parts PUBLIC streampick_membership streampick_shares streampick_platform)
 target_link_libraries(streampick_daemon PUBLIC streampick_fleet_parts)
--- a/src/emulator/simulated_network.cpp
+++ b/src/emulator/simulated_network.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "membership/wire.h"
-#include "shares/view.h"
+#include "shares/fleet_view.h"
 #include "shares/wire.h"
 
 namespace streampick::emulator {
@@ -85,17 +85,17 @@
 }
 
 void SimulatedNetwork::start_shares(std::size_t number) {
-  std::optional<shares::Settings> own = shares(number);
+  std::optional<leases::Settings> own = shares(number);
   if (!own) {
     return;
   }
   Node& node = nodes_[number];
   own->self = address(number);
-  own->items = shares::items_in(node.gossip->max_payload_size());
-  node.router_count.emplace(own->routers, own->period * kCountHoldPeriods);
+  own->max_items = leases::max_items_in(node.gossip->max_payload_size());
+  node.router_count.emplace(own->expected_routers, own->period * kCountHoldPeriods);
   node.view_reported_at = 0;
-  node.share = std::make_unique<shares::Core>(*own, random_() | 1U, random_(), now(number));
-  node.share->begin(now(number));
+  node.share = std::make_unique<leases::LeaseProtocol>(*own, random_() | 1U, random_(), now(number));
+  node.share->start(now(number));
 }
 
 void SimulatedNetwork::kill(std::size_t node) {
@@ -182,12 +182,12 @@
   if (time >= node.gossip->next_wakeup()) {
     node.gossip->tick(time);
   }
-  if (node.share && time >= node.share->next()) {
+  if (node.share && time >= node.share->next_wakeup()) {
     const bool is_view_due = time - node.view_reported_at >= node.share->settings().period;
     if (is_view_due || node.view_reported_at == 0) {
       node.view_reported_at = time;
-      node.share->view(time, shares::living(*node.gossip),
-                       node.router_count->see(time, node.gossip->summary(time)));
+      node.share->set_view(time, leases::living_peers(*node.gossip),
+                           node.router_count->see(time, node.gossip->summary(time)));
     }
     node.share->tick(time);
   }
@@ -221,7 +221,7 @@
 void SimulatedNetwork::exchange_payloads(std::size_t number) {
   Node& node = nodes_[number];
   for (const membership::ReceivedPayload& payload : node.gossip->take_payloads()) {
-    const auto message = shares::decode(payload.bytes);
+    const auto message = leases::decode(payload.bytes);
     if (message && node.share && payload.protocol == membership::kShares) {
       node.share->receive(now(number), payload.from, *message);
     }
@@ -229,8 +229,8 @@
   if (!node.share) {
     return;
   }
-  for (const shares::Send& send : node.share->take_sends()) {
-    node.gossip->send_payload(membership::kShares, now(number), send.to, shares::encode(send.message));
+  for (const leases::OutgoingMessage& send : node.share->take_messages()) {
+    node.gossip->send_payload(membership::kShares, now(number), send.to, leases::encode(send.message));
   }
 }
 
@@ -274,7 +274,7 @@
 
 void SimulatedNetwork::schedule_wakeup(std::size_t number) {
   Node& node = nodes_[number];
-  const Time next = std::min(node.gossip->next_wakeup(), node.share ? node.share->next() : kNever);
+  const Time next = std::min(node.gossip->next_wakeup(), node.share ? node.share->next_wakeup() : kNever);
   if (next == kNever) {
     return;
   }
--- a/src/emulator/simulated_network.h
+++ b/src/emulator/simulated_network.h
@@ -20,7 +20,7 @@
 
 #include "fleet/router_count.h"
 #include "membership/gossip_protocol.h"
-#include "shares/core.h"
+#include "shares/lease_protocol.h"
 
 namespace streampick::emulator {
 
@@ -82,7 +82,7 @@
   std::function<void(std::size_t node, const membership::Change&)> on_change =
       [](std::size_t, const membership::Change&) {};
   /// Settings of the shared limits of a node that is started, without its address; none: it has none.
-  std::function<std::optional<shares::Settings>(std::size_t node)> shares = [](std::size_t) {
+  std::function<std::optional<leases::Settings>(std::size_t node)> shares = [](std::size_t) {
     return std::nullopt;
   };
   /// Whether sent datagrams are kept in `recorded`.
@@ -133,8 +133,8 @@
   [[nodiscard]] const membership::GossipProtocol& gossip(std::size_t node) const {
     return *nodes_[node].gossip;
   }
-  [[nodiscard]] shares::Core& share(std::size_t node) { return *nodes_[node].share; }
-  [[nodiscard]] const shares::Core& share(std::size_t node) const { return *nodes_[node].share; }
+  [[nodiscard]] leases::LeaseProtocol& share(std::size_t node) { return *nodes_[node].share; }
+  [[nodiscard]] const leases::LeaseProtocol& share(std::size_t node) const { return *nodes_[node].share; }
   [[nodiscard]] static membership::Address address(std::size_t node) {
     return membership::numbered(static_cast<std::uint32_t>(node));
   }
@@ -149,7 +149,7 @@
     membership::Settings settings;
     SimulatedClock clock;
     std::unique_ptr<membership::GossipProtocol> gossip;  // nullptr: the node is down
-    std::unique_ptr<shares::Core> share;
+    std::unique_ptr<leases::LeaseProtocol> share;
     std::optional<fleet::RouterCount> router_count;
     Time view_reported_at = 0;  // to the shared limits
     std::uint64_t wakeup = 0;   // number of the wake-up that is valid
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -4,15 +4,13 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "shares/view.h"
+#include "shares/fleet_view.h"
 #include "shares/wire.h"
 
 namespace streampick::fleet {
 
 using membership::Change;
-using membership::Member;
 using membership::Record;
-using membership::State;
 using membership::ViewSummary;
 using nlohmann::ordered_json;
 
@@ -62,20 +60,21 @@
   hooks_.count_anew();
   const auto view = [this] {
     const std::uint32_t routers = count_.value();
-    return Limits::View{shares::living(shell_.protocol()), routers};
+    return SharedLimits::View{leases::living_peers(shell_.protocol()), routers};
   };
   const auto tell = [this](membership::Address to, std::string payload) {
     shell_.send_payload(membership::kShares, to, std::move(payload));
   };
   ShareOptions own = options;
-  own.core.items = std::max<std::size_t>(1, shares::items_in(shell_.protocol().max_payload_size()));
-  limits_ = std::make_unique<Limits>(
+  own.core.max_items = std::max<std::size_t>(1, leases::max_items_in(shell_.protocol().max_payload_size()));
+  limits_ = std::make_unique<SharedLimits>(
       time_, own, tenants.names, tenants.all, shell_.protocol().self().instance, seed,
-      Limits::Hooks{view, hooks_.asked, hooks_.origin, hooks_.take, tell, hooks_.log});
+      SharedLimits::Hooks{view, hooks_.asked, hooks_.origin, hooks_.take, tell, hooks_.log});
   shell_.set_payload_handler({[this](const membership::ReceivedPayload& payload) {
-                       if (payload.protocol == membership::kShares) limits_->heard(payload.from, payload.bytes);
-                     },
-                     [this] { limits_->begin(); }});
+                                if (payload.protocol == membership::kShares)
+                                  limits_->on_payload(payload.from, payload.bytes);
+                              },
+                              [this] { limits_->start(); }});
 }
 
 void Fleet::set_tenants(const Tenants& tenants) {
@@ -154,7 +153,7 @@
 
 namespace {
 
-ordered_json counted(const ViewSummary& counts, membership::Time now, std::uint32_t routers) {
+ordered_json counted(const Counts& counts, membership::Time now, std::uint32_t routers) {
   ordered_json out;
   out["alive"] = counts.alive;
   out["suspect"] = counts.suspect;
@@ -187,19 +186,19 @@
   return counted(shell_.protocol().summary(now), now, hooks_.divided_by()).dump();
 }
 
-std::string Fleet::shares() const { return limits_ ? limits_->told() : ""; }
+std::string Fleet::shares() const { return limits_ ? limits_->status() : ""; }
 
 std::string Fleet::view() const {
   const auto now = time_.now();
   const membership::GossipProtocol& core = shell_.protocol();
-  const ViewSummary counts = core.summary(now);
+  const Counts counts = core.summary(now);
   ordered_json out = counted(counts, now, hooks_.divided_by());
   out["digest"] = hex(counts.digest);
   out["health"] = core.local_health();
   out["open"] = shell_.is_open();
   out["self"] = told(core.self());
   out["members"] = ordered_json::array();
-  for (const auto& [instance, member] : core.table().members()) {
+  for (const auto& [boot, member] : core.table().members()) {
     ordered_json one = told(member.record);
     one["for_ms"] = (now - member.since) / 1'000;
     out["members"].push_back(std::move(one));
@@ -235,7 +234,7 @@
 }
 
 std::string Fleet::summary() const {
-  const ViewSummary counts = shell_.protocol().summary(time_.now());
+  const Counts counts = shell_.protocol().summary(time_.now());
   return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
          " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.min_live) +
          " most=" + std::to_string(counts.max_live) + " routers=" + std::to_string(hooks_.divided_by()) +
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -1,17 +1,16 @@
 // A router's own side of shared limits, on a hand-driven clock: what it claims by what it is asked, and what
 // the decision module is told.
-#include "fleet/limits.h"
-
 #include <gtest/gtest.h>
 
 #include "engine/engine_fakes.h"
+#include "fleet/shared_limits.h"
 #include "shares/wire.h"
 
 namespace streampick::test {
 namespace {
 
-using fleet::Limits;
-using shares::kSecond;
+using fleet::SharedLimits;
+using leases::kSecond;
 
 // A router that is the only voter and the only one there, so that it divides all among itself.
 struct Alone {
@@ -19,47 +18,56 @@
     options.origin_places = places;
     options.core.self = membership::numbered(0);
     options.core.voters = {options.core.self};
-    options.core.routers = 4;
-    options.core.work = shares::kSecond;
-    options.core.seats = 2;
+    options.core.expected_routers = 4;
+    options.core.max_work_duration = leases::kSecond;
+    options.core.shards = 2;
     for (std::size_t i = 0; i < tenants; ++i) {
       names.push_back("t" + std::to_string(i));
       all.push_back({quota});
     }
     asked.resize(tenants);
     options.core.limits = fleet::limits_of(options, names, all);
-    limits = std::make_unique<Limits>(
-        time, options, names, all, 7, 7,
-        Limits::Hooks{[this] {
-      return Limits::View{{}, routers}; },
-                      [this]() -> const auto& { return asked;
+    limits = std::make_unique<SharedLimits>(time, options, names, all, 7, 7, hooks());
   }
-  , [this] { return origin; }, [this](Shares own) { told = std::move(own), ++changes; },
-      [this](membership::Address, const std::string&) { ++said; }, [](std::string_view) {}});
-}  // namespace
-ManualTime time;
-fleet::ShareOptions options;
-std::vector<std::string> names;
-std::vector<Tenant> all;
-std::vector<std::uint64_t> asked;
-OriginWork origin;
-std::uint32_t routers = 1;
-Shares told;
-int changes = 0, said = 0;
-std::unique_ptr<Limits> limits;
-};  // namespace streampick::test
 
-TEST(FleetLimits, UntilItBeginsNothingOfAHardLimitIsUsedAndAnEvenPartOfASoftOne) {
+  SharedLimits::Hooks hooks() {
+    SharedLimits::Hooks hooks;
+    hooks.view = [this] { return SharedLimits::View{{}, routers}; };
+    hooks.asked = [this]() -> const auto& { return asked; };
+    hooks.origin = [this] { return origin; };
+    hooks.take = [this](Shares own) {
+      told = std::move(own);
+      ++changes;
+    };
+    hooks.tell = [this](membership::Address, const std::string&) { ++said; };
+    hooks.log = [](std::string_view) {};
+    return hooks;
+  }
+
+  ManualTime time;
+  fleet::ShareOptions options;
+  std::vector<std::string> names;
+  std::vector<Tenant> all;
+  std::vector<std::uint64_t> asked;
+  OriginWork origin;
+  std::uint32_t routers = 1;
+  Shares told;
+  int changes = 0;
+  int said = 0;
+  std::unique_ptr<SharedLimits> limits;
+};
+
+TEST(FleetLimits, BeforeStart_HardLimitIsUnusableAndSoftLimitIsEvenShare) {
   Alone router(1, 16);
   EXPECT_EQ(router.told.origin_reserved, 0);
   EXPECT_EQ(router.told.quotas, std::vector<double>{25});  // of four, as the settings say
-  router.limits->begin();
+  router.limits->start();
   EXPECT_EQ(router.told.origin_reserved, 1);  // of sixteen a quarter needs no lease
 }
 
-TEST(FleetLimits, WhatIsAskedAndWhatWaitsIsClaimed) {
+TEST(FleetLimits, RequestedAndQueuedWork_IsClaimed) {
   Alone router(2, 16);
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   router.origin = {0, 9};
   for (int i = 0; i < 100; ++i) {
@@ -76,9 +84,9 @@
   EXPECT_EQ(router.told.origin_reserved + router.told.origin_leased, 0);
 }
 
-TEST(FleetLimits, OneThatGoesOnByItselfKeepsItsFloorsAndEvenParts) {
+TEST(FleetLimits, LeftButRunning_KeepsMinimaAndEvenShares) {
   Alone router(1, 16);
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   router.limits->leave(false);
   EXPECT_EQ(router.told.origin_reserved, 1);
@@ -89,10 +97,10 @@
 }
 
 // Of more tenants than may be told those beyond keep their even part.
-TEST(FleetLimits, TenantsBeyondThoseThatMayBeToldHaveAnEvenPart) {
+TEST(FleetLimits, TenantsBeyondMaximumOfLimits_HaveEvenShares) {
   Alone router(70, 0);
   router.routers = 2;
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   ASSERT_EQ(router.told.quotas.size(), 70U);
   EXPECT_EQ(router.told.quotas[69], 50);
@@ -101,9 +109,9 @@
 
 // New settings, with other tenants at the same places: their claims begin anew, and those that have gone
 // leave nothing behind.
-TEST(FleetLimits, TenantsOfNewSettingsBeginAnew) {
+TEST(FleetLimits, ChangedTenants_StartWithoutDemand) {
   Alone router(2, 0);
-  router.limits->begin();
+  router.limits->start();
   router.time.advance(20 * kSecond);
   for (int i = 0; i < 50; ++i) {
     router.asked[0] += 8;
@@ -115,15 +123,15 @@
   router.time.advance(5 * kSecond);
   ASSERT_EQ(router.told.quotas.size(), 1U);
   EXPECT_LT(router.told.quotas[0], 10);
-  EXPECT_EQ(router.limits->told().find("quota of t0"), std::string::npos);
+  EXPECT_EQ(router.limits->status().find("quota of t0"), std::string::npos);
 }
 
-TEST(FleetLimits, WhatCanNotBeReadIsCountedAndNothingElse) {
+TEST(FleetLimits, UnreadablePayload_IsOnlyCounted) {
   Alone router(1, 16);
-  router.limits->begin();
+  router.limits->start();
   const int before = router.changes;
-  router.limits->heard(membership::numbered(3), "no message");
-  EXPECT_EQ(router.limits->unreadable(), 1U);
+  router.limits->on_payload(membership::numbered(3), "no message");
+  EXPECT_EQ(router.limits->unreadable_payloads(), 1U);
   EXPECT_EQ(router.changes, before);
 }
 
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -174,9 +174,9 @@
   fleet::ShareOptions options;
   options.on = true;
   for (const RequestClass& kind : settings.settings.config.classes)
-    options.core.work = std::max(options.core.work, kind.deadline);
+    options.core.max_work_duration = std::max(options.core.max_work_duration, kind.deadline);
   EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
-  settings.settings.config.classes[0].deadline = options.core.work + 1;
+  settings.settings.config.classes[0].deadline = options.core.max_work_duration + 1;
   EXPECT_THROW(fleet::check_work(options, settings, "o.toml"), options::Error);
   options.on = false;
   EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
@@ -372,12 +372,14 @@
 TEST_F(FleetSocket, TwoFindEachOtherAndOneThatLeavesIsHeardOfAtOnce) {
   const auto one = free_udp_port(), other = free_udp_port();
   GossipSocket a(io, clock, core("a", one, {}), at_port(one), 1, report);
-  auto b = std::make_unique<GossipSocket>(io, clock, core("b", other, {at(0x7f000001, one)}), at_port(other), 2,
-                                      report);
-  ASSERT_TRUE(wait_for(
-      [&] { return a.protocol().summary(clock.now()).alive == 2 && b->protocol().summary(clock.now()).alive == 2; }));
+  auto b = std::make_unique<GossipSocket>(io, clock, core("b", other, {at(0x7f000001, one)}), at_port(other),
+                                          2, report);
+  ASSERT_TRUE(wait_for([&] {
+    return a.protocol().summary(clock.now()).alive == 2 && b->protocol().summary(clock.now()).alive == 2;
+  }));
   b->set_facts({{kDraining, 1}});
-  ASSERT_TRUE(wait_for([&] { return fact(a.protocol().table().members().begin()->second.record, kDraining) == 1; }));
+  ASSERT_TRUE(
+      wait_for([&] { return fact(a.protocol().table().members().begin()->second.record, kDraining) == 1; }));
   b->leave();
   ASSERT_TRUE(wait_for([&] { return a.protocol().summary(clock.now()).left == 1; }));
   EXPECT_EQ(a.protocol().counters().declared_unreachable, 0U);
@@ -445,8 +447,9 @@
     message.body = Ping{.sequence = static_cast<std::uint32_t>(++asked)};
     flood.send_to(asio::buffer(encode(message, "")), {asio::ip::make_address("127.0.0.1"), port});
     if (asked % 20 == 0) (void)wait_for([] { return true; });
-    // One handler for each reading of the clock, as in the daemon's loop: poll() runs handlers on one reading for
-    // as long as any is ready, and a timer that is due in real time but not on that reading re-arms for ever.
+    // One handler for each reading of the clock, as in the daemon's loop: poll() runs handlers on one reading
+    // for as long as any is ready, and a timer that is due in real time but not on that reading re-arms for
+    // ever.
     clock.next_batch();
     io.restart();
     io.poll_one();
--- a/tests/shares/histories_test.cpp
+++ b/tests/shares/histories_test.cpp
@@ -1,7 +1,7 @@
-// Fleets of 3 to 300 that share limits, on virtual time, each with its own view of the fleet: datagrams are
-// lost, doubled, delayed by seconds and cut, processes are killed, stopped and started, and clocks differ in
-// speed. At every event what may be in use of a hard limit is within its total; after faults end, all that is
-// wanted is leased within the bound.
+// Fleets of 3 to 300 routers that share limits, on virtual time, each with its own membership view. Datagrams
+// are lost, duplicated, delayed by seconds and cut off, processes are killed, suspended and restarted, and
+// clocks differ in speed. At every event the use of a hard limit is within its total; after faults end, all
+// demand is leased within the bound.
 #include <gtest/gtest.h>
 
 #include "emulator/simulated_network.h"
@@ -9,12 +9,12 @@
 #include "occupancy.h"
 #include "shares/bounds.h"
 
-namespace streampick::shares::test {
+namespace streampick::leases::test {
 namespace {
 
 constexpr LimitId kPlaces = 8, kQuota = 9;
 
-// In seconds, by a period of one.
+// In seconds, with a period of one second.
 double membership_settles(std::size_t size) { return membership::settle_periods(size, 1'200); }
 
 struct Fleet {
@@ -22,14 +22,15 @@
         const membership::Settings& view = {}, const std::string& name = {})
       : net(seed), random(seed) {
     net.settings = view;
-    settings.routers = static_cast<std::uint32_t>(size);
+    settings.expected_routers = static_cast<std::uint32_t>(size);
     for (std::uint32_t i = 0; i < std::min<std::size_t>(size, 5); ++i)
       settings.voters.push_back(membership::numbered(i * static_cast<std::uint32_t>(size) / 5));
     if (size < 5) settings.voters.resize(size < 3 ? 1 : 3);
     if (size < 5)
       for (std::uint32_t i = 0; i < settings.voters.size(); ++i) settings.voters[i] = membership::numbered(i);
-    settings.work = 2 * kSecond;
-    settings.limits = {{"places", kPlaces, Kind::hard, total}, {"quota", kQuota, Kind::soft, quota}};
+    settings.max_work_duration = 2 * kSecond;
+    settings.limits = {{"places", kPlaces, LimitKind::hard, total},
+                       {"quota", kQuota, LimitKind::soft, quota}};
     net.shares = [this](std::size_t) { return std::optional(settings); };
     std::vector<std::size_t> all(size);
     for (std::size_t i = 0; i < size; ++i) all[i] = i;
@@ -55,20 +56,25 @@
   }
   void tell(std::size_t node) {
     if (!net.is_up(node)) return;
-    net.share(node).demand(net.now(node), kPlaces, wants[node], most[node]);
-    net.share(node).demand(net.now(node), kQuota, asks[node], 0);
+    net.share(node).set_demand(net.now(node), kPlaces, wants[node], most[node]);
+    net.share(node).set_demand(net.now(node), kQuota, asks[node], 0);
   }
-  // Work is begun wherever it may be, and at each event the sum is looked at. What one has in use falls
-  // without an event of its own, so the sum of what was seen last is never too low.
+  // Each router begins as much work as it may, and the sum is checked at each event. A router's use falls
+  // without an event of its own, so the sum of the last observations is never too low.
   void look(std::size_t node) {
     const bool up = net.is_up(node);
-    used[node].see(net.now(), up ? &net.share(node) : nullptr, kPlaces, net.now(node), rates[node],
-                   settings.work);
+    if (up) {
+      used[node].see(net.now(), net.share(node).allowance(kPlaces), net.now(node), rates[node],
+                     settings.max_work_duration);
+    } else {
+      used[node].process_ended();
+    }
     sum -= most[node];
-    sum += most[node] = used[node].most(net.now(), settings.work, rates[node]);
+    sum += most[node] = used[node].most(net.now(), settings.max_work_duration, rates[node]);
     if (up && !net.is_paused(node)) tell(node);
     if (sum <= settings.limits[0].total) return;
-    for (std::size_t i = 0; i < net.size(); ++i) most[i] = used[i].most(net.now(), settings.work, rates[i]);
+    for (std::size_t i = 0; i < net.size(); ++i)
+      most[i] = used[i].most(net.now(), settings.max_work_duration, rates[i]);
     sum = 0;
     for (const double one : most) sum += one;
     if (sum > settings.limits[0].total) highest = std::max(highest, sum);
@@ -76,7 +82,7 @@
   double usable(LimitId limit) const {
     double out = 0;
     for (std::size_t i = 0; i < net.size(); ++i)
-      if (net.is_up(i)) out += net.share(i).part(limit).usable(net.now(i));
+      if (net.is_up(i)) out += net.share(i).allowance(limit).usable(net.now(i));
     return out;
   }
   bool leased(double share, double seconds) {
@@ -150,23 +156,23 @@
                                 << " routers, seed " << seed;
   }
   fleet.calm();
-  EXPECT_TRUE(fleet.leased(0.95, membership_settles(size) + back_seconds(fleet.settings)))
+  EXPECT_TRUE(fleet.leased(0.95, membership_settles(size) + recovery_bound_seconds(fleet.settings)))
       << size << " routers, seed " << seed << ": " << fleet.usable(kPlaces) << " of "
       << fleet.settings.limits[0].total;
   EXPECT_EQ(fleet.highest, 0) << seed;
 }
 
-class SharesHistories : public testing::TestWithParam<std::uint64_t> {};
+class LeaseHistories : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(SharesHistories, NothingIsEverOverAndAllIsLeasedAgain) {
-  // A hundred each, so that they run beside each other.
+TEST_P(LeaseHistories, DrawnFaults_KeepUseWithinTotalAndEndInFullLease) {
+  // A hundred for each parameter, so that they run in parallel.
   for (std::uint64_t i = 0; i < 95; ++i) drawn(3 + i % 5, GetParam() * 100 + i);
   for (std::uint64_t i = 0; i < 5; ++i) drawn(12, GetParam() * 100 + 95 + i);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, SharesHistories, testing::Range<std::uint64_t>(0, 10));
+INSTANTIATE_TEST_SUITE_P(Seeds, LeaseHistories, testing::Range<std::uint64_t>(0, 10));
 
-// All of a tenant's demand is at one router from one moment on, and then at another.
-TEST(SharesSizes, ARateFollowsDemandWithinTheBoundAndIsNotOverForLonger) {
+// All of a tenant's demand moves to one router at once, and then to another.
+TEST(LeaseFleet, DemandMoves_RateFollowsWithinBoundAndOvershootEndsWithinLease) {
   constexpr std::size_t kSize = 12;
   constexpr double kTotal = 600;
   Fleet fleet(kSize, 7, 12, kTotal);
@@ -184,22 +190,23 @@
     const auto from = fleet.net.now();
     const auto looks = [&](bool until_moved) {
       most = std::max(most, fleet.usable(kQuota));
-      return until_moved && fleet.net.share(to).part(kQuota).usable(fleet.net.now(to)) >= 0.95 * kTotal;
+      return until_moved && fleet.net.share(to).allowance(kQuota).usable(fleet.net.now(to)) >= 0.95 * kTotal;
     };
     EXPECT_TRUE(fleet.net.run_until([&] { return looks(true); },
-                                    static_cast<Time>(moved_seconds(fleet.settings) * kSecond)))
-        << fleet.net.share(to).part(kQuota).usable(fleet.net.now(to)) << " at " << to;
-    fleet.net.run_until([&] { return looks(false); },
-                        from + static_cast<Time>(over_seconds(fleet.settings) * kSecond) - fleet.net.now());
-    EXPECT_LE(most, 2 * kTotal);  // what moved may be used twice
+                                    static_cast<Time>(demand_shift_bound_seconds(fleet.settings) * kSecond)))
+        << fleet.net.share(to).allowance(kQuota).usable(fleet.net.now(to)) << " at " << to;
+    fleet.net.run_until(
+        [&] { return looks(false); },
+        from + static_cast<Time>(soft_overshoot_bound_seconds(fleet.settings) * kSecond) - fleet.net.now());
+    EXPECT_LE(most, 2 * kTotal);  // what moved may be used by both
     most = 0;
     fleet.net.run_until([&] { return looks(false); }, 10 * kSecond);
     EXPECT_LE(most, kTotal * 1.0001);
   }
 }
 
-// Half of the routers are gone for good: once they are forgotten, all of a quota is the others' again.
-TEST(SharesSizes, AQuotaIsWholeAgainOnceTheDeadAreForgotten) {
+// Half of the routers never return.
+TEST(LeaseFleet, DeadRoutersForgotten_WholeQuotaIsUsableAgain) {
   constexpr std::size_t kSize = 12;
   membership::Settings view;
   view.lifetimes.unreachable = 20 * kSecond;
@@ -209,50 +216,51 @@
   for (std::size_t i = 0; i < kSize; ++i) fleet.asks[i] = 600;
   for (std::size_t i = 1; i < kSize; i += 2) fleet.kill(i);
   fleet.net.run_for(10 * kSecond);
-  EXPECT_LE(fleet.usable(kQuota), 601);  // those that may be there have their even parts
+  EXPECT_LE(fleet.usable(kQuota), 601);  // routers that may exist have their even shares
   fleet.net.run_for(static_cast<Time>(membership_settles(kSize) + 20 + 10 + 10) * kSecond);
-  // All but the reserve, which is kept for bursts where more is wanted than is there.
+  // All but the reserve, which is kept while demand exceeds the total.
   EXPECT_GE(fleet.usable(kQuota), 0.9499 * 600);
 }
 
-// Names are long and datagrams short.
-TEST(SharesSizes, AsManyLimitsAsMayBeAreLeasedInDatagramsOf256Bytes) {
+// With long names of routers in the datagrams.
+TEST(LeaseFleet, MaximumOfLimits_AreLeasedInDatagramsOf256Bytes) {
   membership::Settings view;
   view.max_datagram_size = 256;
   Fleet fleet(5, 9, 10, 100, view, "a-name-as-long-as-a-name-may-be");
-  for (LimitId id = 100; fleet.settings.limits.size() < kMostLimits; ++id)
-    fleet.settings.limits.push_back({"q" + std::to_string(id), id, Kind::soft, 100});
-  fleet.settings.seats = 4;
+  for (LimitId id = 100; fleet.settings.limits.size() < kMaxLimits; ++id)
+    fleet.settings.limits.push_back({"q" + std::to_string(id), id, LimitKind::soft, 100});
+  fleet.settings.shards = 4;
   fleet.start_all();
   fleet.net.run_for(30 * kSecond);
   for (std::size_t i = 0; i < 5; ++i)
     for (const Limit& limit : fleet.settings.limits)
-      EXPECT_GT(fleet.net.share(i).part(limit.id).until, fleet.net.now(i)) << limit.name << " at " << i;
+      EXPECT_GT(fleet.net.share(i).allowance(limit.id).lease_end, fleet.net.now(i))
+          << limit.name << " at " << i;
   EXPECT_LE(fleet.net.traffic().longest, 256U);
 }
 
-// A tenant's thin traffic at each of many: all of it is within the quota.
-TEST(SharesSizes, ThreeHundredWithOneRequestASecondEachHaveIt) {
+// One request a second of a tenant at each of 300 routers, all within the quota.
+TEST(LeaseFleet, ThreeHundredRoutersWithThinTraffic_AllGetTheirRate) {
   constexpr std::size_t kSize = 300;
   Fleet fleet(kSize, 6, 300, 330);
   for (double& one : fleet.asks) one = 1.1;
   fleet.start_all();
   fleet.net.run_for(40 * kSecond);
   for (std::size_t i = 0; i < kSize; ++i)
-    EXPECT_GE(fleet.net.share(i).part(kQuota).usable(fleet.net.now(i)), 1) << i;
+    EXPECT_GE(fleet.net.share(i).allowance(kQuota).usable(fleet.net.now(i)), 1) << i;
   EXPECT_LE(fleet.usable(kQuota), 330.1);
 }
 
-TEST(SharesSizes, ThreeHundredKilledAndStartedAtOnceAreNeverOver) {
+TEST(LeaseFleet, ThreeHundredRestartedAtOnce_KeepUseWithinTotal) {
   constexpr std::size_t kSize = 300;
   Fleet fleet(kSize, 5, 900);
   fleet.start_all();
-  EXPECT_TRUE(fleet.leased(0.95, 60 + back_seconds(fleet.settings)));
+  EXPECT_TRUE(fleet.leased(0.95, 60 + recovery_bound_seconds(fleet.settings)));
   for (std::size_t i = 0; i < kSize; ++i) fleet.kill(i);
   fleet.start_all();
-  EXPECT_TRUE(fleet.leased(0.95, 60 + back_seconds(fleet.settings)));
+  EXPECT_TRUE(fleet.leased(0.95, 60 + recovery_bound_seconds(fleet.settings)));
   EXPECT_EQ(fleet.highest, 0);
 }
 
 }  // namespace
-}  // namespace streampick::shares::test
+}  // namespace streampick::leases::test
