--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -97,7 +97,7 @@
   links_.evict_idle_connection = [this] {
     if (engine_->evict_idle_connection()) return;
     // Clients hold what servers would have had: one that can be spared gives way.
-    if (http_ && descriptors_.borrows(overload::Descriptors::Side::clients)) http_->give_one_back();
+    if (http_ && descriptors_.borrows(overload::Descriptors::Side::clients)) http_->evict_connection();
   };
   const Settings& told = settings.settings;
   engine_ = std::make_unique<engine::Engine>(
@@ -118,7 +118,7 @@
   engine_->start(*discovery_, settings.known);
   admission_ =
       std::make_unique<net::Admission>(io_, settings.overload, told.config, settings.cores, spared());
-  http_ = std::make_unique<http1::Clients>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
+  http_ = std::make_unique<http1::Server>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
                                            settings.overload, *admission_, links_, settings.passed_socket);
   engine_->add(*http_);
   operators_ = std::make_unique<Operators>(io_, clock_, *engine_, links_, passed ? settings.scratch : "",
@@ -126,7 +126,7 @@
   operators_->set_listens([this] { return http_->listens(); });
   if (settings.management) operators_->listen(*settings.management);
   // Beside a process that serves, requests wait at the door until this one can serve them as well.
-  if (!passed) http_->open_doors();
+  if (!passed) http_->start_accepting();
   if (!passed && engine_->endpoint_counts().listed > 0) ready();
   ready_timer_.expires_after(kReadyAtLast);
   ready_timer_.async_wait([this](const boost::system::error_code& cancelled) {
@@ -146,7 +146,7 @@
   if (std::exchange(ready_, true)) return;
   ready_timer_.cancel();
   operators_->ready();
-  http_->open_doors();
+  http_->start_accepting();
 }
 
 // Fronts go first: what their connections would tell has nobody to hear it.
@@ -186,7 +186,7 @@
   links_.most_large = alone ? whole : whole / 2;
   descriptors_.halve(!alone);
   for (std::size_t over = descriptors_.over(); over > 0; --over)
-    if (!engine_->evict_idle_connection() && !http_->give_one_back()) return;
+    if (!engine_->evict_idle_connection() && !http_->evict_connection()) return;
 }
 
 std::vector<bool> Host::spared() const {
--- a/src/daemon/host.h
+++ b/src/daemon/host.h
@@ -11,7 +11,7 @@
 
 #include "daemon/operators.h"
 #include "engine/engine.h"
-#include "http1/front.h"
+#include "http1/server.h"
 #include "net/clock.h"
 #include "net/links.h"
 #include "platform/node_settings.h"
@@ -94,7 +94,7 @@
   std::unique_ptr<engine::Engine> engine_;
   std::unique_ptr<discovery::Discovery> discovery_;
   std::unique_ptr<net::Admission> admission_;
-  std::unique_ptr<http1::Clients> http_;
+  std::unique_ptr<http1::Server> http_;
   std::unique_ptr<Operators> operators_;
   Lists lists_{*this};
   bool ready_ = false;
--- /dev/null
+++ b/src/http1/client_session.h
@@ -0,0 +1,143 @@
+/// \file
+/// One client connection: receives requests, hands them to the engine, and writes the responses in order.
+///
+/// The socket is read in nearly every state, so that a disconnect is noticed while a request is in progress;
+/// what was pipelined waits in a ReadAheadBuffer. The states are listed in session_state.h.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "http1/client_limits.h"
+#include "http1/read_ahead_buffer.h"
+#include "http1/reader.h"
+#include "http1/response_writer.h"
+#include "http1/server_context.h"
+#include "http1/streamed_upload.h"
+
+namespace streampick::http1 {
+
+class ClientSession final : public engine::ResponseSink, public std::enable_shared_from_this<ClientSession> {
+ public:
+  using State = SessionState;
+
+  ClientSession(ServerContext& server, net::tcp::socket socket);
+
+  /// `position`: of this session, in the list of State::accepted.
+  void start(SessionLists::Position position);
+
+  // ---- engine::ResponseSink
+  void respond(std::uint64_t tag, engine::Response response) override;
+  bool client_gone() override;
+
+  // ---- For the server
+
+  /// When the present state was entered, or the message began whose parts the states are.
+  [[nodiscard]] Time since() const { return since_; }
+  [[nodiscard]] bool has_unread_bytes() const;
+  /// Whether a further request may have arrived that is not read yet.
+  [[nodiscard]] bool has_unread_request() const { return state_ == State::idle && has_unread_bytes(); }
+  /// Whether the client has disconnected while the socket is not read, so that no read reports it.
+  [[nodiscard]] bool has_disconnected_unseen();
+  /// Whether a body arrives more slowly than clients may send, or has stalled.
+  [[nodiscard]] bool is_too_slow(Time now) const;
+  /// The present state's time limit has passed. Bytes that have arrived by now arrived in time. Returns
+  /// whether the connection is being ended.
+  bool time_out();
+  /// Ends the connection in order if no request is in progress.
+  void close_if_idle();
+  /// Closes at once, cancels the request in progress and leaves the session lists.
+  void close();
+  /// The server is being destroyed: closes the socket and uses the server no more.
+  void detach();
+
+ private:
+  [[nodiscard]] bool is_closed() const { return server_ == nullptr; }
+  [[nodiscard]] bool has_disconnected();
+  [[nodiscard]] bool is_receiving() const;
+  [[nodiscard]] bool is_silent() const { return read_ahead_.empty() && !parser_->got_some(); }
+  [[nodiscard]] bool may_read() const;
+  void enter(State state);
+  void enter_within_message(State state);
+  void time_out_request();
+
+  // Receiving: client_session.cpp
+  void wait_for_bytes();
+  void on_read(net::error_code error, std::size_t count);
+  void on_bytes(std::size_t count);
+  void discard_lingering(std::size_t count);
+  void keep_pipelined(std::string_view bytes);
+  void parse_received(std::string_view bytes);
+  void parse_read_ahead();
+
+  // Requests: client_session_requests.cpp
+  void expect_message();
+  std::size_t parse(std::string_view bytes);
+  bool accept_head();
+  bool shed_load();
+  void on_body_bytes(std::size_t count);
+  void on_message_complete();
+  void on_message_incomplete();
+  bool may_buffer_body();
+  void send_continue();
+  void handle_request();
+  void answer_health_check();
+  void start_upload();
+  void continue_upload();
+  void on_upload_writable();
+  void cancel_upload();
+
+  // Responses: client_session_responses.cpp
+  void fail(RequestError error);
+  void fail_parsing(const net::error_code& error);
+  void reject_without_memory();
+  void send(OutgoingResponse response);
+  void decide_persistence();
+  void write_response();
+  void wait_until_writable();
+  void on_response_written();
+  void on_read_ahead_overflow();
+
+  // Closing: client_session.cpp
+  void close_truncated();
+  void close_soon();
+  void leave();
+
+  ServerContext* server_;  // null once the session is closed
+  net::tcp::socket socket_;
+  State state_ = State::accepted;
+  Time since_;
+  SessionLists::Position position_;
+
+  // Receiving
+  ReadAheadBuffer read_ahead_;
+  std::size_t lingering_discarded_ = 0;
+  bool is_reading_ = false;        // a read is pending
+  bool is_prompt_read_ = false;    // bytes are handled that the loop waited for and has just read
+  bool has_bytes_behind_ = false;  // behind the request in progress
+  std::array<char, kClientReadChunk> chunk_;
+
+  // The request in progress
+  RequestHead head_;
+  std::string body_;
+  std::optional<RequestReader> parser_;
+  engine::MemoryReservation body_reservation_;  // of a long body, or of an upload's stream
+  StreamedUpload upload_;
+  std::size_t body_bytes_ = 0;  // since the head was complete
+  Time last_body_bytes_at_ = 0;
+  RequestId request_ = 0;  // the engine's id; 0: none
+  bool head_checked_ = false;
+  bool continue_sent_ = false;
+
+  // The response in progress
+  ResponseWriter writer_;
+  std::size_t response_count_ = 0;
+  bool closes_after_response_ = false;
+  bool body_abandoned_ = false;  // the rest of a body is still arriving: nothing of it is a request
+};
+
+}  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/client_session_requests.cpp
@@ -0,0 +1,272 @@
+// From received bytes to a request of the engine: heads, bodies and uploads.
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <utility>
+#include <variant>
+
+#include "http1/client_session.h"
+#include "http1/request_validation.h"
+
+namespace streampick::http1 {
+namespace {
+
+constexpr std::string_view kHealthCheckPath = "/up";
+constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+
+}  // namespace
+
+void ClientSession::expect_message() {
+  parser_.emplace(head_, body_, kMaxUploadBody);
+  head_checked_ = false;
+  continue_sent_ = false;
+  body_bytes_ = 0;
+  body_reservation_ = {};
+}
+
+// Returns how many bytes were used. Those behind a complete message are not.
+std::size_t ClientSession::parse(std::string_view bytes) {
+  // A first request stays in `accepted`: its time counts from the accept, however slowly it arrives.
+  if (state_ == State::idle && !bytes.empty()) {
+    enter(State::reading_head);
+  }
+  net::error_code error;
+  const std::size_t used = parser_->read(bytes, error);
+  has_bytes_behind_ = used < bytes.size();
+  if (error) {
+    fail_parsing(error);
+    return used;
+  }
+  if (!parser_->is_header_done()) {
+    return used;
+  }
+  if (!std::exchange(head_checked_, true) && !accept_head()) {
+    return used;
+  }
+  on_body_bytes(used);
+  if (parser_->is_done()) {
+    on_message_complete();
+  } else {
+    on_message_incomplete();
+  }
+  return used;
+}
+
+bool ClientSession::accept_head() {
+  if (!head_.framing.plain(head_.version)) {
+    fail(RequestError::ambiguous_framing);
+    return false;
+  }
+  return !shed_load();
+}
+
+// Rejects the request while the loop is behind, before its body is read or its head is validated. An invalid
+// request is left to the validation, which says what is wrong with it.
+bool ClientSession::shed_load() {
+  if (server_->admission.calm()) {
+    return false;
+  }
+  const std::string_view target = origin_form(head_.target);
+  if (target.empty() || target.front() != '/') {
+    return false;
+  }
+  const std::uint32_t request_class = index_of(server_->names.classes, first_segment(target));
+  const auto remaining = parse_remaining(head_.remaining.value);
+  if (!remaining || request_class == kNone) {
+    return false;
+  }
+  const std::uint64_t id = hash_name(head_.transaction_id.value);
+  if (!server_->admission.refuses(request_class, *remaining, id)) {
+    return false;
+  }
+  ++server_->counts.shed;
+  server_->request_handler.on_rejected_unread(request_class);
+  // A body that is still to come would have to be read first.
+  closes_after_response_ = !parser_->is_done() || !parser_->keep_alive();
+  send(rejection_response(Rejection::loop_behind, server_->admission.retry_after(id)));
+  return true;
+}
+
+void ClientSession::on_body_bytes(std::size_t count) {
+  body_bytes_ += count;
+  last_body_bytes_at_ = server_->clock.now();
+}
+
+void ClientSession::on_message_complete() {
+  if (may_buffer_body()) {
+    handle_request();
+  } else {
+    reject_without_memory();
+  }
+}
+
+void ClientSession::on_message_incomplete() {
+  if (state_ == State::reading_head || state_ == State::accepted) {
+    enter_within_message(State::reading_body);
+  }
+  const bool is_buffered = may_buffer_body();
+  send_continue();
+  if (!is_buffered) {
+    start_upload();
+  }
+}
+
+// Whether the body is short enough to be buffered, and there is memory for it.
+bool ClientSession::may_buffer_body() {
+  const auto length = parser_->content_length();
+  const std::uint64_t known_size = std::max<std::uint64_t>(length.value_or(0), body_.size());
+  if (known_size > kMaxBufferedBody) {
+    return false;
+  }
+  if (known_size <= kLongestBody || body_reservation_) {
+    return true;
+  }
+  auto reservation =
+      server_->links.reservation(length ? static_cast<std::size_t>(*length) : kMaxBufferedBody);
+  if (!reservation) {
+    return false;
+  }
+  body_reservation_ = std::move(*reservation);
+  return true;
+}
+
+void ClientSession::send_continue() {
+  if (continue_sent_ || !beast::iequals(head_.expect.value, "100-continue")) {
+    return;
+  }
+  continue_sent_ = true;
+  net::error_code ignored;
+  socket_.write_some(asio::buffer(kContinue), ignored);
+}
+
+void ClientSession::handle_request() {
+  closes_after_response_ = !parser_->keep_alive();
+  if (origin_form(head_.target) == kHealthCheckPath) {
+    answer_health_check();
+    return;
+  }
+  const bool is_large = body_.size() > kLongestBody;
+  auto validated = validate_request(head_, body_, server_->names, server_->messages);
+  if (const RequestError* error = std::get_if<RequestError>(&validated)) {
+    fail(*error);
+    return;
+  }
+  if (is_large && head_.method != http::verb::put) {
+    fail(RequestError::body_too_long);
+    return;
+  }
+  auto& request = std::get<engine::IncomingRequest>(validated);
+  if (is_large) {
+    request.message->memory = std::move(body_reservation_);
+  }
+  enter(State::processing);
+  const RequestId id = server_->request_handler.on_request(shared_from_this(), std::move(request));
+  if (id == 0) {
+    fail(RequestError::duplicate_transaction_id);
+    return;
+  }
+  // The response may have come within the call.
+  if (state_ == State::processing) {
+    request_ = id;
+  }
+}
+
+// The platform's health check has no Host, so none is required.
+void ClientSession::answer_health_check() {
+  if (head_.method != http::verb::get) {
+    fail(RequestError::health_check_method);
+    return;
+  }
+  send(health_response(server_->is_draining));
+}
+
+// A body that is not buffered: the request goes to the engine now, and the body as it arrives. Once the
+// engine has read a part of it, the request cannot be sent to another server.
+void ClientSession::start_upload() {
+  if (head_.method != http::verb::put) {
+    fail(RequestError::body_too_long);
+    return;
+  }
+  auto reservation = server_->links.reservation(kPartsWaiting);
+  if (!reservation) {
+    reject_without_memory();
+    return;
+  }
+  std::string no_body;
+  auto validated = validate_request(head_, no_body, server_->names, server_->messages);
+  if (const RequestError* error = std::get_if<RequestError>(&validated)) {
+    fail(*error);
+    return;
+  }
+  body_reservation_ = std::move(*reservation);
+  auto& request = std::get<engine::IncomingRequest>(validated);
+  const auto length = parser_->content_length();
+  request.message->upload =
+      upload_.start(length ? std::optional<std::uint64_t>(*length) : std::nullopt, [weak = weak_from_this()] {
+        const auto self = weak.lock();
+        if (!self) {
+          return;
+        }
+        asio::post(self->socket_.get_executor(), [self] { self->on_upload_writable(); });
+      });
+  closes_after_response_ = !parser_->keep_alive();
+  enter_within_message(State::uploading);
+  upload_.write(body_);
+  const RequestId id = server_->request_handler.on_request(shared_from_this(), std::move(request));
+  if (id == 0) {
+    upload_.end(engine::BodyStream::State::truncated);
+    fail(RequestError::duplicate_transaction_id);
+    return;
+  }
+  if (state_ == State::uploading) {
+    request_ = id;
+  }
+}
+
+void ClientSession::continue_upload() {
+  net::error_code error;
+  const std::size_t used = parser_->read(read_ahead_.bytes(), error);
+  read_ahead_.consume(used);
+  on_body_bytes(used);
+  // Unparsed bytes are the line of a chunk's size or of a trailer: one without end is an error.
+  if (!error && read_ahead_.size() > kMaxReadAhead) {
+    error = http::error::header_limit;
+  }
+  if (error) {
+    cancel_upload();
+    fail_parsing(error);
+    return;
+  }
+  upload_.write(body_);
+  if (!parser_->is_done()) {
+    return;
+  }
+  upload_.end(engine::BodyStream::State::complete);
+  enter(State::processing);
+  server_->request_handler.on_body_complete(request_);
+}
+
+void ClientSession::on_upload_writable() {
+  if (is_closed() || state_ != State::uploading || !upload_.is_paused()) {
+    return;
+  }
+  upload_.resume();
+  // The pause was not the client's.
+  since_ = server_->clock.now();
+  last_body_bytes_at_ = since_;
+  wait_for_bytes();
+}
+
+// The body will not be complete, so what the server has of it is no request.
+void ClientSession::cancel_upload() {
+  if (state_ != State::uploading) {
+    return;
+  }
+  const RequestId cancelled = std::exchange(request_, 0);
+  upload_.end(engine::BodyStream::State::truncated);
+  body_abandoned_ = true;
+  if (cancelled != 0) {
+    server_->request_handler.on_client_cancelled(cancelled);
+  }
+}
+
+}  // namespace streampick::http1
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -1,4 +1,6 @@
-// What all that speaks HTTP here shares: short names of the libraries, limits, the form of times.
+/// \file
+/// What the two sides of HTTP/1.1, towards clients and towards servers, share: names of the libraries,
+/// limits, and the formats of numbers and times.
 #pragma once
 
 #include <algorithm>
@@ -17,63 +19,50 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-inline constexpr std::size_t kLongestBody = 64 * 1024, kLongestHeader = 16 * 1024, kReadChunk = 8 * 1024;
-// A longer body of a request is kept up to the first while there is memory for it, and goes on as it comes up
-// to the second.
-inline constexpr std::size_t kMostKept = 1024 * 1024, kLongestUpload = 32 * 1024 * 1024;
-// The protocol has no body over 64 KiB, but servers were seen to answer with 350 KB, as good as any other.
-inline constexpr std::size_t kLongestAnswer = 1024 * 1024;
-// Of a body that is passed on as it comes: what waits between the two sides, at most.
-inline constexpr std::size_t kPartsWaiting = 64 * 1024;
+inline constexpr std::size_t kKibibyte = 1024;
+inline constexpr std::size_t kMebibyte = 1024 * kKibibyte;
 
-// Seconds with three decimals, as X-Remaining and Retry-After carry them, behind what `out` holds.
-inline void append_seconds(std::string& out, Time time) {
-  const Time ms = (std::max<Time>(time, 0) + 500) / 1'000;
-  std::array<char, 24> text{};
-  out.append(text.data(), std::to_chars(text.data(), text.data() + text.size(), ms / 1'000).ptr);
-  const auto rest = static_cast<int>(ms % 1'000);
-  for (const int digit : {-1, rest / 100, rest / 10 % 10, rest % 10})
-    out += digit < 0 ? '.' : static_cast<char>('0' + digit);
+/// The longest body that the protocol allows to be sent in one piece.
+inline constexpr std::size_t kLongestBody = 64 * kKibibyte;
+/// A message's head, with its request or status line.
+inline constexpr std::size_t kLongestHeader = 16 * kKibibyte;
+/// Read from a server at once.
+inline constexpr std::size_t kReadChunk = 8 * kKibibyte;
+/// A response that is buffered. The protocol allows kLongestBody, but servers also send 350 kB.
+inline constexpr std::size_t kLongestAnswer = kMebibyte;
+/// Buffered at most between the two sides of a body that is streamed.
+inline constexpr std::size_t kPartsWaiting = 64 * kKibibyte;
+
+/// Appends a number in decimal digits.
+inline void append_number(std::string& text, std::size_t value) {
+  std::array<char, 24> digits{};
+  text.append(digits.data(), std::to_chars(digits.data(), digits.data() + digits.size(), value).ptr);
 }
 
-inline void append_number(std::string& out, std::size_t value) {
-  std::array<char, 24> text{};
-  out.append(text.data(), std::to_chars(text.data(), text.data() + text.size(), value).ptr);
+/// Appends a duration in microseconds as seconds with three decimals, the form of X-Remaining and
+/// Retry-After. A negative one is written as zero.
+inline void append_seconds(std::string& text, Time time) {
+  const Time milliseconds = (std::max<Time>(time, 0) + 500) / 1'000;
+  append_number(text, static_cast<std::size_t>(milliseconds / 1'000));
+  const auto fraction = static_cast<int>(milliseconds % 1'000);
+  text += '.';
+  for (const int digit : {fraction / 100, fraction / 10 % 10, fraction % 10}) {
+    text += static_cast<char>('0' + digit);
+  }
 }
 
 inline std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
 
-// Writes what the socket takes at once of a head and its body, from their `written`-th byte on. Returns how
-// many bytes it took; would_block: none.
+/// Writes what the socket takes at once of a head and its body, from their `written`-th byte on. Returns the
+/// number of bytes written; with would_block there are none.
 inline std::size_t write_rest(net::tcp::socket& socket, const std::string& head, const std::string& body,
                               std::size_t written, net::error_code& error) {
-  const std::size_t of_head = std::min(written, head.size()), of_body = written - of_head;
-  const std::array<asio::const_buffer, 2> rest = {asio::buffer(head.data() + of_head, head.size() - of_head),
-                                                  asio::buffer(body.data() + of_body, body.size() - of_body)};
+  const std::size_t head_written = std::min(written, head.size());
+  const std::size_t body_written = written - head_written;
+  const std::array<asio::const_buffer, 2> rest = {
+      asio::buffer(head.data() + head_written, head.size() - head_written),
+      asio::buffer(body.data() + body_written, body.size() - body_written)};
   return socket.write_some(rest, error);
 }
 
-// RFC 9112, section 3.2: an HTTP/1.1 request names its host once. Two names, or none, let two readers of it
-// think of two servers. An empty name is a name.
-inline bool host_is_plain(unsigned version, unsigned hosts, std::string_view host) {
-  if (hosts == 0) return version < 11;
-  constexpr std::string_view others = "-._~%!$&'()*+,;=:[]";
-  return hosts == 1 && std::all_of(host.begin(), host.end(), [&](char c) {
-           return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-                  others.find(c) != std::string_view::npos;
-         });
-}
-
-// The path and query of a target: of http://host/path, as a client that takes us for a proxy writes it, all
-// from the path on. Anything else stands as it is.
-inline std::string_view origin_form(std::string_view target) {
-  constexpr std::string_view scheme = "http://";
-  if (target.size() <= scheme.size() || !beast::iequals(target.substr(0, scheme.size()), scheme))
-    return target;
-  const std::size_t path = target.find_first_of("/?", scheme.size());
-  if (path == scheme.size()) return target;  // no host at all
-  if (path == std::string_view::npos) return "/";
-  return target[path] == '/' ? target.substr(path) : target;
-}
-
 }  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/read_ahead_buffer.h
@@ -0,0 +1,42 @@
+/// \file
+/// Bytes of one client that were received and not parsed yet, among them requests pipelined behind the one in
+/// progress.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+
+#include "engine/message.h"
+#include "net/links.h"
+
+namespace streampick::http1 {
+
+class ReadAheadBuffer {
+ public:
+  [[nodiscard]] bool empty() const { return bytes_.empty(); }
+  [[nodiscard]] std::size_t size() const { return bytes_.size(); }
+  [[nodiscard]] std::string_view bytes() const { return bytes_; }
+
+  void assign(std::string_view bytes) { bytes_ = bytes; }
+  void append(std::string_view bytes) { bytes_ += bytes; }
+  /// Appends bytes that arrived while a request is processed: up to kMaxReadAhead, or kMaxReservedReadAhead
+  /// if memory for that can be reserved. Beyond the limit the buffer overflows for good: these bytes and all
+  /// later ones are discarded. Returns whether they were kept.
+  bool append_pipelined(std::string_view bytes, const net::Links& links);
+  void consume(std::size_t count) { bytes_.erase(0, count); }
+  /// Gives back the reservation and the memory that the remaining bytes do not need.
+  void release_unused();
+  void clear();
+
+  [[nodiscard]] bool has_overflowed() const { return has_overflowed_; }
+  [[nodiscard]] std::size_t discarded() const { return discarded_; }
+
+ private:
+  std::string bytes_;
+  engine::MemoryReservation reservation_;  // beyond kMaxReadAhead
+  std::size_t discarded_ = 0;
+  bool has_overflowed_ = false;
+};
+
+}  // namespace streampick::http1
--- a/src/http1/reader.cpp
+++ b/src/http1/reader.cpp
@@ -5,15 +5,15 @@
 namespace streampick::http1 {
 namespace {
 
-// A length that is only announced is no reason to take memory.
-constexpr std::size_t kReserveAtMost = 64 * 1024;
+// A longer body takes its memory as it arrives: its announced length is no reason to allocate.
+constexpr std::size_t kMaxInitialReserve = 64 * kKibibyte;
 
-bool is(beast::string_view name, std::string_view wanted) {
+bool equals(beast::string_view name, std::string_view wanted) {
   return name.size() == wanted.size() &&
          beast::iequals(name, beast::string_view(wanted.data(), wanted.size()));
 }
 
-// The field of a request's head by this name; none: it is of no use here.
+// The field of this name; null if the router does not use it.
 Field* field_of(RequestHead& head, http::field field, beast::string_view name) {
   switch (field) {
     case http::field::host: return &head.host;
@@ -25,11 +25,15 @@
     default: return nullptr;
   }
   switch (name.size()) {
-    case 5: return is(name, "X-Txn") ? &head.transaction_id : is(name, "X-Org") ? &head.org : nullptr;
-    case 6: return is(name, "X-Lane") ? &head.lane : nullptr;
-    case 10: return is(name, "X-Estimate") ? &head.estimate : nullptr;
-    case 11: return is(name, "X-Remaining") ? &head.remaining : nullptr;
-    case 15: return is(name, "Idempotency-Key") ? &head.idempotency_key : nullptr;
+    case 5:
+      if (equals(name, "X-Txn")) {
+        return &head.transaction_id;
+      }
+      return equals(name, "X-Org") ? &head.org : nullptr;
+    case 6: return equals(name, "X-Lane") ? &head.lane : nullptr;
+    case 10: return equals(name, "X-Estimate") ? &head.estimate : nullptr;
+    case 11: return equals(name, "X-Remaining") ? &head.remaining : nullptr;
+    case 15: return equals(name, "Idempotency-Key") ? &head.idempotency_key : nullptr;
     default: return nullptr;
   }
 }
@@ -39,7 +43,7 @@
     case http::field::content_length: return &head.framing.length;
     case http::field::transfer_encoding: return &head.framing.coding;
     case http::field::content_type: return &head.content_type;
-    case http::field::unknown: return is(name, "X-Turned-Away") ? &head.turned_away : nullptr;
+    case http::field::unknown: return equals(name, "X-Turned-Away") ? &head.turned_away : nullptr;
     default: return nullptr;
   }
 }
@@ -47,50 +51,63 @@
 }  // namespace
 
 bool Framing::plain(unsigned version) const {
-  if (length.times > 1) return false;
-  if (length.value.find_first_not_of("0123456789") != std::string::npos) return false;
-  if (coding.times == 0) return true;
-  return coding.times == 1 && version == 11 && length.times == 0 && beast::iequals(coding.value, "chunked");
+  if (length.count > 1) {
+    return false;
+  }
+  if (length.value.find_first_not_of("0123456789") != std::string::npos) {
+    return false;
+  }
+  if (coding.count == 0) {
+    return true;
+  }
+  return coding.count == 1 && version == 11 && length.count == 0 && beast::iequals(coding.value, "chunked");
 }
 
 void RequestHead::clear() {
   method = http::verb::unknown;
   version = 11;
-  if (target.capacity() > 512) std::string().swap(target);
+  if (target.capacity() > kMaxKeptFieldCapacity) {
+    std::string().swap(target);
+  }
   target.clear();
-  for (Field* field :
-       {&host, &transaction_id, &lane, &remaining, &org, &estimate, &idempotency_key, &content_type, &expect})
+  for (Field* field : {&host, &transaction_id, &lane, &remaining, &org, &estimate, &idempotency_key,
+                       &content_type, &expect}) {
     field->clear();
+  }
   framing.clear();
 }
 
 void ResponseHead::clear() {
   status = 0;
   version = 11;
-  for (Field* field : {&content_type, &turned_away}) field->clear();
+  for (Field* field : {&content_type, &turned_away}) {
+    field->clear();
+  }
   framing.clear();
 }
 
 template <bool IsRequest>
-MessageReader<IsRequest>::MessageReader(Head& head, std::string& body, std::uint64_t longest_body)
+MessageReader<IsRequest>::MessageReader(Head& head, std::string& body, std::uint64_t max_body)
     : head_(head), body_(body) {
   head_.clear();
   body_.clear();
-  this->body_limit(longest_body);
+  this->body_limit(max_body);
   this->header_limit(kLongestHeader);
   this->eager(true);
 }
 
 template <bool IsRequest>
-std::size_t MessageReader<IsRequest>::read(std::string_view bytes, net::error_code& wrong) {
+std::size_t MessageReader<IsRequest>::read(std::string_view bytes, net::error_code& error) {
   std::size_t used = 0;
   while (used < bytes.size() && !this->is_done()) {
-    used += this->put(boost::asio::buffer(bytes.data() + used, bytes.size() - used), wrong);
-    if (wrong == http::error::need_more) {
-      wrong = {};
+    used += this->put(boost::asio::buffer(bytes.data() + used, bytes.size() - used), error);
+    if (error == http::error::need_more) {
+      error = {};
+      break;
+    }
+    if (error) {
       break;
     }
-    if (wrong) break;
   }
   return used;
 }
@@ -103,7 +120,9 @@
     head_.target.assign(target.data(), target.size());
     head_.version = static_cast<unsigned>(version);
   } else {
-    (void)method, (void)target, (void)version;
+    (void)method;
+    (void)target;
+    (void)version;
   }
 }
 
@@ -113,19 +132,24 @@
     head_.status = static_cast<unsigned>(status);
     head_.version = static_cast<unsigned>(version);
   } else {
-    (void)status, (void)version;
+    (void)status;
+    (void)version;
   }
 }
 
 template <bool IsRequest>
 void MessageReader<IsRequest>::on_field_impl(http::field field, View name, View value, net::error_code&) {
-  if (Field* kept = field_of(head_, field, name)) kept->put(view(value));
+  if (Field* known = field_of(head_, field, name)) {
+    known->add(view(value));
+  }
 }
 
 template <bool IsRequest>
 void MessageReader<IsRequest>::on_body_init_impl(const boost::optional<std::uint64_t>& length,
                                                  net::error_code&) {
-  if (length) body_.reserve(static_cast<std::size_t>(std::min<std::uint64_t>(*length, kReserveAtMost)));
+  if (length) {
+    body_.reserve(static_cast<std::size_t>(std::min<std::uint64_t>(*length, kMaxInitialReserve)));
+  }
 }
 
 template <bool IsRequest>
--- /dev/null
+++ b/src/http1/server.cpp
@@ -0,0 +1,264 @@
+#include "http1/server.h"
+
+#include <algorithm>
+#include <array>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "http1/client_limits.h"
+#include "http1/client_session.h"
+
+namespace streampick::http1 {
+namespace {
+
+net::Listener make_listener(asio::io_context& io, const net::tcp::endpoint& address,
+                            net::Listener::Owner& owner, int passed) {
+  if (passed < 0) {
+    return {io, address, owner};
+  }
+  return {io, passed, address, owner};
+}
+
+// While fewer than one in so many connections never sent a request, idle ones may be evicted for new ones.
+constexpr std::size_t kSilentShare = 4;
+
+}  // namespace
+
+Server::Server(asio::io_context& io, net::Clock& clock, const Names& names,
+               engine::RequestHandler& request_handler, const net::tcp::endpoint& address,
+               overload::Descriptors& descriptors, const overload::Settings& overload_settings,
+               net::Admission& admission, const net::Links& links, int passed)
+    : context_{.clock = clock,
+               .names = names,
+               .request_handler = request_handler,
+               .admission = admission,
+               .links = links,
+               .connection_rules = overload::ConnectionRules(descriptors.total(), overload_settings),
+               .on_session_closed = [this] { on_session_closed(); }},
+      listener_(make_listener(io, address, *this, passed)),
+      sweep_timer_(io),
+      descriptors_(descriptors) {
+  sweep();
+}
+
+Server::~Server() {
+  for (const SessionLists::List& list : context_.sessions.all()) {
+    for (const auto& session : list) {
+      session->detach();
+    }
+  }
+}
+
+// ---- Accepting
+
+bool Server::has_place() {
+  if (descriptors_.has_room(kSide) || evict_connection()) {
+    return true;
+  }
+  ++context_.counts.accept_waits;
+  return false;
+}
+
+void Server::take(net::tcp::socket socket) {
+  const auto session = std::make_shared<ClientSession>(context_, std::move(socket));
+  ++context_.counts.accepted;
+  ++open_;
+  descriptors_.take(kSide);
+  session->start(context_.sessions.insert(SessionState::accepted, session));
+}
+
+void Server::on_session_closed() {
+  --open_;
+  descriptors_.give(kSide);
+  listener_.go_on();
+}
+
+void Server::stop_accepting() {
+  listener_.stop();
+  allows_last_request_ = false;
+}
+
+// ---- Eviction
+
+bool Server::has_aged(SessionState state, Time min_age) const {
+  const SessionLists::List& list = context_.sessions.in(state);
+  return !list.empty() && context_.clock.now() - list.front()->since() >= min_age;
+}
+
+// Those with unread bytes are about to send a request, and stay.
+bool Server::evict_oldest(SessionState state) {
+  for (const auto& session : context_.sessions.in(state)) {
+    if (session->has_unread_bytes()) {
+      continue;
+    }
+    ++context_.counts.evicted;
+    session->close();
+    return true;
+  }
+  return false;
+}
+
+bool Server::evict_lingering(Time min_age) {
+  if (!has_aged(SessionState::lingering, min_age)) {
+    return false;
+  }
+  ++context_.counts.evicted;
+  const auto session = context_.sessions.in(SessionState::lingering).front();
+  session->close();
+  return true;
+}
+
+bool Server::evict_connection() {
+  // A younger one might lose its last response to bytes that cross the close.
+  if (evict_lingering(kEvictionGrace)) {
+    return true;
+  }
+  if (has_aged(SessionState::accepted, kEvictionGrace) && evict_oldest(SessionState::accepted)) {
+    return true;
+  }
+  // A few new connections must not hold up many clients that send one request and stay.
+  if (has_aged(SessionState::idle, kPreferredEvictionIdle) && evict_oldest(SessionState::idle)) {
+    return true;
+  }
+  if (evict_lingering(0)) {
+    return true;
+  }
+  const std::size_t silent = context_.sessions.in(SessionState::accepted).size();
+  if (silent * kSilentShare > descriptors_.most(kSide)) {
+    return false;
+  }
+  return evict_oldest(SessionState::idle) || evict_oldest(SessionState::reading_head);
+}
+
+// ---- Draining
+
+void Server::on_drain_started() {
+  context_.is_draining = true;
+  if (!allows_last_request_) {
+    close_idle();
+  }
+}
+
+// The process that takes over accepts on the same socket. A request that crossed the close of its connection
+// would have to be sent again: each connection may send one more, and is closed behind its response.
+void Server::on_shutdown_started() {
+  if (!listener_.shared()) {
+    return;
+  }
+  listener_.stop();
+  allows_last_request_ = true;
+}
+
+void Server::on_drain_ended() { context_.is_draining = false; }
+
+// A connection that was just accepted is about to send a request, which would count as rejected.
+void Server::close_idle() {
+  close_idle_longer_than(SessionState::accepted, kDrainGrace);
+  close_idle_longer_than(SessionState::idle, 0);
+}
+
+void Server::close_idle_longer_than(SessionState state, Time min_age) {
+  const Time now = context_.clock.now();
+  const SessionLists::List sessions = context_.sessions.in(state);
+  for (const auto& session : sessions) {
+    if (now - session->since() >= min_age) {
+      session->close_if_idle();
+    }
+  }
+}
+
+// ---- Time limits
+
+void Server::sweep() {
+  time_out_sessions();
+  close_disconnected();
+  // New connections still arrive for a while, some without a request.
+  if (context_.is_draining && !allows_last_request_) {
+    close_idle();
+  }
+  schedule_sweep();
+}
+
+void Server::time_out_sessions() {
+  struct Limit {
+    SessionState state;
+    Time time;
+  };
+  const Time now = context_.clock.now();
+  const Time idle_timeout = context_.connection_rules.idle(context_.sessions.active());
+  const std::array<Limit, 5> limits = {{{SessionState::accepted, kRequestHeadTimeout},
+                                        {SessionState::reading_head, kRequestHeadTimeout},
+                                        {SessionState::idle, idle_timeout},
+                                        {SessionState::responding, kResponseStallTimeout},
+                                        {SessionState::lingering, kLingerTimeout}}};
+  std::vector<std::shared_ptr<ClientSession>> overdue;
+  for (const Limit& limit : limits) {
+    for (const auto& session : context_.sessions.in(limit.state)) {
+      if (now - session->since() <= limit.time) {
+        break;
+      }
+      overdue.push_back(session);
+    }
+  }
+  for (const SessionState state : {SessionState::reading_body, SessionState::uploading}) {
+    for (const auto& session : context_.sessions.in(state)) {
+      if (session->is_too_slow(now)) {
+        overdue.push_back(session);
+      }
+    }
+  }
+  for (const auto& session : overdue) {
+    if (session->time_out()) {
+      ++context_.counts.timed_out;
+    }
+  }
+}
+
+void Server::close_disconnected() {
+  std::vector<std::shared_ptr<ClientSession>> disconnected;
+  for (const SessionState state : {SessionState::processing, SessionState::uploading}) {
+    for (const auto& session : context_.sessions.in(state)) {
+      if (session->has_disconnected_unseen()) {
+        disconnected.push_back(session);
+      }
+    }
+  }
+  for (const auto& session : disconnected) {
+    session->close();
+  }
+}
+
+void Server::schedule_sweep() {
+  context_.loop_delay.tick();
+  sweep_timer_.expires_at(context_.loop_delay.due());
+  sweep_timer_.async_wait([this](net::error_code cancelled) {
+    if (!cancelled) {
+      sweep();
+    }
+  });
+}
+
+// ---- Counts
+
+// The words of the log's summary line are read by tools.
+std::string Server::summary() const {
+  const ServerCounts& counts = context_.counts;
+  return "clients=" + std::to_string(open_) + " accepted=" + std::to_string(counts.accepted) +
+         " spared=" + std::to_string(counts.evicted) + " expired=" + std::to_string(counts.timed_out) +
+         " waited=" + std::to_string(counts.accept_waits) +
+         " unread=" + std::to_string(counts.invalid_requests) +
+         " once=" + std::to_string(counts.closed_under_pressure) + " shed=" + std::to_string(counts.shed) +
+         " left=" + std::to_string(counts.disconnects);
+}
+
+std::size_t Server::unanswered() const {
+  const SessionLists& sessions = context_.sessions;
+  const SessionLists::List& idle = sessions.in(SessionState::idle);
+  const auto unread = std::count_if(idle.begin(), idle.end(),
+                                    [](const auto& session) { return session->has_unread_request(); });
+  return sessions.in(SessionState::accepted).size() + sessions.in(SessionState::lingering).size() +
+         sessions.active() - idle.size() + static_cast<std::size_t>(unread);
+}
+
+}  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/server_context.h
@@ -0,0 +1,47 @@
+/// \file
+/// What the server and its sessions share. Used on the event loop's thread only.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+
+#include "engine/downstream.h"
+#include "engine/message_pool.h"
+#include "http1/session_state.h"
+#include "net/admission.h"
+#include "net/clock.h"
+#include "net/links.h"
+#include "net/loop_delay.h"
+#include "overload/connections.h"
+#include "settings/settings.h"
+
+namespace streampick::http1 {
+
+/// Since the start.
+struct ServerCounts {
+  std::uint64_t accepted = 0;
+  std::uint64_t evicted = 0;                ///< connections closed to make room for others
+  std::uint64_t timed_out = 0;              ///< connections ended at a time limit
+  std::uint64_t accept_waits = 0;           ///< times that the next connection had to wait for a descriptor
+  std::uint64_t invalid_requests = 0;       ///< responses 4xx
+  std::uint64_t closed_under_pressure = 0;  ///< ended behind their first response, many being open
+  std::uint64_t shed = 0;                   ///< requests rejected because the event loop is behind
+  std::uint64_t disconnects = 0;            ///< clients that disconnected while a request was in progress
+};
+
+struct ServerContext {
+  net::Clock& clock;
+  const Names& names;
+  engine::RequestHandler& request_handler;
+  net::Admission& admission;
+  const net::Links& links;  ///< the memory budget of long bodies
+  overload::ConnectionRules connection_rules;
+  net::LoopDelay loop_delay = {};
+  engine::MessagePool messages = {};
+  SessionLists sessions = {};
+  ServerCounts counts = {};
+  bool is_draining = false;
+  std::function<void()> on_session_closed = {};  ///< a descriptor is free again
+};
+
+}  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/streamed_upload.cpp
@@ -0,0 +1,31 @@
+#include "http1/streamed_upload.h"
+
+#include <utility>
+
+#include "http1/protocol.h"
+
+namespace streampick::http1 {
+
+std::shared_ptr<engine::BodyStream> StreamedUpload::start(std::optional<std::uint64_t> length,
+                                                          std::function<void()> on_writable) {
+  stream_ = std::make_shared<engine::BodyStream>(length, kPartsWaiting);
+  stream_->on_writable = std::move(on_writable);
+  return stream_;
+}
+
+void StreamedUpload::write(std::string& bytes) {
+  is_paused_ = !stream_->write(bytes);
+  bytes.clear();
+}
+
+void StreamedUpload::end(engine::BodyStream::State state) {
+  if (!stream_) {
+    return;
+  }
+  const auto stream = std::exchange(stream_, nullptr);
+  stream->on_writable = nullptr;
+  is_paused_ = false;
+  stream->end(state);
+}
+
+}  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/streamed_upload.h
@@ -0,0 +1,35 @@
+/// \file
+/// The writer's side of a request body that is forwarded while it arrives.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "engine/body_stream.h"
+
+namespace streampick::http1 {
+
+class StreamedUpload {
+ public:
+  /// `length`: of the body; none if it is chunked. `on_writable` is called, within calls of the engine, when
+  /// a paused upload may go on.
+  std::shared_ptr<engine::BodyStream> start(std::optional<std::uint64_t> length,
+                                            std::function<void()> on_writable);
+  /// Moves the bytes into the stream, and pauses the upload when that is full.
+  void write(std::string& bytes);
+  /// Ends the stream, if the upload is open.
+  void end(engine::BodyStream::State state);
+
+  [[nodiscard]] bool is_open() const { return stream_ != nullptr; }
+  [[nodiscard]] bool is_paused() const { return is_paused_; }
+  void resume() { is_paused_ = false; }
+
+ private:
+  std::shared_ptr<engine::BodyStream> stream_;
+  bool is_paused_ = false;
+};
+
+}  // namespace streampick::http1
--- a/tests/http1/downstream_digest_test.cpp
+++ b/tests/http1/downstream_digest_test.cpp
@@ -545,7 +545,7 @@
     ASSERT_TRUE(has_responses(*clients.back(), 1));
     settle();
   }
-  transcript.add("evicted one more " + std::to_string(server->give_one_back()));
+  transcript.add("evicted one more " + std::to_string(server->evict_connection()));
   for (std::size_t i = 0; i < clients.size(); ++i) record(std::to_string(i), *clients[i]);
   record_counts();
   expect_digest(2290603722178274474U);
--- a/tests/http1/scripted_downstream.h
+++ b/tests/http1/scripted_downstream.h
@@ -19,7 +19,7 @@
 #include <utility>
 #include <vector>
 
-#include "http1/front.h"
+#include "http1/server.h"
 #include "raw_client.h"
 
 namespace streampick::test {
@@ -175,9 +175,9 @@
 
   /// `passed`: a listening descriptor that the downstream shares, or -1.
   void start(int passed = -1) {
-    server = std::make_unique<http1::Clients>(io, clock, names, engine, any_address(), descriptors, overload,
-                                              admission(), links, passed);
-    server->open_doors();
+    server = std::make_unique<http1::Server>(io, clock, names, engine, any_address(), descriptors, overload,
+                                             admission(), links, passed);
+    server->start_accepting();
   }
   static net::tcp::endpoint any_address() { return {asio::ip::make_address("127.0.0.1"), 0}; }
   net::Admission& admission() {
@@ -327,7 +327,7 @@
   net::Links links;
   overload::Descriptors descriptors{{200, 60, 60}};
   std::unique_ptr<net::Admission> admission_;
-  std::unique_ptr<http1::Clients> server;
+  std::unique_ptr<http1::Server> server;
 };
 
 }  // namespace streampick::test
