--- a/tests/http1/accounting_test.cpp
+++ b/tests/http1/accounting_test.cpp
@@ -1,11 +1,11 @@
-// Each request that was taken has one final answer, whatever its servers do and whoever else is connected.
+// Each accepted request gets exactly one final response, whatever its servers and other clients do.
 #include "http1/one_server.h"
 #include "raw_client.h"
 
 namespace streampick::test {
 namespace {
 
-// Resets, breaks off, spoils, turns away and stays silent, in turn with good answers.
+// Resets, truncates, malforms, rejects and stays silent, in turn with valid responses.
 class FaultyServer {
  public:
   explicit FaultyServer(asio::io_context& io) : acceptor_(io, any_port()) { accept(); }
@@ -43,13 +43,13 @@
   std::uint64_t requests_ = 0;
 };
 
-// Asks for one thing after the other, on a new connection where the router ended the one before.
-class Asking {
+// Sends one request after the other, on a new connection where the router closed the one before.
+class SequentialClient {
  public:
-  Asking(asio::io_context& io, net::tcp::endpoint to, std::size_t all)
+  SequentialClient(asio::io_context& io, net::tcp::endpoint to, std::size_t all)
       : io_(io), to_(std::move(to)), all_(all) {}
-  // Goes on as far as it can; true: all is answered.
-  bool go_on() {
+  /// Reads responses and sends the next request. Returns whether all are answered.
+  bool advance() {
     if (client_ && client_->answers.size() > seen_) {
       last_ = client_->answers[seen_++];
       ++answered_;
@@ -97,15 +97,15 @@
     settings = platform::parse_settings(config.dump());
     host = std::make_unique<daemon::Host>(io, clock, settings);
   }
-  // All are answered, once each; `meanwhile` is done again and again.
+  /// Expects one response to each request; `meanwhile` is called again and again.
   void ask_all(const std::function<void()>& meanwhile) {
-    std::vector<std::unique_ptr<Asking>> all;
+    std::vector<std::unique_ptr<SequentialClient>> all;
     for (std::size_t i = 0; i < kClients; ++i)
-      all.push_back(std::make_unique<Asking>(io, host->address(), kEach));
+      all.push_back(std::make_unique<SequentialClient>(io, host->address(), kEach));
     ASSERT_TRUE(wait_for([&] {
       meanwhile();
       bool done = true;
-      for (const auto& one : all) done = one->go_on() && done;
+      for (const auto& one : all) done = one->advance() && done;
       return done;
     }));
     quiet(50);
@@ -123,14 +123,13 @@
   FaultyServer first{io}, second{io}, source{io};
 };
 
-TEST_F(HttpAccounting, ServersThatResetBreakOffAndStaySilent) {
+TEST_F(HttpAccounting, FaultyServers_EveryRequestGetsOneResponse) {
   start_faulty(256);
   ask_all([] {});
 }
 
-// One that floods behind its request, one that sends what can't be read, one that stops in the midst, and all
-// of them go at any time.
-TEST_F(HttpAccounting, BadNeighbours) {
+// Clients that flood behind a request, send malformed ones or stop within one, and disconnect at any time.
+TEST_F(HttpAccounting, MisbehavingClientsBeside_EveryRequestGetsOneResponse) {
   start_faulty(256);
   std::vector<std::unique_ptr<RawClient>> bad;
   std::size_t turn = 0;
@@ -155,7 +154,7 @@
   });
 }
 
-TEST_F(HttpAccounting, IdleClientsThatFillTheDescriptors) {
+TEST_F(HttpAccounting, IdleClientsFillTheDescriptors_EveryRequestGetsOneResponse) {
   start_faulty(96);
   std::vector<std::unique_ptr<RawClient>> idle;
   ask_all([&] {
--- a/tests/http1/leaving.h
+++ b/tests/http1/client_connection.h
@@ -1,5 +1,6 @@
-// A router and clients whose ends cross what it does; each crossing is brought about by the order in which
-// both sides are let run.
+/// \file
+/// A router and raw clients whose disconnects, and the router's own closes, race with requests and responses.
+/// A test brings each race about by the order in which both sides run.
 #pragma once
 
 #include <functional>
@@ -11,21 +12,20 @@
 
 namespace streampick::test {
 
-class Leaving : public Loopback {
+class ClientConnection : public Loopback {
  protected:
   void drain() {
     host->drain([this] { done = true; });
   }
   using Raw = RawClient;
   using Way = RawClient::Way;
-  bool ended(Raw& one) {
+  bool ended(Raw& client) {
     return wait_for([&] {
-      one.take();
-      return static_cast<bool>(one.end);
+      client.take();
+      return static_cast<bool>(client.end);
     });
   }
-  /// Runs `event` in the loop's next turn, before whatever else has become due within `milliseconds`: none of
-  /// that runs meanwhile.
+  /// Blocks for `milliseconds`, then runs `event` ahead of every handler that has become due meanwhile.
   void run_before_what_is_due(int milliseconds, std::function<void()> event) {
     asio::steady_timer first(io, std::chrono::steady_clock::time_point{});
     bool ran = false;
@@ -36,9 +36,9 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
     ASSERT_TRUE(wait_for([&] { return ran; }));
   }
-  // All that the router has to do with it: no request may reach a server any more.
+  /// No further request may reach a server.
   void expect_nothing_more(std::size_t before) {
-    quiet(1'200);  // past the delay of a copy, a wait in line and the kernel's next try at a connection
+    quiet(1'200);  // past the hedge delay, the admission queue and the kernel's next SYN
     EXPECT_EQ(cache.requests.size() + origin.requests.size(), before);
   }
   bool done = false;
--- a/tests/http1/ends_test.cpp
+++ b/tests/http1/connection_end_test.cpp
@@ -1,15 +1,15 @@
-// Each way in which the router ends a client's connection, over loopback sockets: what was read before it,
-// and what stood unread in the socket, has its answer.
-#include "http1/leaving.h"
+// Each way in which the router closes a client connection, over loopback sockets: requests that were read
+// before, or that were unread in the socket, are answered.
+#include "http1/client_connection.h"
 
 namespace streampick::test {
 namespace {
 
 const std::string kOk = "HTTP/1.1 200 ";
 
-class Ends : public Leaving {
+class ConnectionEnd : public ClientConnection {
  protected:
-  // Rests of clients and the number from which there is a crowd, as a test needs them.
+  /// With idle timeouts and the limit of connection pressure as a test needs them.
   void start_with(const std::function<void(platform::NodeSettings&)>& change, int sockets = 256) {
     nlohmann::json config =
         config_json(text_of(discovery.local_endpoint()),
@@ -29,8 +29,7 @@
   void set_draining() {
     host->operators().answer({management::Command::Kind::leave, {}}, [](const std::string&) {});
   }
-  // The first server's answer to the request that it has, and then bytes of the client's, both there before
-  // the router runs again.
+  /// Delivers the first server's response and then bytes of the client, before the router runs again.
   void answer_then_deliver(Raw& one, const std::string& text) {
     cache.peers.back()->write(response(200, "x"));
     RawClient::wait_until_delivered(cache.peers.back()->socket);
@@ -38,9 +37,9 @@
   }
 };
 
-// ---- Rests that end
+// ---- Idle timeouts
 
-TEST_F(Ends, ARequestThatComesAsItsConnectionsRestEndsIsServed) {
+TEST_F(ConnectionEnd, RequestAtTheIdleTimeout_IsServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start_with(
       [](platform::NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
@@ -54,8 +53,7 @@
   EXPECT_EQ(host->counts().served, 2U);
 }
 
-// ... on a new connection too, at the end of the time that it has for its first request.
-TEST_F(Ends, ARequestThatComesAsANewConnectionsTimeEndsIsServed) {
+TEST_F(ConnectionEnd, RequestAtTheFirstRequestTimeout_IsServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   Raw one(io, host->address());
@@ -65,8 +63,8 @@
   EXPECT_EQ(one.count(kOk), 1U);
 }
 
-// One that crosses the end is read and dropped: its client sends it again elsewhere.
-TEST_F(Ends, ARequestThatCrossesTheEndOfARestIsNotSentOn) {
+// It is read and discarded: the client sends it again elsewhere.
+TEST_F(ConnectionEnd, RequestThatCrossesTheIdleClose_IsNotForwarded) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start_with(
       [](platform::NodeSettings& all) { all.overload.calm_idle = all.overload.crowded_idle = 200'000; });
@@ -84,9 +82,9 @@
   expect_nothing_more(1);
 }
 
-// ---- Ends behind an answer
+// ---- Closes behind a response
 
-TEST_F(Ends, ARequestThatIsUnreadWhenTheOneBeforeItIsAnsweredIsAnsweredTooWhenToldToStop) {
+TEST_F(ConnectionEnd, UnreadRequestAtTheLastResponseOfAShutdown_IsServed) {
   start();
   Raw one(io, host->address());
   one.write(a_read());
@@ -107,7 +105,7 @@
   EXPECT_EQ(served_when_done, 2U);
 }
 
-TEST_F(Ends, ARequestThatIsUnreadWhenTheOneBeforeItIsAnsweredIsAnsweredTooInACrowd) {
+TEST_F(ConnectionEnd, UnreadRequestAtACloseUnderPressure_IsServed) {
   start_with([](platform::NodeSettings& all) { all.overload.crowd = 0.01; });  // of four connections
   // Each on a connection of its own, so that the last one's is known.
   cache.answer = [](const std::string&) { return response(200, "x", "Connection: close\r\n"); };
@@ -127,8 +125,8 @@
   EXPECT_EQ(one.count(kOk), 2U);
 }
 
-// What is wrong with a message costs those behind it, never the one before it.
-TEST_F(Ends, AGoodRequestBeforeASpoiltOneIsAnsweredFirst) {
+// An error affects the requests behind it, never the one before it.
+TEST_F(ConnectionEnd, ValidRequestBeforeAnInvalidOne_IsAnsweredFirst) {
   start();
   const std::string good = a_read();
   const std::vector<std::pair<std::string, std::string>> spoilt = {
@@ -164,8 +162,8 @@
   }
 }
 
-// Only what could not be kept is lost to its sender, which is told so.
-TEST_F(Ends, WholeRequestsBeforeAFloodAreAnswered) {
+// Only what could not be kept is lost, and the client gets an error.
+TEST_F(ConnectionEnd, CompleteRequestsBeforeAnOverflow_AreAnswered) {
   start();
   host->links().most_large = 0;  // no memory for more than a little that is sent ahead
   Raw one(io, host->address());
@@ -183,9 +181,9 @@
   EXPECT_EQ(host->counts().requests, 3U);
 }
 
-// ---- Places that others need
+// ---- Eviction
 
-TEST_F(Ends, WhoGivesItsPlaceToOthersHasNoRequestUnread) {
+TEST_F(ConnectionEnd, EvictedConnection_HasNoUnreadRequest) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start_with([](platform::NodeSettings& all) { all.overload.crowd = 1; },
              64);  // at most 22 of them for clients
@@ -231,9 +229,9 @@
   expect_nothing_more(before);
 }
 
-// ---- Sent away by the operators
+// ---- Draining by an operator's command
 
-TEST_F(Ends, SentAwayClientsAreAnsweredAndWhatCrossesTheEndIsNotSentOn) {
+TEST_F(ConnectionEnd, OperatorDrain_AnswersRequestsAndForwardsNoneThatCrossTheClose) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   Raw resting(io, host->address()), asking(io, host->address());
@@ -252,7 +250,7 @@
   ASSERT_TRUE(ended(asking));
   EXPECT_EQ(asking.count(kOk), 2U);
   EXPECT_EQ(asking.count("Connection: close"), 1U);
-  // One that has just come is given the time to ask.
+  // A connection that was just accepted may still send its request.
   quiet(200);
   fresh.take();
   ASSERT_FALSE(fresh.end);
@@ -260,7 +258,7 @@
   ASSERT_TRUE(ended(fresh));
   EXPECT_EQ(fresh.count(kOk), 1U);
   expect_nothing_more(4);
-  // And they are taken again.
+  // After the drain connections are kept again.
   host->operators().answer({management::Command::Kind::join, {}}, [](const std::string&) {});
   Raw again(io, host->address());
   again.write(a_read());
@@ -268,9 +266,9 @@
   EXPECT_EQ(again.count("Connection: close"), 0U);
 }
 
-// ---- Clients that stop within a request and stay
+// ---- Clients that stop within a request and stay connected
 
-TEST_F(Ends, ManyThatStopWithinARequestHaveTheirErrorInThreeSecondsAndOthersAreServed) {
+TEST_F(ConnectionEnd, ClientsThatStopWithinARequest_GetAnErrorWithinThreeSeconds) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto put = [](const std::string& header, const std::string& begun) {
@@ -321,9 +319,9 @@
   for (std::size_t i = 0; i < served; ++i) EXPECT_EQ(good->status(i), 200);
 }
 
-// ---- Little time
+// ---- Short deadlines
 
-TEST_F(Ends, ARequestWithVeryLittleTimeHasOneAnswerThoughServersDropIt) {
+TEST_F(ConnectionEnd, RequestWithHardlyAnyTime_GetsOneResponseWhenServersDropIt) {
   start();  // no server says a word
   const auto one = client();
   std::size_t answers = 0;
@@ -352,8 +350,8 @@
 
 // ---- Calm traffic
 
-// A loop that is held up now and then refuses for that moment, and attempts go on.
-TEST_F(Ends, OnCalmTrafficNoStretchOfRefusalsLastsFourSeconds) {
+// A loop that is delayed now and then sheds load for that moment only.
+TEST_F(ConnectionEnd, CalmTraffic_NoSeriesOfRejectionsLastsFourSeconds) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
--- a/tests/http1/deadline_test.cpp
+++ b/tests/http1/deadline_test.cpp
@@ -1,5 +1,5 @@
-// The deadline that a server is told is at most what its client has left when the bytes leave. The slack of
-// 0.15 s is left to what no clock here shows; the tests allow none but the rounding.
+// X-Remaining towards a server is at most the time that the client has left when the bytes are written. The
+// tests allow no slack but the rounding.
 #include <unistd.h>
 
 #include "http1/one_server.h"
@@ -12,14 +12,14 @@
 
 constexpr Time kRounding = 1'000;
 
-// What a request's head tells, in microseconds; -1: nothing.
-Time told(const std::string& request) {
+// X-Remaining of a request, in microseconds; -1: absent.
+Time remaining_of(const std::string& request) {
   const std::size_t at = request.find("\r\nX-Remaining: ");
   if (at == std::string::npos) return -1;
   return static_cast<Time>(std::stod(request.substr(at + 15)) * 1e6);
 }
 
-class Told : public Loopback {
+class RemainingHeader : public Loopback {
  protected:
   Time since_asked() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(Steady::now() - asked_).count();
@@ -31,7 +31,7 @@
   Steady::time_point asked_;
 };
 
-TEST_F(Told, AHedgeBehindAHoldUpTellsWhatIsLeftThen) {
+TEST_F(RemainingHeader, HedgeAfterALoopDelay_CarriesTheTimeLeft) {
   FakeServer other(io);
   start(list_json(1, true,
                   {{"s-1", cache.address()}, {"s-2", other.address()}, {"s-o", origin.address(), "origin"}}));
@@ -40,19 +40,19 @@
   ask(one, request_text("GET", "/read/1", "read", "", "4.0"));
   ASSERT_TRUE(wait_for([&] { return all() == 1; }));
   const bool first_at_cache = !cache.requests.empty();
-  EXPECT_LE(told(first_at_cache ? cache.requests[0] : other.requests[0]), 4'000'000);
+  EXPECT_LE(remaining_of(first_at_cache ? cache.requests[0] : other.requests[0]), 4'000'000);
   ::usleep(950'000);
   const Time past = since_asked();
   ASSERT_TRUE(wait_for([&] { return all() == 2; }));
   const std::string& hedge = first_at_cache ? other.requests.at(0) : cache.requests.at(0);
-  EXPECT_GT(told(hedge), 0);
-  EXPECT_LE(told(hedge), 4'000'000 - past + kRounding);
+  EXPECT_GT(remaining_of(hedge), 0);
+  EXPECT_LE(remaining_of(hedge), 4'000'000 - past + kRounding);
 }
 
-TEST_F(Told, ARetryTellsWhatIsLeftThen) {
+TEST_F(RemainingHeader, RetryAfterALoopDelay_CarriesTheTimeLeft) {
   start();
   cache.answer = [&](const std::string&) {
-    ::usleep(200'000);  // the loop, which is the test's too, is held up before it takes the answer
+    ::usleep(200'000);  // delays the loop, which is the test's too, before it reads the response
     return response(503, "", "X-Turned-Away: 1\r\n");
   };
   RawClient one(io, host->address());
@@ -64,11 +64,11 @@
   }));
   const std::string& retry = origin.requests.empty() ? cache.requests[1] : origin.requests[0];
   EXPECT_GE(past, 200'000);
-  EXPECT_LE(told(retry), 4'000'000 - past + kRounding);
+  EXPECT_LE(remaining_of(retry), 4'000'000 - past + kRounding);
 }
 
-// A body that goes on as it comes: the time of its client counts from its last byte.
-TEST_F(Told, OfALongBodyTheServerIsToldNoMoreThanItsClientWaitsBehindIt) {
+// Of a streamed body: the client's time counts from its last byte.
+TEST_F(RemainingHeader, Upload_CarriesAtMostTheClientsTime) {
   start();
   RawClient one(io, host->address());
   const std::string body(2'000'000, 'x');
@@ -76,12 +76,12 @@
   ask(one, request.substr(0, 200'000));
   ASSERT_TRUE(wait_for(
       [&] { return !origin.peers.empty() && origin.peers[0]->got.find("\r\n\r\n") != std::string::npos; }));
-  EXPECT_GT(told(origin.peers[0]->got), 0);
-  EXPECT_LE(told(origin.peers[0]->got), 2'000'000);
+  EXPECT_GT(remaining_of(origin.peers[0]->got), 0);
+  EXPECT_LE(remaining_of(origin.peers[0]->got), 2'000'000);
 }
 
-// Servers may drop what has hardly any time left, without a word.
-TEST_F(Told, ARequestWithHardlyAnyTimeThatIsDroppedHasItsAnswerInTime) {
+// Servers may drop a request with hardly any time left, without a response.
+TEST_F(RemainingHeader, HardlyAnyTimeLeft_ClientIsAnsweredInTime) {
   start();
   for (const char* const remaining : {"0.000", "0.001", "0.010", "0.030", "0.100"}) {
     const auto one = client();
@@ -95,9 +95,9 @@
             host->counts().failed + host->counts().refused + host->counts().cancelled_by_client);
 }
 
-class ToldByTransport : public ToOneServer {
+class UpstreamRemainingHeader : public ToOneServer {
  protected:
-  // A connection that has answered and is settled.
+  /// Leaves an idle connection that has answered once.
   void warm_up() {
     cache.answer = [](const std::string&) { return response(200, "x"); };
     send(0);
@@ -106,17 +106,17 @@
   }
 };
 
-// The clock is read once for each batch of events; the hold-up comes within one, behind that.
-TEST_F(ToldByTransport, BehindAHoldUpWithinABatchTheTimeIsReadAnew) {
+// The clock is read once for each batch of events; the delay is within a batch, after that.
+TEST_F(UpstreamRemainingHeader, LoopDelayWithinABatch_TimeIsReadAgain) {
   warm_up();
   const Time expires = clock.now() + 2'000'000;
   ::usleep(300'000);
   upstream.send({1, 1}, forward, expires, kNever);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 2; }));
-  EXPECT_LE(told(cache.requests[1]), 1'700'000 + kRounding);
+  EXPECT_LE(remaining_of(cache.requests[1]), 1'700'000 + kRounding);
 }
 
-TEST_F(ToldByTransport, WhatIsOverBehindAHoldUpWithinABatchIsNotSent) {
+TEST_F(UpstreamRemainingHeader, ExpiredWithinABatch_IsNotSent) {
   warm_up();
   const Time now = clock.now();
   ::usleep(100'000);
@@ -128,7 +128,7 @@
   EXPECT_EQ(cache.requests.size(), 1U);
 }
 
-TEST_F(ToldByTransport, BehindTheWaitForItsConnectionTheServerIsToldWhatIsLeftThen) {
+TEST_F(UpstreamRemainingHeader, ConnectionWait_IsSubtracted) {
   upstream.set_address(full.address());
   const Time expires = clock.now() + 4'000'000;
   upstream.send({1, 0}, forward, expires, kNever);
@@ -140,20 +140,20 @@
   ASSERT_TRUE(wait_for([&] { return full.requests() == 1; }));
   for (const auto& peer : full.peers) {
     if (!peer->got.empty()) {
-      EXPECT_LE(told(peer->got), left + kRounding);
+      EXPECT_LE(remaining_of(peer->got), left + kRounding);
     }
   }
 }
 
-// The kernel takes a part of a head only: its server reads nothing for a while.
-class HalfAHead : public ToldByTransport {
+// The kernel takes only a part of the head, since its server reads nothing for a while.
+class PartiallyWrittenHead : public UpstreamRemainingHeader {
  protected:
-  HalfAHead() {
+  PartiallyWrittenHead() {
     forward->target = "/read/" + std::string(8'000'000, 'x');
     upstream.set_address(text_of(slow.local_endpoint()));
     slow.async_accept(peer, [](net::error_code) {});
   }
-  // Reads on until the end of the head or of the connection; true: the head came whole.
+  /// Reads until the end of the head or of the connection. Returns whether the head was complete.
   bool head_comes() {
     peer.non_blocking(true);
     std::vector<char> chunk(1'000'000);
@@ -174,14 +174,14 @@
   net::tcp::socket peer{io};
 };
 
-TEST_F(HalfAHead, ThatTheRestFollowsSoonLeavesWhole) {
+TEST_F(PartiallyWrittenHead, RestFollowsSoon_IsWrittenCompletely) {
   send(0);
   quiet(30);
   EXPECT_TRUE(head_comes());
   EXPECT_TRUE(record.ended.empty());
 }
 
-TEST_F(HalfAHead, ThatTheRestWouldFollowLateIsGivenUpAndNeverRan) {
+TEST_F(PartiallyWrittenHead, RestIsLate_AttemptEndsAsNotRun) {
   send(0);
   quiet(300);
   EXPECT_FALSE(head_comes());
@@ -189,8 +189,8 @@
   EXPECT_EQ(record.ended[0].second, Outcome::connect_failed);
 }
 
-// Its client goes while the rest of it waits.
-TEST_F(HalfAHead, ThatNobodyWaitsForAnyMoreIsGivenUpAndNeverRan) {
+// The client disconnects before the rest is written.
+TEST_F(PartiallyWrittenHead, ClientDisconnects_AttemptEndsAsNotRun) {
   send(0);
   quiet(30);
   record.wanted = false;
--- a/tests/http1/leaving_test.cpp
+++ b/tests/http1/disconnect_test.cpp
@@ -1,21 +1,24 @@
-// Ends of clients' connections, theirs and ours, that cross a request, an answer or a signal to stop; over
-// loopback sockets, each crossing brought about by the order in which both sides are let run.
-#include "http1/leaving.h"
-
+// Closes of client connections, by the client and by the router, that race with a request, a response or a
+// graceful shutdown; over loopback sockets.
 #include <unistd.h>
 
 #include <thread>
 
+#include "http1/client_connection.h"
 #include "http1/one_server.h"
 
 namespace streampick::test {
 namespace {
 
-constexpr std::size_t kEnough = 3;  // more reads than the first limit on cache work lets out at one server
+// Reads that fill the initial concurrency limit of one server.
+constexpr std::size_t kEnough = 3;
+
+class GracefulShutdown : public ClientConnection {};
+class ClientDisconnect : public ClientConnection {};
 
-// ---- Told to stop
+// ---- Graceful shutdown
 
-TEST_F(Leaving, ARequestThatIsThereUnreadWhenToldToStopIsServed) {
+TEST_F(GracefulShutdown, UnreadRequest_IsServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto resting = client();
@@ -30,7 +33,7 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-TEST_F(Leaving, ASecondRequestBehindTheFirstIsAnsweredTooWhenToldToStop) {
+TEST_F(GracefulShutdown, PipelinedRequest_IsServed) {
   start();
   const auto one = client();
   one->ask(a_read() + request_text("GET", "/read/2", "read"));
@@ -44,8 +47,8 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-// Refused at once, within the call that read both.
-TEST_F(Leaving, ASecondRequestInTheSameReadIsAnsweredTooWhenToldToStop) {
+// The first one is rejected within the call that read both.
+TEST_F(GracefulShutdown, PipelinedRequestOfTheSameRead_IsServed) {
   start();
   const auto one = client();
   quiet(20);
@@ -59,8 +62,8 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-// Closed with no answer, its client would have to count its request as refused.
-TEST_F(Leaving, AClientThatHasJustConnectedIsGivenTimeToAsk) {
+// A close without a response would count as a rejected request.
+TEST_F(GracefulShutdown, NewConnection_IsServedWithinTheDrainGrace) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -74,7 +77,7 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-TEST_F(Leaving, AClientInTheListenersQueueWhenAcceptingEndsIsServed) {
+TEST_F(GracefulShutdown, ConnectionInTheListenQueue_IsServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   drain();
@@ -87,10 +90,9 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-// A client that rests until the router ends the connection, and asks in that very moment. Its request must
-// not be sent on, for it will send it again elsewhere; and the end must not be a reset, which could take an
-// answer with it.
-TEST_F(Leaving, ARequestThatCrossesTheEndOfARestingConnectionIsNotSentOn) {
+// The client sends the request again elsewhere, so it must not be forwarded; and the close must not be a
+// reset, which could discard a response.
+TEST_F(GracefulShutdown, RequestThatCrossesTheCloseOfAnIdleConnection_IsNotForwarded) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   Raw one(io, host->address());
@@ -107,9 +109,9 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-// Bytes that are unread when a connection is closed make the kernel reset it, and what the client has not
-// read yet is gone.
-TEST_F(Leaving, TheLastAnswerArrivesThoughItsClientSendsOn) {
+// A close with unread bytes makes the kernel reset the connection, which discards what the client has not
+// read.
+TEST_F(GracefulShutdown, ClientThatKeepsSending_ReceivesItsLastResponse) {
   const std::string body = pattern(200'000);
   cache.answer = [&](const std::string&) { return response(200, body); };
   start();
@@ -126,8 +128,8 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-// The process ends when the router is done: that closes what is left, with a reset where bytes are unread.
-TEST_F(Leaving, ItIsNotDoneBeforeItsLastAnswerIsTaken) {
+// The process exits when the shutdown is done, which closes the remaining connections, some with a reset.
+TEST_F(GracefulShutdown, LastResponseNotReceived_DelaysTheEnd) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   Raw one(io, host->address());
@@ -144,7 +146,7 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-TEST_F(Leaving, AFloodThatGoesDoesNotHoldTheEndOpen) {
+TEST_F(GracefulShutdown, FloodingClient_DoesNotDelayTheEnd) {
   start();
   Raw one(io, host->address());
   one.write(a_read());
@@ -164,9 +166,9 @@
   flood.join();
 }
 
-// The kill comes no sooner than the longest deadline and 0.7 s after the signal: with short deadlines that is
-// soon, and all that was taken has its answer by then.
-TEST_F(Leaving, WithShortDeadlinesAllIsAnsweredBeforeTheKillThoughServersHang) {
+// The process is killed 0.7 s after the longest deadline at the earliest: with short deadlines that is soon,
+// and all accepted requests are answered by then.
+TEST_F(GracefulShutdown, HangingServersAndShortDeadlines_AllRequestsAreAnsweredInTime) {
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
@@ -190,11 +192,10 @@
   EXPECT_EQ(host->counts().requests, all.size());
 }
 
-// ---- Clients that go
+// ---- Clients that disconnect
 
-// PROTOCOL: a client that closes its connection has gone away. One that ends its sending is not told apart
-// from it: both are the end of what comes from it.
-TEST_F(Leaving, AClientThatEndsItsSendingHasGone) {
+// PROTOCOL: a client that closes its connection has gone away. A half close looks the same to the router.
+TEST_F(ClientDisconnect, HalfClose_CancelsTheRequest) {
   start();
   Raw one(io, host->address());
   one.write(a_read());
@@ -205,7 +206,7 @@
   expect_nothing_more(1);
 }
 
-TEST_F(Leaving, ItsRequestAndItsEndInOneReadBeginNothingMore) {
+TEST_F(ClientDisconnect, RequestAndCloseInOneRead_StartAtMostOneAttempt) {
   start();
   Raw one(io, host->address());
   one.write(a_read());
@@ -215,8 +216,8 @@
   expect_nothing_more(cache.requests.size());
 }
 
-// Much that it sent ahead must not hide that it has gone: noticed before the copy would go out.
-TEST_F(Leaving, AFloodThatGoesWhileItsRequestIsInWorkIsNoticedAndNoCopyIsSent) {
+// Pipelined bytes must not hide the disconnect: it is detected before the hedge would be sent.
+TEST_F(ClientDisconnect, FloodingClientDisconnects_NoHedgeIsSent) {
   start();
   std::size_t asked = 0;
   for (const std::size_t ahead : {std::size_t{100'000}, std::size_t{900'000}}) {
@@ -237,8 +238,8 @@
   expect_nothing_more(asked);
 }
 
-// More than is read on: the end is looked for beside it.
-TEST_F(Leaving, AFloodThatIsNoLongerReadIsSeenToGo) {
+// More was pipelined than is read: the disconnect is polled for.
+TEST_F(ClientDisconnect, FloodingClientThatIsNoLongerRead_DisconnectIsDetected) {
   start();
   Raw one(io, host->address());
   one.write(a_read());
@@ -256,9 +257,9 @@
   expect_nothing_more(1);
 }
 
-// Bytes are dropped while the answer is written: what follows the gap must not be read as the rest of what
-// stands before it.
-TEST_F(Leaving, BehindBytesThatWereDroppedNoRequestIsRead) {
+// Bytes are discarded while the response is written: what follows the gap must not be parsed as the rest of
+// what precedes it.
+TEST_F(ClientDisconnect, DiscardedBytes_NoRequestBehindThemIsRead) {
   const std::string body(1'000'000, 'x');
   cache.answer = [&](const std::string&) { return response(200, body); };
   start();
@@ -282,17 +283,17 @@
   expect_nothing_more(1);
 }
 
-class Waiting : public Leaving, public ::testing::WithParamInterface<int> {
+class DisconnectWhileWaiting : public ClientConnection, public ::testing::WithParamInterface<int> {
  protected:
   void client_goes(Raw& one) {
     one.go(GetParam() == 0 ? Way::fin : Way::reset);
     ASSERT_TRUE(wait_for([&] { return host->counts().cancelled_by_client >= 1; }));
   }
 };
-INSTANTIATE_TEST_SUITE_P(FinAndReset, Waiting, ::testing::Values(0, 1));
+INSTANTIATE_TEST_SUITE_P(FinAndReset, DisconnectWhileWaiting, ::testing::Values(0, 1));
 
-// Another server has the key too, and would be sent the copy.
-TEST_P(Waiting, ForACopyItsTimerSendsNothing) {
+// Another server has the key too, and would get the hedge.
+TEST_P(DisconnectWhileWaiting, ForTheHedgeTimer_NoHedgeIsSent) {
   FakeServer second(io);
   start(list_json(
       1, true, {{"s-1", cache.address()}, {"s-2", second.address()}, {"s-o", origin.address(), "origin"}}));
@@ -305,7 +306,7 @@
   EXPECT_EQ(host->counts().attempts, 1U);
 }
 
-TEST_P(Waiting, ForAdmissionItIsNeverSentOn) {
+TEST_P(DisconnectWhileWaiting, InTheAdmissionQueue_RequestIsNeverForwarded) {
   start();
   std::vector<std::unique_ptr<FakeClient>> busy;
   for (std::size_t i = 0; i < kEnough; ++i) {
@@ -317,15 +318,15 @@
   one.write(request_text("GET", "/read/77", "read"));
   ASSERT_TRUE(wait_for([&] { return host->counts().requests == kEnough + 1; }));
   quiet(20);
-  ASSERT_EQ(cache.requests.size(), kEnough);  // it stands in line
+  ASSERT_EQ(cache.requests.size(), kEnough);  // it is queued
   client_goes(one);
   for (const auto& peer : cache.peers) peer->write(response(200, "x"));
   for (const auto& other : busy) ASSERT_TRUE(wait_for([&] { return other->answers.size() == 1; }));
   expect_nothing_more(kEnough);
 }
 
-// The origin can't be reached; the next try comes after a wait.
-TEST_P(Waiting, ForTheNextTryItIsNeverSentOn) {
+// The origin is unreachable; the retry is scheduled.
+TEST_P(DisconnectWhileWaiting, ForARetry_RequestIsNeverForwarded) {
   net::tcp::acceptor shut(io, any_port());
   const net::tcp::endpoint nowhere = shut.local_endpoint();
   shut.close();
@@ -346,8 +347,8 @@
   EXPECT_FALSE(dialled);
 }
 
-// The server's listener is full: the connection is not made until the kernel tries again.
-TEST_P(Waiting, ForItsConnectionItIsNeverSentOn) {
+// The server's listen queue is full: the connection is established only when the kernel sends another SYN.
+TEST_P(DisconnectWhileWaiting, ForAConnection_RequestIsNeverForwarded) {
   FullListener full(io);
   quiet(20);
   nlohmann::json config =
--- a/tests/http1/held_up_test.cpp
+++ b/tests/http1/loop_delay_test.cpp
@@ -1,5 +1,6 @@
-// A loop that was held up finds a client's end and what would begin an attempt for it ready in one turn, in
-// either order: nothing begins. The hold-up is made by not running the loop, or by a handler that blocks.
+// A delayed event loop finds a client's disconnect and an event that would start an attempt for it ready in
+// one turn, in either order: no attempt is started. The delay is made by not running the loop, or by a
+// handler that blocks.
 #include <unistd.h>
 
 #include "http1/one_server.h"
@@ -8,8 +9,10 @@
 namespace streampick::test {
 namespace {
 
-constexpr std::size_t kEnough = 3;  // more reads than the first limit on cache work lets out at one server
-constexpr int kHoldUpUs = 150'000, kPastTheHedgeUs = 900'000;
+// Reads that fill the initial concurrency limit of one server.
+constexpr std::size_t kEnough = 3;
+constexpr int kLoopDelayUs = 150'000;
+constexpr int kPastTheHedgeUs = 900'000;
 
 enum class First { client, attempt };  // which of the two becomes ready first
 struct Case {
@@ -22,15 +25,15 @@
 }
 void PrintTo(const Case& one, std::ostream* out) { *out << name_of(one); }
 
-class HeldUp : public Loopback, public ::testing::WithParamInterface<Case> {
+class DisconnectDuringLoopDelay : public Loopback, public ::testing::WithParamInterface<Case> {
  protected:
-  // What blocks the loop ahead of the engine's timers that fall due while it is not run.
+  /// Blocks the loop ahead of the engine's timers that become due while it does not run.
   void block_ahead_of_timers(const std::function<void()>& block) {
     blocker.expires_after(std::chrono::microseconds(0));
     blocker.async_wait([block](net::error_code) { block(); });
   }
-  // The client goes while the loop is not run, and the engine's timers fall due.
-  void client_goes_and_timers_fall_due(RawClient& one) {
+  /// The client disconnects while the loop does not run, and the engine's timers become due.
+  void disconnect_while_timers_become_due(RawClient& one) {
     if (GetParam().first == First::client) {
       one.go(GetParam().way);
       ::usleep(kPastTheHedgeUs);
@@ -38,7 +41,7 @@
     }
     block_ahead_of_timers([&one] {
       one.go(GetParam().way);
-      ::usleep(kHoldUpUs);
+      ::usleep(kLoopDelayUs);
     });
     ::usleep(kPastTheHedgeUs);
   }
@@ -50,12 +53,12 @@
     EXPECT_EQ(host->counts().failed, 0U);
   }
 
-  // Two caches: a hedge has somewhere to go.
+  /// Two caches, so that a hedge can be sent.
   void start_with_two() {
     start(list_json(
         1, true, {{"s-1", cache.address()}, {"s-2", other.address()}, {"s-o", origin.address(), "origin"}}));
   }
-  // Connections to both, so that an attempt has none to wait for. How many requests they have had.
+  /// Opens connections to both, so that no attempt waits for one. Returns the number of requests they got.
   std::size_t warm_up() {
     const auto answers = [](const std::string&) { return response(200, "x"); };
     cache.answer = other.answer = answers;
@@ -75,36 +78,36 @@
   asio::steady_timer blocker{io};
 };
 
-INSTANTIATE_TEST_SUITE_P(Ends, HeldUp,
+INSTANTIATE_TEST_SUITE_P(Disconnects, DisconnectDuringLoopDelay,
                          ::testing::Values(Case{RawClient::Way::fin, First::client},
                                            Case{RawClient::Way::fin, First::attempt},
                                            Case{RawClient::Way::reset, First::client},
                                            Case{RawClient::Way::reset, First::attempt}),
                          [](const auto& info) { return name_of(info.param); });
 
-TEST_P(HeldUp, AHedgeWhoseTimerIsDueBesideTheEndIsNotSent) {
+TEST_P(DisconnectDuringLoopDelay, HedgeTimerDue_NoHedgeIsSent) {
   start_with_two();
   const std::size_t before = warm_up();
   RawClient one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(wait_for([&] { return at_caches() == before + 1; }));
-  client_goes_and_timers_fall_due(one);
+  disconnect_while_timers_become_due(one);
   expect_nothing_more(before + 1);
 }
 
-// Bytes of a next request, more than one read takes, stand before the end.
-TEST_P(HeldUp, AHedgeIsNotSentWhereUnreadBytesStandBeforeTheEnd) {
+// Bytes of a further request, more than one read takes, precede the disconnect.
+TEST_P(DisconnectDuringLoopDelay, HedgeTimerDueAndBytesUnread_NoHedgeIsSent) {
   start_with_two();
   const std::size_t before = warm_up();
   RawClient one(io, host->address());
   one.write(a_read());
   ASSERT_TRUE(wait_for([&] { return at_caches() == before + 1; }));
   one.write(std::string(10'000, 'x'));
-  client_goes_and_timers_fall_due(one);
+  disconnect_while_timers_become_due(one);
   expect_nothing_more(before + 1);
 }
 
-TEST_P(HeldUp, ARetryWhoseTimerIsDueBesideTheEndIsNotSent) {
+TEST_P(DisconnectDuringLoopDelay, RetryTimerDue_NoRetryIsSent) {
   net::tcp::acceptor shut(io, any_port());
   const net::tcp::endpoint nowhere = shut.local_endpoint();
   shut.close();
@@ -117,12 +120,12 @@
   ASSERT_TRUE(wait_for([&] { return failed() == 1; }));
   const std::uint64_t dials = host->links().dials;
   net::tcp::acceptor back(io, nowhere);
-  client_goes_and_timers_fall_due(one);
+  disconnect_while_timers_become_due(one);
   expect_nothing_more(0);
   EXPECT_EQ(host->links().dials, dials);
 }
 
-TEST_P(HeldUp, ARequestInTheQueueIsNotAdmittedBesideTheEnd) {
+TEST_P(DisconnectDuringLoopDelay, QueuedRequest_IsNotAdmitted) {
   start();
   std::vector<std::unique_ptr<FakeClient>> busy;
   for (std::size_t i = 0; i < kEnough; ++i) {
@@ -138,13 +141,13 @@
   if (GetParam().first == First::client) one.go(GetParam().way);
   for (const auto& peer : cache.peers) peer->write(response(200, "x"));
   if (GetParam().first == First::attempt) one.go(GetParam().way);
-  ::usleep(kHoldUpUs);
+  ::usleep(kLoopDelayUs);
   for (const auto& other : busy) ASSERT_TRUE(wait_for([&] { return other->answers.size() == 1; }));
   expect_nothing_more(kEnough);
 }
 
-// A request that was sent ahead is begun behind the answer to the one before it.
-TEST_P(HeldUp, APipelinedRequestIsNotBegunBesideTheEnd) {
+// A pipelined request is started behind the response to the one before it.
+TEST_P(DisconnectDuringLoopDelay, PipelinedRequest_IsNotStarted) {
   start();
   RawClient one(io, host->address());
   one.write(a_read());
@@ -154,12 +157,12 @@
   if (GetParam().first == First::client) one.go(GetParam().way);
   cache.peers[0]->write(response(200, "x"));
   if (GetParam().first == First::attempt) one.go(GetParam().way);
-  ::usleep(kHoldUpUs);
+  ::usleep(kLoopDelayUs);
   quiet(1'200);
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), 1U);
 }
 
-TEST_P(HeldUp, AConnectionThatComesUpBesideTheEndCarriesNothing) {
+TEST_P(DisconnectDuringLoopDelay, ConnectionEstablished_CarriesNoRequest) {
   FullListener full(io);
   quiet(20);
   nlohmann::json config =
@@ -177,14 +180,14 @@
   if (GetParam().first == First::client) one.go(GetParam().way);
   ::usleep(1'150'000);  // the kernel has tried again: the connection is made
   if (GetParam().first == First::attempt) one.go(GetParam().way);
-  ::usleep(kHoldUpUs);
+  ::usleep(kLoopDelayUs);
   expect_nothing_more(0);
   EXPECT_FALSE(full.peers.empty());
   EXPECT_EQ(full.requests(), 0U);
 }
 
-// The request itself was not read yet.
-TEST_P(HeldUp, ARequestThatIsReadBesideItsEndBeginsNothing) {
+// The request itself is unread.
+TEST_P(DisconnectDuringLoopDelay, RequestReadWithItsDisconnect_IsNotStarted) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   RawClient one(io, host->address());
@@ -200,7 +203,7 @@
   one.write(a_read());
   if (GetParam().way == RawClient::Way::fin) one.write(std::string(10'000, 'x'));
   one.socket.shutdown(net::tcp::socket::shutdown_send);
-  ::usleep(kHoldUpUs);
+  ::usleep(kLoopDelayUs);
   quiet(300);
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), before);
 }
--- a/tests/http1/clients_test.cpp
+++ b/tests/http1/server_test.cpp
@@ -1,4 +1,4 @@
-// What clients send and how many there are of them, over loopback sockets.
+// Invalid requests, and limits on the number and time of client connections, over loopback sockets.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -7,9 +7,11 @@
 namespace streampick::test {
 namespace {
 
-// ---- Bad input
+class HttpServer : public Loopback {};
 
-TEST_F(Loopback, BadRequestsAreToldApart) {
+// ---- Invalid requests
+
+TEST_F(HttpServer, InvalidRequest_GetsTheStatusOfItsError) {
   start();
   const std::vector<std::pair<std::string, int>> cases = {
       {"nonsense\r\n\r\n", 400},
@@ -43,7 +45,7 @@
   EXPECT_TRUE(cache.requests.empty() && origin.requests.empty());
 }
 
-TEST_F(Loopback, ARequestNamesItsHostOnce) {
+TEST_F(HttpServer, RequestWithoutExactlyOneHost_IsRejected) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto with = [](const std::string& host) {
@@ -66,8 +68,8 @@
   }
 }
 
-// As RFC 9112 asks of every server: a client that takes it for a proxy names the host in the target.
-TEST_F(Loopback, ATargetWithItsHostIsTakenAndGoesOnWithout) {
+// RFC 9112 requires every server to accept the absolute form, which clients send to proxies.
+TEST_F(HttpServer, AbsoluteFormTarget_IsForwardedInOriginForm) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -85,10 +87,10 @@
   }
 }
 
-// A front before us, or the clients' own machine, counts connections too: held by clients that ask once and
-// stay, they would leave none to those who work, long before our own table is full.
-// 600 of them against 224 descriptors, with 20 who work.
-TEST_F(Loopback, InACrowdAClientThatAsksOnceGivesItsPlaceBack) {
+// A proxy before the router, or the clients' own machine, limits connections too: clients that send one
+// request and stay would use them up, long before the router's own descriptors. 600 such clients against 224
+// descriptors, beside 20 active ones.
+TEST_F(HttpServer, ConnectionPressure_ClosesClientsAfterTheirFirstResponse) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   std::vector<std::unique_ptr<FakeClient>> workers, stay;
@@ -105,7 +107,7 @@
       ask(*stay.back(), 1);
     }
   }
-  // All but 36, and as many again for each 2 s that this takes: those that rest are ended then.
+  // All but 36, and as many again for each 2 s that this takes, when idle ones are closed.
   const auto told_to_go = std::count_if(stay.begin(), stay.end(), [](const auto& one) {
     return one->answers[0].find("Connection: close") != std::string::npos;
   });
@@ -115,8 +117,8 @@
   for (const auto& worker : workers) EXPECT_FALSE(worker->peer->ended);
 }
 
-// What servers do not use is lent to clients, and the other way round.
-TEST_F(Loopback, ClientsMayHoldAllButTheServersFloor) {
+// Descriptors that servers do not use are available to clients, and the other way round.
+TEST_F(HttpServer, SilentClients_MayUseAllButTheServersReservedDescriptors) {
   start();
   const std::size_t most =
       host->descriptors().total() - host->descriptors().floor(overload::Descriptors::Side::servers);
@@ -128,7 +130,7 @@
   EXPECT_TRUE(host->descriptors().has_room(overload::Descriptors::Side::servers));
 }
 
-TEST_F(Loopback, ABodyOf64KiBAndRequestsInOneSegmentAreTaken) {
+TEST_F(HttpServer, PipelinedBodiesOf64KiB_AreServed) {
   origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -142,8 +144,8 @@
   EXPECT_EQ(one->status(1), 200);
 }
 
-// Each of these lets two readers see two different messages; in most a second request hides.
-TEST_F(Loopback, WhereAMessageEndsMustBeBeyondDoubt) {
+// In each of these two readers could see two different messages; most hide a second request.
+TEST_F(HttpServer, AmbiguousFraming_IsRejectedAndNothingBehindItIsForwarded) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const std::string hidden = request_text("GET", "/read/77", "read");
@@ -186,7 +188,7 @@
   EXPECT_EQ(one->status(), 400);
   quiet();
   EXPECT_TRUE(cache.requests.empty() && origin.requests.empty());
-  // Plain chunks are a body like any other.
+  // An ordinary chunked body is accepted.
   const auto two = client();
   two->ask(put("Transfer-Encoding: chunked\r\n") + chunks);
   ASSERT_TRUE(wait_for([&] { return two->answers.size() == 1; }));
@@ -194,7 +196,7 @@
   EXPECT_EQ(origin.requests.at(0).substr(origin.requests[0].size() - 5), "value");
 }
 
-TEST_F(Loopback, AHeaderThatStandsThereTwiceIsRefusedAlsoAsATrailer) {
+TEST_F(HttpServer, RepeatedHeaderOrTrailer_IsRejected) {
   start();
   const std::string chunked = "Idempotency-Key: k1\r\nTransfer-Encoding: chunked\r\n";
   const std::vector<std::string> forms = {
@@ -216,8 +218,8 @@
   EXPECT_TRUE(cache.requests.empty() && origin.requests.empty());
 }
 
-// Forwarded, it would run beside the first and its answer could be taken for the first one's.
-TEST_F(Loopback, ASecondRequestWithAnOpenIdIsTurnedAwayAndTheFirstGoesOn) {
+// If it were forwarded, its response could be mistaken for the first one's.
+TEST_F(HttpServer, DuplicateTransactionId_IsRejectedAndTheFirstRequestIsServed) {
   start();
   const auto first = client(), second = client();
   const std::string text = a_read();
@@ -231,7 +233,7 @@
   cache.peers[0]->write(response(200, "first"));
   ASSERT_TRUE(wait_for([&] { return first->answers.size() == 1; }));
   EXPECT_EQ(first->body(), "first");
-  // All of it has ended, but only just: a client's retry would have an id of its own.
+  // The first one has only just ended: a client's retry would have another id.
   const auto third = client();
   third->ask(text);
   ASSERT_TRUE(wait_for([&] { return third->answers.size() == 1; }));
@@ -242,7 +244,7 @@
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 2; }));
 }
 
-TEST_F(Loopback, AnIdIsOpenWhileAnAttemptForItIsOut) {
+TEST_F(HttpServer, TransactionIdWithAnAttemptInFlight_StaysOpenAfterItsClientDisconnects) {
   cache.answer = [](const std::string&) { return response(404); };
   start();
   auto first = client();
@@ -257,8 +259,8 @@
   EXPECT_EQ(second->status(), 409);
 }
 
-// The module's timers and the origin's work would outlive the request by what a client claims.
-TEST_F(Loopback, NoClientWaitsLongerThanItsClassDoes) {
+// Otherwise timers and the origin's work could outlive the request for as long as a client claims.
+TEST_F(HttpServer, RemainingOverTheClassLimit_IsCapped) {
   start();
   const auto one = client();
   one->ask(request_text("GET", "/read/1", "read", "", "3600"));
@@ -266,7 +268,7 @@
   EXPECT_NE(cache.requests[0].find("X-Remaining: 7."), std::string::npos) << cache.requests[0];
 }
 
-TEST_F(Loopback, WhatComesBehindABadRequestIsNotTaken) {
+TEST_F(HttpServer, RequestBehindAnInvalidOne_IsNotForwarded) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -278,7 +280,7 @@
 
 // ---- Limits
 
-TEST_F(Loopback, WithNoDescriptorLeftTheListenerWaitsAndGoesOn) {
+TEST_F(HttpServer, NoDescriptorLeft_AcceptingPausesAndResumes) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -308,7 +310,7 @@
   EXPECT_EQ(two->status(), 200);
 }
 
-TEST_F(Loopback, MoreClientsThanDescriptorsTakeTheIdleOnesPlaces) {
+TEST_F(HttpServer, MoreClientsThanDescriptors_EvictIdleConnections) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
@@ -322,8 +324,8 @@
     all.back()->ask(a_read());
     ASSERT_TRUE(wait_for([&] { return all.back()->answers.size() == 1; })) << i;
   }
-  // To make room closes a connection, which itself goes on accepting: done twice, ever more would be
-  // accepted at once, past the limit.
+  // An eviction closes a connection, which resumes accepting: resumed twice, the server would exceed the
+  // limit.
   std::size_t most = 0;
   for (int i = 0; i < 30; ++i) {
     all.push_back(client());
@@ -337,8 +339,8 @@
   EXPECT_LE(most, 22U);
 }
 
-// Their places are not for the taking: both are owed an end within 3 s of connecting.
-TEST_F(Loopback, ConnectionsThatSayNothingOrHalfARequestAreEnded) {
+// Both must be ended within 3 s of connecting.
+TEST_F(HttpServer, SilentOrHalfSentRequest_IsEndedInTime) {
   start();
   const auto silent = client(), half = client(), dripping = client();
   const std::string text = a_read();
@@ -356,7 +358,7 @@
   EXPECT_TRUE(cache.requests.empty());
 }
 
-TEST_F(Loopback, ConnectionsThatSayNothingDoNotPushOutAClientThatAsks) {
+TEST_F(HttpServer, SilentConnections_DoNotEvictAnActiveClient) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
@@ -382,9 +384,9 @@
   EXPECT_FALSE(usual->peer->ended);
 }
 
-// Some ask once and keep their connection, others say nothing: with a silent one always too young to give
-// way, those that ask must not wait for it in the listener's queue.
-TEST_F(Loopback, ACrowdThatAsksOnceAndStaysIsTakenThoughSilentOnesKeepComing) {
+// Some clients send one request and stay, others send nothing: while a silent one is always too young to be
+// evicted, new clients must not wait for it in the listen queue.
+TEST_F(HttpServer, IdleClientsBesideSilentOnes_AreEvictedForNewClients) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
--- a/tests/http1/upload_test.cpp
+++ b/tests/http1/upload_test.cpp
@@ -1,5 +1,4 @@
-// Long bodies of requests: kept while there is memory, passed on as they come beyond that, over loopback
-// sockets.
+// Long request bodies, over loopback sockets: buffered while there is memory, streamed beyond that.
 #include "loopback.h"
 
 namespace streampick::test {
@@ -16,14 +15,14 @@
   static std::string body_of(const std::string& message) {
     return message.substr(message.find("\r\n\r\n") + 4);
   }
-  // Written as the other side takes it.
+  /// Writes in the background, as the router reads.
   void send(FakeClient& to, std::string text) {
     const auto held = std::make_shared<std::string>(std::move(text));
     asio::async_write(to.peer->socket, asio::buffer(*held), [held](net::error_code, std::size_t) {});
   }
 };
 
-TEST_F(Upload, AMiddleSizedBodyIsKeptAndGoesOutAgainWhenItNeverRan) {
+TEST_F(Upload, BodyUnderOneMegabyte_IsBufferedAndRetried) {
   start();
   const std::string body = pattern(300'000);
   int turn = 0;
@@ -42,7 +41,7 @@
   EXPECT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
 }
 
-TEST_F(Upload, ALongBodyGoesOnAsItComesAndWhatWaitsIsBounded) {
+TEST_F(Upload, LongBody_IsStreamedWithABoundedBuffer) {
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(4 << 20);
@@ -66,7 +65,7 @@
   EXPECT_EQ(origin.peers.size(), 1U);  // and so is the server's
 }
 
-TEST_F(Upload, InChunksWithExtensionsAndTrailersItsBytesAreTheSame) {
+TEST_F(Upload, ChunkedBodyWithExtensionsAndTrailers_IsForwardedUnchanged) {
   start();
   const std::string body = pattern(3 << 20);
   const auto one = client();
@@ -96,7 +95,7 @@
   EXPECT_EQ(one->status(), 200);
 }
 
-TEST_F(Upload, BrokenBeforeItsLastByteItNeverRanAndIsNotRepeatedByHalf) {
+TEST_F(Upload, ServerFailsBeforeTheLastByte_IsRejectedAndNotRetried) {
   start();
   for (const std::string lane : {"pay", "save"}) {
     origin.peers.clear();
@@ -108,13 +107,13 @@
         wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > (1U << 20); }));
     origin.peers[0]->close();
     ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << lane;
-    EXPECT_EQ(one->status(), 503) << lane;  // a repeat does no harm, and is the client's to make
+    EXPECT_EQ(one->status(), 503) << lane;  // the client may safely retry
     quiet();
     EXPECT_EQ(origin.peers.size(), 1U) << lane;
   }
 }
 
-TEST_F(Upload, BrokenAfterItsLastByteAnUnsafeOneFails) {
+TEST_F(Upload, ServerFailsAfterTheLastByte_UnsafeRequestFails) {
   start();
   const std::string body = pattern(2 << 20);
   const auto one = client();
@@ -127,7 +126,7 @@
   EXPECT_EQ(origin.requests.size(), 1U);
 }
 
-TEST_F(Upload, AClientThatLeavesFreesTheServerAndTheMemory) {
+TEST_F(Upload, ClientDisconnects_FreesServerAndMemory) {
   start();
   auto one = client();
   send(*one, head("Content-Length: 4000000") + pattern(2'000'000));
@@ -138,7 +137,7 @@
   EXPECT_TRUE(origin.requests.empty());
 }
 
-TEST_F(Upload, AServerThatTakesNothingHoldsItsClientBack) {
+TEST_F(Upload, ServerThatReadsNothing_PausesTheClient) {
   start();
   net::tcp::acceptor deaf(io, any_port());
   const auto known = list_json(
@@ -167,7 +166,7 @@
   EXPECT_EQ(*host->links().large, 64U * 1024);
 }
 
-TEST_F(Upload, TooLongIsToldAndWhatIsSlowerThanAllowedIsEnded) {
+TEST_F(Upload, TooLongOrTooSlow_IsRejected) {
   start();
   const auto one = client();
   one->ask(head("Content-Length: 33554433"));
@@ -180,7 +179,7 @@
   EXPECT_EQ(host->counts().served, 0U);
 }
 
-TEST_F(Upload, ASlowBodyOfTheRateThatClientsMayHaveIsServed) {
+TEST_F(Upload, SlowestPermittedBody_IsServed) {
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(220'000);
@@ -195,7 +194,7 @@
   EXPECT_TRUE(body_of(origin.requests.at(0)) == body);
 }
 
-TEST_F(Upload, ManyAtOnceStayWithinTheMemoryAndEachHasOneAnswer) {
+TEST_F(Upload, ManyAtOnce_StayWithinTheMemoryBudget) {
   start();
   origin.answer = [](const std::string& message) { return response(200, std::to_string(message.size())); };
   host->links().most_large = 2'000'000;
@@ -220,13 +219,12 @@
   EXPECT_TRUE(wait_for([&] { return *host->links().large == 0; }));
 }
 
-// Its request ends while its body still comes: the server's side is not left waiting for the rest.
-TEST_F(Upload, AnsweredBeforeItsBodyIsThereItLeavesTheServerToo) {
+// The request ends while its body still arrives: the server must not wait for the rest.
+TEST_F(Upload, AnsweredEarly_ClosesTheServersConnection) {
   start();
   const auto one = client();
   send(*one, head("Content-Length: 4000000") + pattern(2'000'000));
   ASSERT_TRUE(wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > 1'000'000; }));
-  // More of it, so that it is not the rate that ends it.
   bool done = false;
   host->drain([&] { done = true; });
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
@@ -235,7 +233,7 @@
   EXPECT_TRUE(origin.requests.empty());
 }
 
-TEST_F(Upload, OneByteAtATimeItIsTheSame) {
+TEST_F(Upload, OneByteAtATime_IsForwardedUnchanged) {
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(60);
@@ -251,7 +249,7 @@
   EXPECT_TRUE(body_of(origin.requests.at(0)) == body);
 }
 
-TEST_F(Upload, ItIsToldToGoOnWhereItAsks) {
+TEST_F(Upload, ExpectContinue_GetsAnInterimResponse) {
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(2 << 20);
