--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -11,7 +11,7 @@
 
 using membership::Change;
 using membership::Record;
-using membership::ViewSummary;
+
 using nlohmann::ordered_json;
 
 namespace {
@@ -153,7 +153,7 @@
 
 namespace {
 
-ordered_json counted(const Counts& counts, membership::Time now, std::uint32_t routers) {
+ordered_json counted(const membership::ViewSummary& counts, membership::Time now, std::uint32_t routers) {
   ordered_json out;
   out["alive"] = counts.alive;
   out["suspect"] = counts.suspect;
@@ -191,7 +191,7 @@
 std::string Fleet::view() const {
   const auto now = time_.now();
   const membership::GossipProtocol& core = shell_.protocol();
-  const Counts counts = core.summary(now);
+  const membership::ViewSummary counts = core.summary(now);
   ordered_json out = counted(counts, now, hooks_.divided_by());
   out["digest"] = hex(counts.digest);
   out["health"] = core.local_health();
