--- a/src/http1/client_session.h
+++ b/src/http1/client_session.h
@@ -87,6 +87,7 @@
   void handle_request();
   void answer_health_check();
   void start_upload();
+  std::shared_ptr<engine::BodyStream> open_upload();
   void continue_upload();
   void on_upload_writable();
   void cancel_upload();
--- a/src/http1/client_session_requests.cpp
+++ b/src/http1/client_session_requests.cpp
@@ -199,15 +199,7 @@
   }
   body_reservation_ = std::move(*reservation);
   auto& request = std::get<engine::IncomingRequest>(validated);
-  const auto length = parser_->content_length();
-  request.message->upload =
-      upload_.start(length ? std::optional<std::uint64_t>(*length) : std::nullopt, [weak = weak_from_this()] {
-        const auto self = weak.lock();
-        if (!self) {
-          return;
-        }
-        asio::post(self->socket_.get_executor(), [self] { self->on_upload_writable(); });
-      });
+  request.message->upload = open_upload();
   closes_after_response_ = !parser_->keep_alive();
   enter_within_message(State::uploading);
   upload_.write(body_);
@@ -222,6 +214,22 @@
   }
 }
 
+std::shared_ptr<engine::BodyStream> ClientSession::open_upload() {
+  const auto content_length = parser_->content_length();
+  std::optional<std::uint64_t> length;
+  if (content_length) {
+    length = *content_length;
+  }
+  // Posted: the reader calls this from within the engine.
+  return upload_.start(length, [weak = weak_from_this()] {
+    const auto self = weak.lock();
+    if (!self) {
+      return;
+    }
+    asio::post(self->socket_.get_executor(), [self] { self->on_upload_writable(); });
+  });
+}
+
 void ClientSession::continue_upload() {
   net::error_code error;
   const std::size_t used = parser_->read(read_ahead_.bytes(), error);
--- a/src/http1/response_writer.h
+++ b/src/http1/response_writer.h
@@ -6,6 +6,7 @@
 #include <cstdint>
 #include <functional>
 #include <string>
+#include <utility>
 
 #include "http1/outgoing_response.h"
 #include "net/tcp.h"
--- a/tests/http1/parts_test.cpp
+++ b/tests/http1/parts_test.cpp
@@ -49,7 +49,7 @@
   const net::Links::Streams& streams() { return host->links().streams; }
 };
 
-TEST_F(Parts, TheFirstPartIsPassedOnWhileTheRestIsStillToCome) {
+TEST_F(Parts, FirstPart_IsForwardedWhileTheRestArrives) {
   begin();
   const std::string body = pattern(300'000);
   const auto one = client();
@@ -158,7 +158,7 @@
   RecordProperty("forwarded", static_cast<int>(forwarded));
 }
 
-TEST_F(Parts, ASlowReaderHoldsTheServerBackAndWhatWaitsIsBounded) {
+TEST_F(Parts, SlowClient_PausesTheServerWithABoundedBuffer) {
   begin();
   const std::string body = pattern(48 << 20);
   net::tcp::socket slow = asks(a_last_read());
@@ -204,7 +204,7 @@
   EXPECT_EQ(host->counts().served + host->counts().failed + host->counts().refused, 1U);
 }
 
-TEST_F(Parts, WithoutALengthItGoesOnInChunksAndACutEndsWithoutTheLastOne) {
+TEST_F(Parts, NoLength_IsChunkedAndATruncationOmitsTheLastChunk) {
   begin();
   for (const bool cut : {false, true}) {
     net::tcp::socket one = asks(a_last_read());
@@ -227,7 +227,7 @@
   EXPECT_EQ(streams().cut, 1U);
 }
 
-TEST_F(Parts, AClientThatGoesInTheMidstEndsTheServersConnectionToo) {
+TEST_F(Parts, ClientDisconnects_ClosesTheServersConnection) {
   begin();
   net::tcp::socket one = asks(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
