--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -119,7 +119,7 @@
   admission_ =
       std::make_unique<net::Admission>(io_, settings.overload, told.config, settings.cores, spared());
   http_ = std::make_unique<http1::Server>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
-                                           settings.overload, *admission_, links_, settings.passed_socket);
+                                          settings.overload, *admission_, links_, settings.passed_socket);
   engine_->add(*http_);
   operators_ = std::make_unique<Operators>(io_, clock_, *engine_, links_, passed ? settings.scratch : "",
                                            [this](bool alone) { share(alone); });
