--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -120,8 +120,12 @@
   load_shedder_ =
       std::make_unique<net::LoadShedder>(io_, settings.overload, told.config, settings.cores, spared());
   http_ = std::make_unique<http1::Server>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
+<<<<<<< HEAD
                                           settings.overload, *load_shedder_, resources_.body_memory,
                                           settings.passed_socket);
+=======
+                                          settings.overload, *admission_, links_, settings.passed_socket);
+>>>>>>> h1
   engine_->add(*http_);
   operators_ = std::make_unique<Operators>(io_, clock_, *engine_, resources_, passed ? settings.scratch : "",
                                            [this](bool alone) { share(alone); });
