--- /dev/null
+++ b/src/http1/response_stream.h
@@ -0,0 +1,54 @@
+/// \file
+/// The writer's end of a response body that is forwarded to the client while it still arrives.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "engine/message.h"
+#include "net/links.h"
+#include "streampick/router.h"
+
+namespace streampick::http1 {
+
+class ResponseStream {
+ public:
+  ResponseStream() = default;
+  ~ResponseStream() = default;
+  ResponseStream(const ResponseStream&) = delete;
+  ResponseStream& operator=(const ResponseStream&) = delete;
+
+  bool open() const { return stream_ != nullptr; }
+  /// Opens the stream of a body of `length` bytes; none: known only at its end. `memory` covers its buffer.
+  /// The callbacks are called by the reader, perhaps from within the engine.
+  void start(std::optional<std::uint64_t> length, engine::MemoryReservation memory,
+             std::function<void()> on_writable, std::function<void()> on_reader_closed, Time now);
+  /// The reader's end, to be handed out once.
+  engine::BodyReader reader() const { return engine::BodyReader(stream_); }
+  /// Ends the stream as complete or truncated. The reader may react from within.
+  void end(engine::BodyStream::State state);
+
+  std::uint64_t bytes_written() const { return stream_->bytes_written(); }
+  /// Appends bytes of the body. Unless it was the last part, a full buffer pauses the stream.
+  void write(const std::string& bytes, bool last, Time now);
+  /// Whether the buffer is full: the server must not be read until resume().
+  bool paused() const { return paused_; }
+  void resume(Time now);
+  /// Whether the server has sent nothing for kStallTimeout, other than during a pause.
+  bool is_stalled(Time now) const;
+
+  /// Maximum time without a byte from the server.
+  static constexpr Time kStallTimeout = 5'000'000;
+
+ private:
+  std::shared_ptr<engine::BodyStream> stream_;
+  engine::MemoryReservation memory_;
+  Time last_progress_ = 0;
+  bool paused_ = false;
+};
+
+}  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/upstream_connection.cpp
@@ -0,0 +1,317 @@
+#include "http1/upstream_connection.h"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <utility>
+
+#include "http1/protocol.h"
+#include "http1/reuse_rules.h"
+#include "http1/upstream.h"
+#include "net/log.h"
+
+namespace streampick::http1 {
+
+UpstreamConnection::UpstreamConnection(Upstream& owner)
+    : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {
+  owner.links_.opened();
+}
+
+// ---- Connecting and closing
+
+void UpstreamConnection::connect(const net::tcp::endpoint& server, Time timeout) {
+  server_ = server;
+  net::error_code error;
+  socket_.open(server.protocol(), error);
+  if (error) {
+    asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_connect_ended(false); });
+    return;
+  }
+  socket_.set_option(net::tcp::no_delay(true), error);
+  if (timeout > 0) {
+    timer_.expires_after(std::chrono::microseconds(timeout));
+    timer_.async_wait([self = shared_from_this()](net::error_code cancelled) {
+      if (!cancelled) self->on_connect_ended(false);
+    });
+  }
+  socket_.async_connect(
+      server, [self = shared_from_this()](net::error_code failed) { self->on_connect_ended(!failed); });
+}
+
+void UpstreamConnection::on_connect_ended(bool connected) {
+  if (state_ != State::connecting) return;
+  timer_.cancel();
+  if (!connected) {
+    owner_->on_connect_failed(shared_from_this());
+    return;
+  }
+  net::error_code ignored;
+  socket_.non_blocking(true, ignored);
+  state_ = State::idle;
+  owner_->on_connected(shared_from_this());
+}
+
+void UpstreamConnection::close() {
+  if (state_ == State::closed) return;
+  if (stream_.open()) end_stream(engine::BodyStream::State::truncated);
+  owner_->links_.closed();
+  owner_ = nullptr;
+  state_ = State::closed;
+  net::error_code ignored;
+  socket_.close(ignored);
+  timer_.cancel();
+}
+
+// ---- Idle connections
+
+bool UpstreamConnection::is_clean() {
+  if (decoder_.has_pending()) return false;
+  char byte = 0;
+  net::error_code error;
+  socket_.receive(asio::buffer(&byte, 1), net::tcp::socket::message_peek, error);
+  return error == asio::error::would_block;
+}
+
+bool UpstreamConnection::watch_idle() {
+  if (!reading_ && !is_clean()) return false;
+  read();
+  return true;
+}
+
+// ---- Sending the request
+
+void UpstreamConnection::start(UpstreamAttempt attempt, Time now) {
+  state_ = State::sending;
+  attempt_ = std::move(attempt);
+  request_started_at_ = now;
+  received_early_ = false;
+  has_received_ = false;
+  body_memory_ = {};
+  const net::Links& links = owner_->links_;
+  decoder_.start(std::max<std::uint64_t>(kLongestAnswer, links.longest_in_parts));
+  writer_.start(*attempt_->message, owner_->name_, attempt_->expires, owner_->clock_.fresh());
+  if (attempt_->message->upload) subscribe_to_upload();
+  write_request();
+  read();
+}
+
+// The downstream calls on_readable from within its own reading: the writing waits for a turn of the loop.
+void UpstreamConnection::subscribe_to_upload() {
+  attempt_->message->upload->on_readable = [weak = weak_from_this(), id = attempt_->id] {
+    const auto connection = weak.lock();
+    if (!connection) return;
+    asio::post(connection->socket_.get_executor(), [connection, id] {
+      const auto& attempt = connection->attempt_;
+      if (connection->owner_ == nullptr || !attempt || !(attempt->id == id)) return;
+      if (connection->writer_.starved()) connection->write_request();
+    });
+  };
+}
+
+void UpstreamConnection::write_request() {
+  switch (writer_.write(socket_)) {
+    case RequestWriter::Progress::complete: return on_request_written();
+    case RequestWriter::Progress::blocked: return wait_writable();
+    case RequestWriter::Progress::starved: return;
+    case RequestWriter::Progress::failed: return fail_write_soon();
+  }
+}
+
+void UpstreamConnection::wait_writable() {
+  socket_.async_wait(net::tcp::socket::wait_write, [self = shared_from_this()](net::error_code failed) {
+    if (self->owner_ == nullptr || !self->attempt_) return;
+    if (failed || self->disconnected_ || !self->may_resume_writing()) return self->on_write_failed();
+    self->write_request();
+  });
+}
+
+bool UpstreamConnection::may_resume_writing() const {
+  if (writer_.is_deadline_stale(owner_->clock_.fresh())) return false;
+  return owner_->outcomes_.may_write(attempt_->id).has_value();
+}
+
+// No outcome is reported from within Upstream::send().
+void UpstreamConnection::fail_write_soon() {
+  asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_write_failed(); });
+}
+
+void UpstreamConnection::on_write_failed() {
+  if (owner_ == nullptr || !attempt_) return;
+  finish(writer_.complete() ? Outcome::reset : Outcome::connect_failed, {}, false);
+}
+
+void UpstreamConnection::on_request_written() {
+  state_ = State::receiving;
+  ++owner_->links_.written_whole;
+  if (received_early_) on_malformed("a response before its request");
+}
+
+// ---- Receiving the response
+
+void UpstreamConnection::read() {
+  if (owner_ == nullptr || reading_ || stream_.paused()) return;
+  reading_ = true;
+  socket_.async_read_some(asio::buffer(buffer_),
+                          [self = shared_from_this()](net::error_code error, std::size_t size) {
+                            self->reading_ = false;
+                            if (self->owner_ != nullptr) self->on_read(error, size);
+                          });
+}
+
+void UpstreamConnection::on_read(const net::error_code& error, std::size_t size) {
+  if (state_ == State::idle) return owner_->close_connection(shared_from_this());
+  if (error) {
+    const bool complete =
+        error == asio::error::eof && state_ != State::sending && decoder_.complete_at_end_of_connection();
+    return complete ? on_response_complete(false) : on_disconnected();
+  }
+  has_received_ = true;
+  if (state_ == State::sending) return on_early_bytes();
+  const std::string_view bytes(buffer_.data(), size);
+  if (decoder_.has_pending()) {
+    std::string joined = decoder_.take_pending();
+    joined += bytes;
+    decode(joined);
+  } else {
+    decode(bytes);
+  }
+  if (attempt_ || stream_.open()) read();
+}
+
+// A response to a request that is not written yet is not its response. The rest of a request in memory is
+// written first, since it may take effect; the rest of an upload may be long in coming and is not sent.
+void UpstreamConnection::on_early_bytes() {
+  received_early_ = true;
+  if (writer_.is_upload()) finish(Outcome::connect_failed, {}, false);
+}
+
+// While a write is pending it is unknown how much of the request was sent: the outcome waits for its end. To
+// report too early that it was never sent would let a write take effect twice.
+void UpstreamConnection::on_disconnected() {
+  if (stream_.open()) return truncate_stream("its connection broke");
+  disconnected_ = true;
+  if (state_ == State::sending && !writer_.starved()) return;
+  finish(writer_.complete() ? Outcome::reset : Outcome::connect_failed, {}, false);
+}
+
+void UpstreamConnection::decode(std::string_view bytes) {
+  while (!bytes.empty()) {
+    if (!decoder_.decode(bytes)) return on_malformed(decoder_.error());
+    if (state_ == State::draining) decoder_.discard_body();
+    if (decoder_.take_head_event() && !on_head()) return;
+    if (!on_body()) return;
+    if (!decoder_.complete()) {
+      if (!bytes.empty()) decoder_.keep_pending(bytes);
+      return;
+    }
+    if (!decoder_.is_interim()) return on_response_complete(decoder_.keep_alive() && bytes.empty());
+    if (!decoder_.skip_interim()) return on_malformed("too many interim responses");
+    body_memory_ = {};
+  }
+}
+
+// Returns false if the response was malformed.
+bool UpstreamConnection::on_head() {
+  if (is_too_soon_after_another()) return on_malformed("it arrived too soon after another"), false;
+  if (!decoder_.has_plain_framing()) return on_malformed("ambiguous length"), false;
+  if (state_ == State::draining) return true;
+  const std::optional<std::uint64_t> length = decoder_.content_length();
+  // Without a length nobody knows how long the body is: it is buffered no longer than a long one.
+  if (!length && decoder_.status() == 200) stream_after(owner_->links_.whole_wait);
+  if (length.value_or(0) <= kLongestBody || buffer_long_body(*length)) return true;
+  on_malformed("no memory for its body, or too long");
+  return false;
+}
+
+bool UpstreamConnection::is_too_soon_after_another() const {
+  if (last_response_at_ == 0) return false;
+  return request_started_at_ - last_response_at_ < kSettleTime &&
+         owner_->clock_.now() - last_response_at_ < kStrayResponseTime;
+}
+
+// Reserves the memory to buffer the body, or starts to stream it. Returns false if neither is possible.
+bool UpstreamConnection::buffer_long_body(std::uint64_t length) {
+  const net::Links& links = owner_->links_;
+  if (length > links.parts_from || length > kLongestAnswer) return start_streaming();
+  auto memory = links.reservation(static_cast<std::size_t>(length));
+  if (!memory) return start_streaming();
+  body_memory_ = std::move(*memory);
+  stream_after(links.whole_wait);
+  return true;
+}
+
+// Returns false if the connection is read no further, for now or for good.
+bool UpstreamConnection::on_body() {
+  const bool buffers = state_ == State::receiving && decoder_.head_received();
+  if (buffers && !decoder_.content_length() && decoder_.body().size() > kLongestBody && !start_streaming()) {
+    on_malformed("a long body of no stated length");
+    return false;
+  }
+  if (owner_ == nullptr) return false;
+  return !stream_.open() || forward_body();
+}
+
+void UpstreamConnection::on_malformed(const std::string& reason) {
+  if (stream_.open()) return truncate_stream(reason);
+  net::log("malformed response from " + owner_->name_ + ": " + reason);
+  finish(Outcome::malformed, {}, false);
+}
+
+void UpstreamConnection::on_response_complete(bool reusable) {
+  if (stream_.open()) return on_stream_complete(reusable);
+  const Outcome outcome = decoder_.outcome();
+  engine::Answer answer;
+  if (outcome == Outcome::served) {
+    answer.content_type = decoder_.content_type();
+    answer.body = std::move(decoder_.body());
+    answer.memory = std::move(body_memory_);
+  } else if (outcome == Outcome::invalid_request) {
+    // Not the server's fault: it must not count against it, and the next one would answer the same.
+    net::log("400 from " + owner_->name_ + " for " + attempt_->message->transaction_id);
+  }
+  finish(outcome, std::move(answer), reusable);
+}
+
+// Ends the attempt: the connection becomes idle or is closed, then the outcome is reported, unless the
+// attempt was cancelled.
+void UpstreamConnection::finish(Outcome outcome, engine::Answer answer, bool reusable) {
+  const auto self = shared_from_this();
+  Upstream& owner = *owner_;
+  const engine::AttemptId id = attempt_->id;
+  const bool cancelled = state_ == State::draining;
+  const Time now = owner.clock_.now();
+  attempt_.reset();
+  body_memory_ = {};
+  writer_.clear();
+  decoder_.release_body();
+  if (outcome == Outcome::served || outcome == Outcome::miss)
+    owner.response_time_.observe(now - request_started_at_);
+  if (cancelled) timer_.cancel();
+  if (reusable) {
+    state_ = State::idle;
+    last_used_ = now;
+    last_response_at_ = now;
+    owner.on_response_ended(self, cancelled);
+  } else {
+    owner.close_connection(self);
+  }
+  if (!cancelled) owner.report(id, outcome, std::move(answer));
+}
+
+// ---- Cancelled attempts
+
+bool UpstreamConnection::can_drain() const {
+  return state_ == State::receiving && attempt_->message->operation == engine::Operation::read;
+}
+
+void UpstreamConnection::drain(Time max_wait) {
+  state_ = State::draining;
+  body_memory_ = {};
+  decoder_.discard_body();
+  timer_.expires_after(std::chrono::microseconds(max_wait));
+  timer_.async_wait([self = shared_from_this()](net::error_code cancelled) {
+    if (!cancelled && self->state_ == State::draining) self->owner_->close_connection(self);
+  });
+}
+
+}  // namespace streampick::http1
--- /dev/null
+++ b/src/http1/upstream_connection.h
@@ -0,0 +1,150 @@
+/// \file
+/// One connection to a server: it carries one request at a time.
+///
+/// States and what leaves them:
+///
+/// | state      | event                                              | next state                    |
+/// | ---------- | -------------------------------------------------- | ----------------------------- |
+/// | connecting | connected                                          | idle                          |
+/// |            | failed, timed out                                  | closed                        |
+/// | idle       | start()                                            | sending                       |
+/// |            | bytes or the end arrive while it is watched        | closed                        |
+/// | sending    | last byte of the request written                   | receiving                     |
+/// |            | ... after bytes had arrived: malformed             | closed                        |
+/// |            | write failed, upload truncated, bytes in an upload | closed                        |
+/// | receiving  | response complete                                  | idle, or closed if not reusable |
+/// |            | body too long or too slow to buffer                | streaming                     |
+/// |            | drain()                                            | draining                      |
+/// |            | malformed, broken                                  | closed                        |
+/// | draining   | response complete                                  | idle, or closed if not reusable |
+/// |            | malformed, broken, drain time over                 | closed                        |
+/// | streaming  | response complete                                  | idle, or closed if not reusable |
+/// |            | malformed, broken, stalled, reader closed          | closed                        |
+/// | any        | close()                                            | closed                        |
+#pragma once
+
+#include <array>
+#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "engine/message.h"
+#include "http1/request_writer.h"
+#include "http1/response_decoder.h"
+#include "http1/response_stream.h"
+#include "http1/upstream_attempt.h"
+#include "net/tcp.h"
+
+namespace streampick::http1 {
+
+class Upstream;
+
+/// Owned by its Upstream and by its pending operations; outlives a close() until those have ended. It reports
+/// to its Upstream by the functions that are declared there for connections.
+///
+/// From start() to the response's end the loop reads the socket. An idle connection is not read, so that
+/// is_clean() finds what arrives then; only watch_idle() reads it, to notice its end.
+class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
+ public:
+  /// Counts as open in the budget of descriptors until close().
+  explicit UpstreamConnection(Upstream& owner);
+  ~UpstreamConnection() = default;
+  UpstreamConnection(const UpstreamConnection&) = delete;
+  UpstreamConnection& operator=(const UpstreamConnection&) = delete;
+
+  /// `timeout`: microseconds; 0: the kernel's own.
+  void connect(const net::tcp::endpoint& server, Time timeout);
+  /// Sends the request of an attempt on an idle connection and waits for the response.
+  void start(UpstreamAttempt attempt, Time now);
+  /// The attempt is cancelled: discards its response for up to `max_wait` microseconds, to use the connection
+  /// again. Only where can_drain().
+  void drain(Time max_wait);
+  /// Closes without a report to the owner. A streamed response is truncated.
+  void close();
+
+  /// Whether the request was written completely and may be abandoned without a doubt about its effect.
+  bool can_drain() const;
+  /// Whether nothing arrived on an idle connection since the last response. What did belongs to no request
+  /// (noise, a second response, the end), and would be taken for the next one's response.
+  bool is_clean();
+  /// Reads an idle connection from now on, to notice its end. Returns false if it is not clean.
+  bool watch_idle();
+
+  const std::optional<UpstreamAttempt>& attempt() const { return attempt_; }
+  const net::tcp::endpoint& server() const { return server_; }
+  /// When it was established or its last response ended; 0: never.
+  Time last_used() const { return last_used_; }
+  void mark_used(Time now) { last_used_ = now; }
+  /// When its last response ended; 0: none has.
+  Time last_response_at() const { return last_response_at_; }
+  /// When its last request was started.
+  Time request_started_at() const { return request_started_at_; }
+  /// Whether a byte has arrived since the last request was started.
+  bool has_received() const { return has_received_; }
+
+ private:
+  enum class State : std::uint8_t { connecting, idle, sending, receiving, draining, streaming, closed };
+  using Handler = void (UpstreamConnection::*)();
+  static constexpr std::size_t kReadBufferSize = std::size_t{16} * 1024;
+
+  void on_connect_ended(bool connected);
+
+  void subscribe_to_upload();
+  void write_request();
+  void wait_writable();
+  bool may_resume_writing() const;
+  void fail_write_soon();
+  void on_write_failed();
+  void on_request_written();
+
+  void read();
+  void on_read(const net::error_code& error, std::size_t size);
+  void on_early_bytes();
+  void on_disconnected();
+  void decode(std::string_view bytes);
+  bool on_head();
+  bool buffer_long_body(std::uint64_t length);
+  bool on_body();
+  bool is_too_soon_after_another() const;
+  void on_malformed(const std::string& reason);
+  void on_response_complete(bool reusable);
+  void finish(Outcome outcome, engine::Answer answer, bool reusable);
+
+  void stream_after(Time wait);
+  bool start_streaming();
+  std::function<void()> posted(Handler handler);
+  bool forward_body();
+  void resume_reading();
+  void on_reader_closed();
+  void watch_for_stall();
+  void end_stream(engine::BodyStream::State state);
+  void truncate_stream(const std::string& reason);
+  void on_stream_complete(bool reusable);
+
+  Upstream* owner_;  // none once it is closed
+  State state_ = State::connecting;
+  net::tcp::endpoint server_;
+  net::tcp::socket socket_;
+  boost::asio::steady_timer
+      timer_;  // connect timeout, buffering time, drain time or stall check: one at a time
+  std::optional<UpstreamAttempt> attempt_;
+  RequestWriter writer_;
+  ResponseDecoder decoder_;
+  engine::MemoryReservation body_memory_;  // of a long body that is buffered
+  ResponseStream stream_;
+  Time last_used_ = 0;
+  Time last_response_at_ = 0;
+  Time request_started_at_ = 0;
+  bool has_received_ = false;
+  bool received_early_ = false;  // bytes arrived while the request was being written
+  bool disconnected_ = false;    // noticed while the request was being written
+  bool reading_ = false;         // a read is pending
+  std::array<char, kReadBufferSize> buffer_;
+};
+
+}  // namespace streampick::http1
--- a/src/platform/transports.cpp
+++ b/src/platform/transports.cpp
@@ -1,6 +1,6 @@
 #include "platform/transports.h"
 
-#include "http1/transport.h"
+#include "http1/upstream.h"
 #include "net/log.h"
 
 namespace streampick::platform {
--- a/tests/daemon/production_test.cpp
+++ b/tests/daemon/production_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "daemon/running.h"
-#include "http1/transport.h"
+#include "http1/upstream.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/http1/one_server.h
+++ b/tests/http1/one_server.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "http1/transport.h"
+#include "http1/upstream.h"
 #include "loopback.h"
 
 namespace streampick::test {
