--- a/tests/http1/crossings_test.cpp
+++ b/tests/http1/crossings_test.cpp
@@ -5,9 +5,9 @@
 namespace streampick::test {
 namespace {
 
-class Crossing : public ToOneServer {
+class UpstreamRaceTest : public ToOneServer {
  protected:
-  Crossing() { record.connect_timeout = 30'000'000; }
+  UpstreamRaceTest() { record.connect_timeout = 30'000'000; }
   // The n-th request's connection, the server having it.
   Peer& asked(std::size_t n) {
     EXPECT_TRUE(wait_for([&] { return cache.requests.size() == n; }));
@@ -24,7 +24,7 @@
 
 // The second answer comes behind the first when the next request has been asked for, and before the loop runs
 // again: sooner than the connection could settle.
-TEST_F(Crossing, ASecondAnswerMillisecondsLateIsNotTheNextRequests) {
+TEST_F(UpstreamRaceTest, SecondResponseMillisecondsLate_IsNotTheNextResponse) {
   send(0);
   Peer& first = asked(1);
   first.write(response(200, "first"));
@@ -39,7 +39,7 @@
 
 // A read that may be repeated is asked for at once where answers take long; what comes too soon is not its
 // own.
-TEST_F(Crossing, WhatComesTooSoonBehindAnAnswerIsNotTakenForTheNextReads) {
+TEST_F(UpstreamRaceTest, ResponseTooSoonAfterAnother_IsMalformed) {
   forward->repeatable = true;
   send(0);
   Peer& first = asked(1);
@@ -61,7 +61,7 @@
   EXPECT_EQ(record.bodies[2], "its own");
 }
 
-TEST_F(Crossing, AConnectionThatStaysQuietBehindItsAnswerIsUsedAgainWithoutANewOne) {
+TEST_F(UpstreamRaceTest, SettledConnection_IsUsedAgain) {
   for (std::uint32_t i = 0; i < 5; ++i) {
     send(i);
     asked(i + 1).write(response(200, std::to_string(i)));
@@ -73,7 +73,7 @@
 
 // There is no descriptor for another one: what waits for a connection to settle must not wait for ever,
 // neither when that stays nor when it ends meanwhile.
-TEST_F(Crossing, WhoWaitsForAConnectionToSettleIsServedAlsoWhenThatEnds) {
+TEST_F(UpstreamRaceTest, OnlyConnectionSettlesOrCloses_QueuedAttemptIsServed) {
   record.most_connections = 1;
   std::uint32_t n = 0;
   for (const bool ends : {false, true}) {
@@ -91,7 +91,7 @@
 }
 
 // The server closes an idle connection just when the request is written: all of it left, it may have run.
-TEST_F(Crossing, AnIdleCloseThatCrossesTheRequestIsAResetAndNotNeverRan) {
+TEST_F(UpstreamRaceTest, IdleCloseCrossingTheRequest_EndsAttemptAsReset) {
   send(0);
   Peer& first = asked(1);
   first.write(response(200, "first"));
@@ -104,7 +104,7 @@
 }
 
 // The answer's head says nothing of its end; the connection is reset in the midst of it.
-TEST_F(Crossing, AnAnswerWithoutALengthThatIsResetMidwayIsNeverA200) {
+TEST_F(UpstreamRaceTest, UnframedResponseResetMidway_EndsAttemptAsReset) {
   send(0);
   Peer& peer = asked(1);
   peer.write("HTTP/1.1 200 OK\r\nX-Found: hit\r\n\r\nhalf of");
@@ -116,7 +116,7 @@
   EXPECT_TRUE(record.bodies[0].empty());
 }
 
-TEST_F(Crossing, ASpoiltHeadBehindAGoodAnswerHarmsNeitherAnswer) {
+TEST_F(UpstreamRaceTest, MalformedHeadBehindAResponse_AffectsNeitherResponse) {
   send(0);
   Peer& first = asked(1);
   first.write(response(200, "good") + "HTTP/1.1 2x0 OK\r\n");
@@ -132,7 +132,7 @@
 // ---- A connection that comes up late
 
 // A keyed repeat whose window ends while its connection is made: no byte of it may go out.
-TEST_F(Crossing, ARepeatWhoseWindowEndedWhileItsConnectionWasMadeIsNeverWritten) {
+TEST_F(UpstreamRaceTest, BeginDeadlinePassesDuringConnect_NothingIsWritten) {
   upstream.set_address(full.address());
   send(0, clock.now() + 100'000);
   quiet(150);
@@ -144,7 +144,7 @@
   EXPECT_EQ(full.requests(), 0U);
 }
 
-TEST_F(Crossing, ARequestTakenBackWhileItsConnectionWasMadeIsNeverWritten) {
+TEST_F(UpstreamRaceTest, AttemptCancelledDuringConnect_NothingIsWritten) {
   upstream.set_address(full.address());
   send(0);
   quiet(20);
@@ -157,7 +157,7 @@
 }
 
 // Told to go while an attempt waits for its dial: it is free at once, not when the dial fails.
-TEST_F(Crossing, WhatWaitsForItsDialIsFreeAtOnceWhenItsServerLeaves) {
+TEST_F(UpstreamRaceTest, ServerLeavesDuringConnect_AttemptEndsAtOnce) {
   upstream.set_address(full.address());
   send(0);
   quiet(20);
@@ -170,7 +170,7 @@
   EXPECT_EQ(full.requests(), 0U);
 }
 
-TEST_F(Crossing, AConnectionThatComesUpLateWhereTheServerNoLongerIsCarriesNothing) {
+TEST_F(UpstreamRaceTest, AddressChangesDuringConnect_FormerAddressGetsNothing) {
   upstream.set_address(full.address());
   send(0);
   quiet(20);
@@ -186,7 +186,7 @@
 }
 
 // Its answer is still good, its connection leads elsewhere.
-TEST_F(Crossing, AConnectionInUseWhenItsServerMovesIsNotUsedAgain) {
+TEST_F(UpstreamRaceTest, AddressChangesDuringRequest_ConnectionIsNotUsedAgain) {
   send(0);
   Peer& first = asked(1);
   FakeServer moved(io, [](const std::string&) { return response(200, "moved"); });
--- a/tests/http1/parts_test.cpp
+++ b/tests/http1/parts_test.cpp
@@ -4,7 +4,7 @@
 namespace streampick::test {
 namespace {
 
-class Parts : public Loopback {
+class ResponseStreaming : public Loopback {
  protected:
   void begin(std::size_t whole = 64 * 1024, std::uint64_t longest = 64 << 20) {
     settings = platform::parse_settings(
@@ -49,7 +49,7 @@
   const net::Links::Streams& streams() { return host->links().streams; }
 };
 
-TEST_F(Parts, TheFirstPartIsPassedOnWhileTheRestIsStillToCome) {
+TEST_F(ResponseStreaming, LongResponse_IsForwardedWhileItArrives) {
   begin();
   const std::string body = pattern(300'000);
   const auto one = client();
@@ -74,7 +74,7 @@
 }
 
 // Short enough to be read whole, but slow: the client is owed its first bytes.
-TEST_F(Parts, AMiddleSizedAnswerThatComesSlowlyIsPassedOnAsItComes) {
+TEST_F(ResponseStreaming, SlowMediumResponse_IsForwardedWhileItArrives) {
   start();
   const std::string body = pattern(300'000);
   const auto one = client();
@@ -88,7 +88,7 @@
   EXPECT_EQ(one->body(), body);
 }
 
-TEST_F(Parts, AnAnswerOf32MiBIsPassedOnWithoutBeingSetFree) {
+TEST_F(ResponseStreaming, ResponseOf32MiB_IsForwardedCompletely) {
   start();
   const std::string body = pattern(32 << 20);
   net::tcp::socket one = asks(a_last_read());
@@ -100,7 +100,7 @@
   EXPECT_EQ(*host->links().large, 0U);
 }
 
-TEST_F(Parts, ALongAnswerThatEndsWithItsConnectionIsWholeIfThatEndsInOrder) {
+TEST_F(ResponseStreaming, LongUnframedResponse_IsCompleteOnlyIfConnectionCloses) {
   start();
   const std::string body = pattern(200'000);
   for (const bool reset : {false, true}) {
@@ -122,7 +122,7 @@
 
 // Only the connection's end marks theirs. Those that come whole are forwarded, whatever their size and
 // however many are reset in between, and one that was reset is never taken for whole.
-TEST_F(Parts, AnswersWithNoLengthThatComeWholeAreForwarded) {
+TEST_F(ResponseStreaming, CompleteUnframedResponses_AreForwarded) {
   begin();
   const std::string open_head = "HTTP/1.1 200 X\r\n\r\n";
   std::size_t whole = 0, forwarded = 0;
@@ -158,7 +158,7 @@
   RecordProperty("forwarded", static_cast<int>(forwarded));
 }
 
-TEST_F(Parts, ASlowReaderHoldsTheServerBackAndWhatWaitsIsBounded) {
+TEST_F(ResponseStreaming, SlowClient_PausesServerWithBoundedBuffer) {
   begin();
   const std::string body = pattern(48 << 20);
   net::tcp::socket slow = asks(a_last_read());
@@ -188,7 +188,7 @@
   EXPECT_EQ(*host->links().large, 0U);
 }
 
-TEST_F(Parts, AnAnswerThatBreaksInItsMidstIsSeenToBeCutAndIsNotAskedForAgain) {
+TEST_F(ResponseStreaming, ResponseBrokenMidway_IsTruncatedAndNotRetried) {
   begin();
   net::tcp::socket one = asks(a_last_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
@@ -204,7 +204,7 @@
   EXPECT_EQ(host->counts().served + host->counts().failed + host->counts().refused, 1U);
 }
 
-TEST_F(Parts, WithoutALengthItGoesOnInChunksAndACutEndsWithoutTheLastOne) {
+TEST_F(ResponseStreaming, ChunkedResponse_IsForwardedInChunksAndTruncationOmitsTheLast) {
   begin();
   for (const bool cut : {false, true}) {
     net::tcp::socket one = asks(a_last_read());
@@ -227,7 +227,7 @@
   EXPECT_EQ(streams().cut, 1U);
 }
 
-TEST_F(Parts, AClientThatGoesInTheMidstEndsTheServersConnectionToo) {
+TEST_F(ResponseStreaming, ClientDisconnectsMidway_ServerConnectionIsClosed) {
   begin();
   net::tcp::socket one = asks(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
@@ -240,7 +240,7 @@
   EXPECT_EQ(*host->links().large, 0U);
 }
 
-TEST_F(Parts, AServerThatLeavesTheListFinishesTheAnswerItHasBegun) {
+TEST_F(ResponseStreaming, ServerLeavesListMidway_ResponseIsCompleted) {
   begin();
   accept_watch();
   begin_watch();
@@ -257,7 +257,7 @@
   EXPECT_EQ(one->body(), body);
 }
 
-TEST_F(Parts, WhatIsLongerThanWasSetIsSpoiltAndWhatHasNoMemoryIsPassedOnInParts) {
+TEST_F(ResponseStreaming, OverlongResponse_IsMalformedAndOneWithoutMemoryIsStreamed) {
   begin(1 << 20, 1 << 20);
   cache.answer = [&](const std::string&) { return head(2 << 20) + "x"; };
   const auto one = client();
@@ -276,7 +276,7 @@
 
 // ---- Connections of cancelled attempts
 
-class Cancelled : public Loopback {
+class CancelledAttempt : public Loopback {
  protected:
   // One read served, so that the server's usual time is known, then one that its client leaves. `usual`: how
   // long the first one took, in ms.
@@ -298,7 +298,7 @@
   }
 };
 
-TEST_F(Cancelled, ItsConnectionIsUsedAgainOnceTheAnswerNobodyWantsIsIn) {
+TEST_F(CancelledAttempt, DrainedResponseArrives_ConnectionIsUsedAgain) {
   leave(50);
   EXPECT_EQ(host->links().draining, 1U);
   EXPECT_EQ(host->links().drains.begun, 1U);
@@ -315,7 +315,7 @@
   EXPECT_EQ(host->counts().served, 2U);
 }
 
-TEST_F(Cancelled, ItsConnectionIsClosedWhenTheAnswerDoesNotComeSoon) {
+TEST_F(CancelledAttempt, DrainedResponseIsLate_ConnectionIsClosed) {
   leave(20);
   ASSERT_TRUE(wait_for([&] { return cache.open() == 0; }));
   EXPECT_EQ(host->links().draining, 0U);
@@ -323,7 +323,7 @@
   EXPECT_EQ(host->links().connections, 0U);
 }
 
-TEST_F(Cancelled, ItsConnectionGivesWayWhereAnotherIsWanted) {
+TEST_F(CancelledAttempt, DescriptorNeeded_DrainingConnectionIsEvicted) {
   leave(200);
   ASSERT_EQ(host->links().draining, 1U);
   host->links().evict_idle_connection();
--- a/tests/http1/upstream_test.cpp
+++ b/tests/http1/upstream_test.cpp
@@ -6,7 +6,7 @@
 namespace streampick::test {
 namespace {
 
-TEST_F(Loopback, RequestsOneAfterAnotherUseOneConnection) {
+TEST_F(Loopback, SequentialRequestsWithPauses_UseOneConnection) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -21,7 +21,7 @@
 
 // A quick server's connections settle longer than its answers take: a few more are made, and those are
 // enough.
-TEST_F(Loopback, RequestsWithoutAPauseUseAFewConnectionsInTurn) {
+TEST_F(Loopback, SequentialRequestsWithoutPauses_UseAFewConnections) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -35,7 +35,7 @@
   for (std::size_t i = 0; i < 200; ++i) EXPECT_EQ(one->status(i), 200);
 }
 
-TEST_F(Loopback, AnIdleConnectionThatTheServerClosedIsNoticedAndNotUsed) {
+TEST_F(Loopback, IdleConnectionClosedByServer_IsNotUsedAgain) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
@@ -49,12 +49,12 @@
   EXPECT_EQ(host->counts().outcomes[static_cast<std::size_t>(Outcome::reset)], 0U);
 }
 
-class OneServer : public ToOneServer {
+class UpstreamTest : public ToOneServer {
  protected:
-  OneServer() { record.connect_timeout = 250'000; }
+  UpstreamTest() { record.connect_timeout = 250'000; }
 };
 
-TEST_F(OneServer, ADialThatIsNotMadeInTimeNeverRan) {
+TEST_F(UpstreamTest, ConnectTimeout_EndsAttemptAsConnectFailed) {
   upstream.set_address(full.address());
   send(0);
   EXPECT_TRUE(record.ended.empty());
@@ -63,7 +63,7 @@
   EXPECT_EQ(record.connections, 0U);
 }
 
-TEST_F(OneServer, AnAttemptThatWaitsForADialTakesTheConnectionThatComesFreeFirst) {
+TEST_F(UpstreamTest, AttemptQueuedDuringConnect_TakesFirstIdleConnection) {
   record.connect_timeout = 60'000'000;
   upstream.set_address(full.address());
   send(0);
@@ -93,7 +93,7 @@
   EXPECT_EQ(record.ended[1].second, Outcome::served);
 }
 
-TEST_F(OneServer, NothingIsWrittenPastTheGraceOfADrain) {
+TEST_F(UpstreamTest, DrainGracePeriodOver_QueuedAttemptEndsAsNotSent) {
   send(0);  // its connection is not made before the loop runs
   upstream.stop_sending_at(clock.now());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
@@ -102,7 +102,7 @@
   EXPECT_TRUE(cache.requests.empty());
 }
 
-TEST_F(OneServer, AForgottenAttemptClosesItsConnectionAndReportsNothing) {
+TEST_F(UpstreamTest, TimedOutAttempt_ClosesConnectionWithoutOutcome) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   upstream.cancel({1, 0}, engine::CancelReason::timed_out);
@@ -110,7 +110,7 @@
   EXPECT_TRUE(record.ended.empty());
 }
 
-TEST_F(OneServer, WhatWaitsForADialIsTakenBackAndNeverWrittenAndWhatIsOutIsNot) {
+TEST_F(UpstreamTest, CancelUnsent_RemovesQueuedButNotWrittenAttempts) {
   send(0);  // its connection is not made before the loop runs
   EXPECT_TRUE(upstream.cancel_unsent({1, 0}));
   EXPECT_FALSE(upstream.cancel_unsent({1, 0}));
@@ -126,7 +126,7 @@
   EXPECT_EQ(cache.peers.size(), 1U);
 }
 
-TEST_F(OneServer, TheConnectionUsedLastIsUsedNextAndOldOnesAreClosed) {
+TEST_F(UpstreamTest, IdleConnections_AreUsedLastInFirstOutAndClosedWhenUnused) {
   send(0);
   send(1);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 2; }));
@@ -148,7 +148,7 @@
   EXPECT_EQ(cache.peers.size(), 2U);
 }
 
-TEST_F(OneServer, InterimAnswersArePassedOverAndAClosingOneIsNotUsedAgain) {
+TEST_F(UpstreamTest, InterimResponses_AreSkippedAndConnectionCloseIsHonoured) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
@@ -162,7 +162,7 @@
 }
 
 // It ends with its connection. A server that dies resets that, and then nobody knows how much was missing.
-TEST_F(OneServer, ABodyWithoutALengthIsWholeWhereItsConnectionEndsInOrder) {
+TEST_F(UpstreamTest, UnframedBody_IsCompleteWhenConnectionCloses) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write("HTTP/1.1 200 OK\r\n\r\nuntil the end");
@@ -173,7 +173,7 @@
   EXPECT_EQ(record.connections, 0U);
 }
 
-TEST_F(OneServer, ABodyWithoutALengthIsNotWholeWhereItsConnectionIsReset) {
+TEST_F(UpstreamTest, UnframedBody_IsNotServedWhenConnectionIsReset) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write("HTTP/1.1 200 OK\r\n\r\nuntil the end");
@@ -185,7 +185,7 @@
   EXPECT_TRUE(record.bodies[0].empty());
 }
 
-TEST_F(OneServer, AnAnswerThatCannotBeReadIsSpoiltAndItsConnectionIsNotUsedAgain) {
+TEST_F(UpstreamTest, MalformedResponse_EndsAttemptAndClosesConnection) {
   const std::string ok = "HTTP/1.1 200 OK\r\n";
   std::string interim;
   for (int i = 0; i < 100; ++i) interim += "HTTP/1.1 103 Early Hints\r\n\r\n";
@@ -217,7 +217,7 @@
 
 // A second copy of an answer, or noise, right behind it: taken for the next request's answer, it would
 // serve that client with another's.
-TEST_F(OneServer, WhatComesBehindAnAnswerIsNotTheNextRequests) {
+TEST_F(UpstreamTest, BytesBehindAResponse_AreNotTheNextResponse) {
   for (const bool together : {true, false}) {
     quiet(30);  // what answered last may be used again
     const std::size_t n = record.ended.size(), peers = cache.peers.size();
@@ -240,7 +240,7 @@
   }
 }
 
-TEST_F(OneServer, AnAnswerThatComesBeforeItsRequestIsOutIsNotServed) {
+TEST_F(UpstreamTest, ResponseBeforeRequestIsWritten_IsMalformed) {
   forward->operation = engine::Operation::write;
   forward->body.assign(32 * 1024 * 1024, 'x');  // more than the sockets between can hold
   net::tcp::acceptor strict(io, any_port());
@@ -265,7 +265,7 @@
   quiet();
 }
 
-TEST_F(OneServer, ARequestFoundFaultWithIsToldApartFromAServersError) {
+TEST_F(UpstreamTest, Status400_IsInvalidRequestAndKeepsConnection) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(response(400));
@@ -274,7 +274,7 @@
   EXPECT_EQ(record.connections, 1U);
 }
 
-TEST_F(OneServer, WithoutADescriptorAnAttemptNeverRan) {
+TEST_F(UpstreamTest, NoDescriptorLeft_EndsAttemptAsConnectFailed) {
   record.most_connections = 0;
   send(0);
   EXPECT_TRUE(record.ended.empty());  // not from within send
@@ -283,7 +283,7 @@
   EXPECT_TRUE(cache.peers.empty());
 }
 
-TEST_F(OneServer, AServerThatStopsReadingHalfwayNeverRanTheRequest) {
+TEST_F(UpstreamTest, ServerClosesBeforeRequestIsWritten_EndsAttemptAsConnectFailed) {
   // More than the sockets between can hold, so that the last byte is never written.
   forward->operation = engine::Operation::write;
   forward->body.assign(32 * 1024 * 1024, 'x');
