--- a/tests/http1/connection_end_test.cpp
+++ b/tests/http1/connection_end_test.cpp
@@ -108,7 +108,9 @@
 }
 
 TEST_F(ConnectionEnd, UnreadRequestAtACloseUnderPressure_IsServed) {
-  start_with([](platform::NodeSettings& all) { all.overload.crowd = 0.01; });  // of four connections
+  start_with([](platform::NodeSettings& all) {
+    all.overload.connection_pressure_share = 0.01;
+  });  // of four connections
   // Each on a connection of its own, so that the last one's is known.
   cache.answer = [](const std::string&) { return response(200, "x", "Connection: close\r\n"); };
   std::vector<std::unique_ptr<Raw>> crowd;
--- a/tests/http1/downstream_digest_test.cpp
+++ b/tests/http1/downstream_digest_test.cpp
@@ -491,7 +491,7 @@
 }
 
 TEST_F(DownstreamDigest, TimeLimits) {
-  overload.calm_idle = 300'000;
+  overload.idle_timeout = 300'000;
   start();
   std::vector<std::pair<std::string, std::unique_ptr<Client>>> clients;
   const auto stop_after = [&](const std::string& name, const std::string& text) {
@@ -526,7 +526,7 @@
 
 TEST_F(DownstreamDigest, EvictionWhereDescriptorsAreShort) {
   engine.respond_at_once = [] { return served("value"); };
-  overload.crowd = 1;
+  overload.connection_pressure_share = 1;
   descriptors = overload::DescriptorBudget({8, 2, 2});
   start();
   std::vector<std::unique_ptr<Client>> clients;
@@ -553,7 +553,7 @@
 
 TEST_F(DownstreamDigest, ConnectionPressureClosesAfterTheFirstResponse) {
   engine.respond_at_once = [] { return served("value"); };
-  overload.crowd = 0.02;
+  overload.connection_pressure_share = 0.02;
   start();
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 6; ++i) {
