--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -234,7 +234,7 @@
 }
 
 std::string Fleet::summary() const {
-  const Counts counts = shell_.protocol().summary(time_.now());
+  const membership::ViewSummary counts = shell_.protocol().summary(time_.now());
   return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
          " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.min_live) +
          " most=" + std::to_string(counts.max_live) + " routers=" + std::to_string(hooks_.divided_by()) +
