--- a/tests/http1/crossings_test.cpp
+++ b/tests/http1/crossings_test.cpp
@@ -1,5 +1,4 @@
-// Two events that cross on a connection to a server, over loopback sockets: each crossing is brought about by
-// a scripted peer, never waited for.
+// Races of two events on a connection to a server, over loopback sockets. A scripted peer forces each order.
 #include "http1/one_server.h"
 
 namespace streampick::test {
@@ -8,7 +7,7 @@
 class UpstreamRaceTest : public ToOneServer {
  protected:
   UpstreamRaceTest() { record.connect_timeout = 30'000'000; }
-  // The n-th request's connection, the server having it.
+  // Waits until the server has received `n` requests, and returns the last one's connection.
   Peer& asked(std::size_t n) {
     EXPECT_TRUE(wait_for([&] { return cache.requests.size() == n; }));
     return *cache.peers.back();
@@ -20,10 +19,10 @@
   }
 };
 
-// ---- An answer and what comes behind it
+// ---- Bytes behind a response
 
-// The second answer comes behind the first when the next request has been asked for, and before the loop runs
-// again: sooner than the connection could settle.
+// The second response arrives after the next request was sent() and before the loop runs again: before the
+// connection has settled.
 TEST_F(UpstreamRaceTest, SecondResponseMillisecondsLate_IsNotTheNextResponse) {
   send(0);
   Peer& first = asked(1);
@@ -37,8 +36,8 @@
   served(2, "second");
 }
 
-// A read that may be repeated is asked for at once where answers take long; what comes too soon is not its
-// own.
+// Where responses take long, a repeatable read uses an unsettled connection; a response that arrives too soon
+// is not its own.
 TEST_F(UpstreamRaceTest, ResponseTooSoonAfterAnother_IsMalformed) {
   forward->repeatable = true;
   send(0);
@@ -71,8 +70,8 @@
   EXPECT_EQ(record.dials, 1U);
 }
 
-// There is no descriptor for another one: what waits for a connection to settle must not wait for ever,
-// neither when that stays nor when it ends meanwhile.
+// Without a descriptor for another connection, an attempt waits for the only one to settle. It must be sent
+// when that one stays, and also when it closes.
 TEST_F(UpstreamRaceTest, OnlyConnectionSettlesOrCloses_QueuedAttemptIsServed) {
   record.most_connections = 1;
   std::uint32_t n = 0;
@@ -90,7 +89,7 @@
   EXPECT_EQ(record.dials, 2U);
 }
 
-// The server closes an idle connection just when the request is written: all of it left, it may have run.
+// The server closes an idle connection while the request is written: the request may have been executed.
 TEST_F(UpstreamRaceTest, IdleCloseCrossingTheRequest_EndsAttemptAsReset) {
   send(0);
   Peer& first = asked(1);
@@ -103,7 +102,7 @@
   EXPECT_EQ(record.ended[1].second, Outcome::reset);
 }
 
-// The answer's head says nothing of its end; the connection is reset in the midst of it.
+// The response's head states no length, and the connection is reset in its body.
 TEST_F(UpstreamRaceTest, UnframedResponseResetMidway_EndsAttemptAsReset) {
   send(0);
   Peer& peer = asked(1);
@@ -129,9 +128,9 @@
   served(2, "other");
 }
 
-// ---- A connection that comes up late
+// ---- Connections that are established late
 
-// A keyed repeat whose window ends while its connection is made: no byte of it may go out.
+// The window of an idempotent retry ends while its connection is established.
 TEST_F(UpstreamRaceTest, BeginDeadlinePassesDuringConnect_NothingIsWritten) {
   upstream.set_address(full.address());
   send(0, clock.now() + 100'000);
@@ -156,7 +155,7 @@
   EXPECT_TRUE(record.ended.empty());
 }
 
-// Told to go while an attempt waits for its dial: it is free at once, not when the dial fails.
+// An attempt that waits for a connection ends as soon as its server leaves, before the connect fails.
 TEST_F(UpstreamRaceTest, ServerLeavesDuringConnect_AttemptEndsAtOnce) {
   upstream.set_address(full.address());
   send(0);
@@ -185,7 +184,7 @@
   EXPECT_EQ(full.requests(), 0U);
 }
 
-// Its answer is still good, its connection leads elsewhere.
+// The response is still valid, but the connection leads to the former address.
 TEST_F(UpstreamRaceTest, AddressChangesDuringRequest_ConnectionIsNotUsedAgain) {
   send(0);
   Peer& first = asked(1);
--- a/tests/http1/one_server.h
+++ b/tests/http1/one_server.h
@@ -1,4 +1,4 @@
-// One transport towards one server of the test's, and a listener whose queue is full.
+// An upstream towards one server of the test, and a listener whose queue is full.
 #pragma once
 
 #include <algorithm>
@@ -25,7 +25,7 @@
   bool wanted = true;  // false: the clients of all attempts have gone
 };
 
-// A server whose listener takes no connection until told: what dials it waits in the kernel's hands.
+// A server that accepts no connection until open(): connects to it stay pending in the kernel.
 class FullListener {
  public:
   explicit FullListener(asio::io_context& io) : io_(io), acceptor_(io) {
@@ -34,22 +34,22 @@
     acceptor_.listen(0);
     fill();
   }
-  // Two fill its queue; a third one's handshake is not answered.
+  // Two connections fill its queue; the handshake of a third one is not answered.
   void fill() {
     for (int i = 0; i < 2; ++i) {
       fill_.emplace_back(io_);
       fill_.back().async_connect(acceptor_.local_endpoint(), [](net::error_code) {});
     }
   }
-  // Takes one of those that wait, which is not answered: another one's handshake may be.
+  // Accepts one pending connection and never answers on it. The handshake of another one may now succeed.
   void take_one() {
     acceptor_.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (!error) keep(std::move(socket));
     });
   }
   std::string address() const { return text_of(acceptor_.local_endpoint()); }
-  // From here on all are taken; requests are kept, none is answered. A handshake that was held back is tried
-  // again by the kernel a second after the first time.
+  // From here on accepts all connections; requests are recorded, none is answered. The kernel repeats a
+  // dropped handshake after a second.
   void open() {
     net::error_code ignored;
     for (net::tcp::socket& one : fill_) one.close(ignored);
--- a/tests/http1/parts_test.cpp
+++ b/tests/http1/parts_test.cpp
@@ -1,4 +1,4 @@
-// Answers that are passed on as they come, and connections of cancelled attempts, over loopback sockets.
+// Streamed responses, and the connections of cancelled attempts, over loopback sockets.
 #include "loopback.h"
 
 namespace streampick::test {
@@ -20,14 +20,14 @@
     return "HTTP/1.1 200 X\r\nContent-Type: image/x\r\nContent-Length: " + std::to_string(length) +
            "\r\n\r\n";
   }
-  // A client that reads only when told to.
+  // A client that has sent `text` and reads only in rest_of().
   net::tcp::socket asks(const std::string& text) {
     net::tcp::socket socket(io);
     socket.connect(host->address());
     asio::write(socket, asio::buffer(text));
     return socket;
   }
-  // What came to the client by its end.
+  // Everything that the client receives until its connection ends.
   std::string rest_of(net::tcp::socket& socket) {
     std::string out;
     std::array<char, 65536> chunk{};
@@ -42,7 +42,7 @@
     EXPECT_TRUE(wait_for([&] { return ended; }));
     return out;
   }
-  // Ends the connection behind its answer, so that its end can be waited for.
+  // The router closes the connection behind its response, so that a test can wait for the end.
   static std::string a_last_read() {
     return request_text("GET", "/read/7f3a9c21e0b4d655", "read", "", "8.0", "Connection: close\r\n");
   }
@@ -65,7 +65,7 @@
   EXPECT_NE(one->answers[0].find("Content-Type: image/x"), std::string::npos);
   EXPECT_EQ(streams().open, 0U);
   EXPECT_EQ(*host->links().large, 0U);
-  // Both connections are used again.
+  // The client's and the server's connection are used again.
   cache.answer = [](const std::string&) { return response(200, "small"); };
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
@@ -73,7 +73,7 @@
   EXPECT_EQ(cache.peers.size(), 1U);
 }
 
-// Short enough to be read whole, but slow: the client is owed its first bytes.
+// Short enough to be buffered, but slow: the client receives the first bytes early.
 TEST_F(ResponseStreaming, SlowMediumResponse_IsForwardedWhileItArrives) {
   start();
   const std::string body = pattern(300'000);
@@ -120,8 +120,8 @@
   EXPECT_EQ(streams().cut, 1U);
 }
 
-// Only the connection's end marks theirs. Those that come whole are forwarded, whatever their size and
-// however many are reset in between, and one that was reset is never taken for whole.
+// The end of the connection marks the end of the response. Complete ones are forwarded, whatever their size
+// and however many are reset in between; one that was reset is never served as complete.
 TEST_F(ResponseStreaming, CompleteUnframedResponses_AreForwarded) {
   begin();
   const std::string open_head = "HTTP/1.1 200 X\r\n\r\n";
@@ -134,7 +134,7 @@
     const auto one = client();
     one->ask(request_text("GET", "/read/" + std::to_string(i), "read", "", "2.0", "Connection: close\r\n"));
     ASSERT_TRUE(wait_for([&] { return cache.requests.size() + origin.requests.size() > before; })) << i;
-    // A further attempt, if there is one, has a server's word at once.
+    // A retry, if there is one, is answered at once.
     cache.answer = origin.answer = [](const std::string&) { return response(500); };
     Peer& peer =
         cache.peers.empty() || cache.peers.back()->ended ? *origin.peers.back() : *cache.peers.back();
@@ -175,7 +175,7 @@
                                             });
   };
   more();
-  // Until nothing moves: the kernel's buffers are full on both sides.
+  // Until nothing moves: the kernel's buffers on both sides are full.
   for (std::size_t before = 1; before != written;) {
     before = written;
     quiet(200);
@@ -278,8 +278,8 @@
 
 class CancelledAttempt : public Loopback {
  protected:
-  // One read served, so that the server's usual time is known, then one that its client leaves. `usual`: how
-  // long the first one took, in ms.
+  // Serves one read, so that the server's average response time is known; the client of a second one
+  // disconnects. `usual`: response time of the first one, in ms.
   void leave(int usual) {
     start();
     const auto first = client();
--- a/tests/http1/upstream_test.cpp
+++ b/tests/http1/upstream_test.cpp
@@ -19,8 +19,7 @@
   EXPECT_EQ(cache.peers.size(), 1U);
 }
 
-// A quick server's connections settle longer than its answers take: a few more are made, and those are
-// enough.
+// A quick server answers within the settle time of a connection: a few more connections are established.
 TEST_F(Loopback, SequentialRequestsWithoutPauses_UseAFewConnections) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
@@ -72,7 +71,7 @@
       if (!peer->got.empty()) return peer.get();
     return nullptr;
   };
-  // Those that fill the queue give their places to our first connection, one by one.
+  // Accepting the connections that fill the listener's queue lets the upstream's first connection in.
   for (int i = 0; i < 8 && ours() == nullptr; ++i) {
     const std::size_t before = full.peers.size();
     full.take_one();
@@ -161,7 +160,7 @@
   EXPECT_EQ(record.connections, 0U);
 }
 
-// It ends with its connection. A server that dies resets that, and then nobody knows how much was missing.
+// Such a body ends with its connection. A server that dies resets the connection: the rest is missing.
 TEST_F(UpstreamTest, UnframedBody_IsCompleteWhenConnectionCloses) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
@@ -215,8 +214,7 @@
   }
 }
 
-// A second copy of an answer, or noise, right behind it: taken for the next request's answer, it would
-// serve that client with another's.
+// A second response or noise right behind a response must not be taken for the next request's response.
 TEST_F(UpstreamTest, BytesBehindAResponse_AreNotTheNextResponse) {
   for (const bool together : {true, false}) {
     quiet(30);  // what answered last may be used again
@@ -284,7 +282,7 @@
 }
 
 TEST_F(UpstreamTest, ServerClosesBeforeRequestIsWritten_EndsAttemptAsConnectFailed) {
-  // More than the sockets between can hold, so that the last byte is never written.
+  // More than the socket buffers hold, so that the last byte is never written.
   forward->operation = engine::Operation::write;
   forward->body.assign(32 * 1024 * 1024, 'x');
   net::tcp::acceptor strict(io, any_port());
