--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -1,6 +1,5 @@
 #include "net/log.h"
 
-#include <algorithm>
 #include <chrono>
 #include <cstddef>
 #include <cstdio>
@@ -10,39 +9,50 @@
 namespace streampick::net {
 
 namespace {
-thread_local std::function<void(std::string_view)>* sink = nullptr;
+constexpr int kMaxLinesPerSecond = 50;
+constexpr std::size_t kMaxLineLength = 400;
+
+thread_local ScopedLogSink::Sink* current_sink = nullptr;
 
 void write(std::string_view text) {
-  if (sink != nullptr) return (*sink)(text);
-  // In one call: lines of several processes on one standard error are not mixed.
+  if (current_sink != nullptr) {
+    (*current_sink)(text);
+    return;
+  }
+  // In one call, so that lines of several processes on one standard error are not mixed.
   std::string line = "streampick: ";
-  line.append(text) += '\n';
+  line.append(text);
+  line += '\n';
   std::fwrite(line.data(), 1, line.size(), stderr);
 }
 }  // namespace
 
-LogSink::LogSink(std::function<void(std::string_view)> to)
-    : to_(std::move(to)), before_(std::exchange(sink, &to_)) {}
-LogSink::~LogSink() { sink = before_; }
+ScopedLogSink::ScopedLogSink(Sink sink)
+    : sink_(std::move(sink)), previous_sink_(std::exchange(current_sink, &sink_)) {}
+
+ScopedLogSink::~ScopedLogSink() { current_sink = previous_sink_; }
 
-// A peer that sends nonsense in a loop must not fill the platform's disk.
 void log(std::string_view text) {
-  constexpr int kPerSecond = 50;
-  constexpr std::size_t kLongest = 400;
-  thread_local auto second = std::chrono::steady_clock::time_point{};
-  thread_local int written = 0, dropped = 0;
-  const auto now = std::chrono::steady_clock::now();
-  if (now - second >= std::chrono::seconds(1)) {
-    if (dropped > 0) write(std::to_string(dropped) + " log lines dropped");
-    second = now;
-    written = dropped = 0;
+  using Steady = std::chrono::steady_clock;
+  thread_local Steady::time_point second_start;
+  thread_local int written = 0;
+  thread_local int dropped = 0;
+
+  const auto now = Steady::now();
+  if (now - second_start >= std::chrono::seconds(1)) {
+    if (dropped > 0) {
+      write(std::to_string(dropped) + " log lines dropped");
+    }
+    second_start = now;
+    written = 0;
+    dropped = 0;
   }
-  if (written >= kPerSecond) {
+  if (written >= kMaxLinesPerSecond) {
     ++dropped;
     return;
   }
   ++written;
-  write(text.substr(0, std::min(text.size(), kLongest)));
+  write(text.substr(0, kMaxLineLength));
 }
 
 }  // namespace streampick::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,5 @@
-// The router's log, on standard error: one line an entry, so many a second at most.
+/// \file
+/// The router's log: one line for each entry on standard error, with a bound on the lines a second.
 #pragma once
 
 #include <functional>
@@ -6,19 +7,24 @@
 
 namespace streampick::net {
 
+/// Writes one line, at most 400 characters of `text`. Beyond 50 lines a second of one thread, lines are
+/// dropped and counted: a peer that sends malformed data in a loop must not fill the disk.
 void log(std::string_view text);
 
-// While it lives, what its thread logs goes to `to` in place of standard error: several routers in one
-// process, each on a thread of its own, have logs of their own.
-class LogSink {
+/// While an instance lives, the lines of its thread go to `sink` instead of standard error. Instances nest:
+/// the newest receives the lines. For several routers in one process, each on its own thread.
+class ScopedLogSink {
  public:
-  explicit LogSink(std::function<void(std::string_view)> to);
-  ~LogSink();
-  LogSink(const LogSink&) = delete;
-  LogSink& operator=(const LogSink&) = delete;
+  using Sink = std::function<void(std::string_view line)>;
+
+  explicit ScopedLogSink(Sink sink);
+  ~ScopedLogSink();
+  ScopedLogSink(const ScopedLogSink&) = delete;
+  ScopedLogSink& operator=(const ScopedLogSink&) = delete;
 
  private:
-  std::function<void(std::string_view)> to_, *before_;
+  Sink sink_;
+  Sink* previous_sink_;
 };
 
 }  // namespace streampick::net
--- a/src/net/memory_budget.h
+++ b/src/net/memory_budget.h
@@ -25,7 +25,7 @@
   [[nodiscard]] std::size_t reserved() const { return *reserved_; }
 
  private:
-  static constexpr std::size_t kDefaultLimit = 8 * 1024 * 1024;
+  static constexpr std::size_t kDefaultLimit = std::size_t{8} * 1024 * 1024;
 
   std::size_t limit_ = kDefaultLimit;
   std::shared_ptr<std::size_t> reserved_ = std::make_shared<std::size_t>(0);
--- a/src/net/upstream_resources.h
+++ b/src/net/upstream_resources.h
@@ -18,9 +18,9 @@
 /// response that was read in full can be requested again if it breaks off.
 struct StreamingLimits {
   /// Bytes; a longer body is streamed, and so is one that there is no memory for.
-  std::size_t max_buffered_body = 1024 * 1024;
+  std::size_t max_buffered_body = std::size_t{1024} * 1024;
   /// Bytes; a longer body is an error.
-  std::uint64_t max_body = 32ULL * 1024 * 1024;
+  std::uint64_t max_body = std::uint64_t{32} * 1024 * 1024;
   /// A body that takes longer than this, in microseconds, is streamed from then on.
   Time max_buffering_time = 40'000;
 };
@@ -44,7 +44,7 @@
 struct UpstreamResources {
   /// Received bytes go here first: one buffer serves all connections, as each is emptied before the next is
   /// read.
-  std::vector<char> read_buffer = std::vector<char>(64 * 1024);
+  std::vector<char> read_buffer = std::vector<char>(std::size_t{64} * 1024);
 
   ConnectionBudget connections;
   /// Called when `connections` has no capacity: closes an idle connection, to a server or of a client.
--- a/src/net/wall_clock.h
+++ b/src/net/wall_clock.h
@@ -1,4 +1,5 @@
-// The system's wall clock, and how far it is from a monotonic one.
+/// \file
+/// The system's wall clock, and its offset from a monotonic clock.
 #pragma once
 
 #include <chrono>
@@ -8,30 +9,30 @@
 
 namespace streampick::net {
 
-/// Reads Unix time in microseconds. Tests give one that steps.
+/// Reads Unix time in microseconds. Tests provide one that steps.
 using WallClock = std::function<Time()>;
 
 inline Time system_wall_time() {
-  return std::chrono::duration_cast<std::chrono::microseconds>(
-             std::chrono::system_clock::now().time_since_epoch())
-      .count();
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
 }
 
-/// The wall clock's reading less the monotonic clock's at one moment. The thread may be held up between two
-/// readings: of a few samples the one that was taken fastest counts.
+/// The wall clock's reading less the monotonic clock's at the same moment, in microseconds. The thread may be
+/// suspended between two readings, so of a few samples the one that took the shortest time counts.
 template <typename MonotonicClock>
 Time wall_offset(const WallClock& wall_clock, const MonotonicClock& monotonic_clock) {
-  constexpr int kSamples = 5;
-  constexpr Time kFastEnough = 100;
+  constexpr int kMaxSamples = 5;
+  constexpr Time kShortEnough = 100;
   Time offset = 0;
-  Time fastest = kNever;
-  for (int sample = 0; sample < kSamples && fastest > kFastEnough; ++sample) {
-    const Time before = monotonic_clock();
+  Time shortest = kNever;
+  for (int sample = 0; sample < kMaxSamples && shortest > kShortEnough; ++sample) {
+    const Time start = monotonic_clock();
     const Time wall = wall_clock();
-    const Time took = monotonic_clock() - before;
-    if (took >= fastest) continue;
-    fastest = took;
-    offset = wall - before - took / 2;
+    const Time duration = monotonic_clock() - start;
+    if (duration < shortest) {
+      shortest = duration;
+      offset = wall - start - duration / 2;
+    }
   }
   return offset;
 }
--- a/src/overload/options.cpp
+++ b/src/overload/options.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t kTenSeconds = 10'000;  // ms
 constexpr std::int64_t kKibibyte = 1'024;
 constexpr std::int64_t kMebibyte = 1'024 * kKibibyte;
-constexpr std::int64_t kTebibyte = 1'024 * 1'024 * kMebibyte;
+constexpr std::int64_t kTebibyte = kMebibyte * 1'024 * 1'024;
 
 void read_descriptors(options::Table& table, Settings& settings) {
   table.number("clients_floor", settings.client_minimum_share, 0.05, 0.9);
--- a/src/overload/settings.h
+++ b/src/overload/settings.h
@@ -40,8 +40,8 @@
 
   // ---- Response bodies, in bytes
   /// A longer response is streamed, and so is one that takes longer than `max_buffering_time` to arrive.
-  std::size_t max_buffered_response = 1024 * 1024;
-  std::uint64_t max_response = 32ULL * 1024 * 1024;
+  std::size_t max_buffered_response = std::size_t{1024} * 1024;
+  std::uint64_t max_response = std::uint64_t{32} * 1024 * 1024;
   Time max_buffering_time = 40'000;
 };
 
--- a/src/plugin/client.cpp
+++ b/src/plugin/client.cpp
@@ -132,7 +132,7 @@
     if (settings.options.empty() && settings.options_path.empty())
       return std::make_unique<platform::ServerTransports>(io, clock, resources, told);
     // On the host's own thread, whose log is not ours.
-    const net::LogSink sink([this](std::string_view text) {
+    const net::ScopedLogSink sink([this](std::string_view text) {
       if (own.log) own.log(text);
     });
 #ifdef STREAMPICK_WITH_OPTIONS
@@ -153,7 +153,7 @@
   // ---- The I/O thread
 
   void run() {
-    net::LogSink sink([this](std::string_view text) {
+    net::ScopedLogSink sink([this](std::string_view text) {
       if (own.log) own.log(text);
     });
     engine->start(*this, told.known);
--- a/tests/net/net_digest_test.cpp
+++ b/tests/net/net_digest_test.cpp
@@ -3,7 +3,6 @@
 #include <gtest/gtest.h>
 
 #include <boost/asio.hpp>
-#include <random>
 #include <string>
 #include <vector>
 
@@ -17,6 +16,7 @@
 #include "net/upstream_resources.h"
 #include "net/wall_clock.h"
 #include "support/digest.h"
+#include "support/draw.h"
 #include "support/scripted_clock.h"
 
 namespace streampick::test {
@@ -25,21 +25,6 @@
 constexpr std::uint64_t kSeed = 20261203;
 constexpr std::int64_t kStart = 5'000'000'000;
 
-// The standard fixes the engine's numbers, but not those of its distributions: these are computed here.
-class Draw {
- public:
-  explicit Draw(std::uint64_t seed) : engine_(seed) {}
-  std::uint64_t below(std::uint64_t bound) { return engine_() % bound; }
-  long long between(long long min, long long max) {
-    return min + static_cast<long long>(below(static_cast<std::uint64_t>(max - min + 1)));
-  }
-  double unit() { return static_cast<double>(engine_() >> 11U) * 0x1.0p-53; }
-  bool chance(double probability) { return unit() < probability; }
-
- private:
-  std::mt19937_64 engine_;
-};
-
 TEST(NetDigest, ErrorCodes_AreClassifiedAsRecorded) {
   Digest digest;
   for (int value = 0; value < 140; ++value) {
@@ -154,7 +139,7 @@
   Digest digest;
   Draw draw(kSeed + 2);
   ScriptedClock clock(kStart);
-  const net::LogSink sink([&](std::string_view line) { digest.add("line", line); });
+  const net::ScopedLogSink sink([&](std::string_view line) { digest.add("line", line); });
   for (int line = 0; line < 2'000; ++line) {
     clock.advance(draw.chance(0.01) ? draw.between(0, 2'000'000) : draw.between(0, 20'000));
     net::log(std::to_string(line) + std::string(draw.below(500), 'x'));
--- a/tests/overload/overload_digest_test.cpp
+++ b/tests/overload/overload_digest_test.cpp
@@ -1,38 +1,23 @@
 // Digests of the decisions of src/overload over drawn inputs with fixed seeds.
 #include <gtest/gtest.h>
 
-#include <random>
-
 #include "overload/cancellation_policy.h"
 #include "overload/descriptor_budget.h"
 #include "overload/keep_alive_policy.h"
 #include "overload/load_shedding_controller.h"
 #include "overload/retry_after.h"
 #include "support/digest.h"
+#include "support/draw.h"
 
 namespace streampick::overload::test {
 namespace {
 
 using streampick::test::Digest;
+using streampick::test::Draw;
 using streampick::test::has_hash;
 
 constexpr std::uint64_t kSeed = 20261203;
 
-// The standard fixes the engine's numbers, but not those of its distributions: these are computed here.
-class Draw {
- public:
-  explicit Draw(std::uint64_t seed) : engine_(seed) {}
-  std::uint64_t below(std::uint64_t bound) { return engine_() % bound; }
-  long long between(long long min, long long max) {
-    return min + static_cast<long long>(below(static_cast<std::uint64_t>(max - min + 1)));
-  }
-  double unit() { return static_cast<double>(engine_() >> 11U) * 0x1.0p-53; }
-  bool chance(double probability) { return unit() < probability; }
-
- private:
-  std::mt19937_64 engine_;
-};
-
 Settings drawn_settings(Draw& draw) {
   Settings settings;
   settings.client_minimum_share = 0.05 + 0.45 * draw.unit();
--- a/tests/platform/reload_test.cpp
+++ b/tests/platform/reload_test.cpp
@@ -144,7 +144,7 @@
   bad.push_back(nan);
   std::vector<std::string> said;
   {
-    net::LogSink sink([&](std::string_view text) { said.emplace_back(text); });
+    net::ScopedLogSink sink([&](std::string_view text) { said.emplace_back(text); });
     // So many lines a second at most are logged: those of other tests are not to count.
     quiet(1'100);
     net::log("a new second");
