--- a/src/emulator/simulated_network.cpp
+++ b/src/emulator/simulated_network.cpp
@@ -263,7 +263,7 @@
     const auto mask = static_cast<char>(1 + random_() % kOtherByteValues);
     datagram[random_() % datagram.size()] ^= mask;
   }
-  const double range = static_cast<double>(link.max_delay - link.min_delay);
+  const auto range = static_cast<double>(link.max_delay - link.min_delay);
   const Time delay = link.min_delay + static_cast<Time>(draw() * range);
   events_.push({.time = now_ + delay,
                 .order = ++event_count_,
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -73,9 +73,10 @@
       time_, own, tenants.names, tenants.all, shell_.protocol().self().instance, seed,
       Limits::Hooks{view, hooks_.asked, hooks_.origin, hooks_.take, tell, hooks_.log});
   shell_.set_payload_handler({[this](const membership::ReceivedPayload& payload) {
-                       if (payload.protocol == membership::kShares) limits_->heard(payload.from, payload.bytes);
-                     },
-                     [this] { limits_->begin(); }});
+                                if (payload.protocol == membership::kShares)
+                                  limits_->heard(payload.from, payload.bytes);
+                              },
+                              [this] { limits_->begin(); }});
 }
 
 void Fleet::set_tenants(const Tenants& tenants) {
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -160,7 +160,8 @@
   std::ostringstream out;
   out << "fleet: " << (options.listen.empty() ? "by the platform's peers" : "listens on " + options.listen)
       << ", a probe each " << options.core.period / 1'000 << " ms, datagrams of at most "
-      << options.core.max_datagram_size << " bytes, at most " << options.udp.budget.datagrams << " a second\n";
+      << options.core.max_datagram_size << " bytes, at most " << options.udp.budget.datagrams
+      << " a second\n";
   return out.str();
 }
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -158,13 +158,14 @@
 
 MemberTable::Digest MemberTable::digest(const Record& self, Time now) const {
   if (!cached_digest_) {
-    cached_digest_.emplace();
+    Digest digest;
     for (const auto& [instance, member] : members_) {
       if (is_digested(member, now)) {
-        cached_digest_->value ^= hash(member.record);
-        ++cached_digest_->count;
+        digest.value ^= hash(member.record);
+        ++digest.count;
       }
     }
+    cached_digest_ = digest;
   }
   return {.value = cached_digest_->value ^ hash(self), .count = cached_digest_->count + 1};
 }
--- a/src/membership/protocol_rules.h
+++ b/src/membership/protocol_rules.h
@@ -16,8 +16,8 @@
 
   /// The rules of the router. The object lives as long as the program.
   static const ProtocolRules& standard() {
-    static const ProtocolRules kStandard;
-    return kStandard;
+    static const ProtocolRules rules;
+    return rules;
   }
 
   /// Whether a process refutes that it is suspected or unreachable.
--- a/src/membership/send_budget.cpp
+++ b/src/membership/send_budget.cpp
@@ -16,7 +16,7 @@
 bool SendBudget::try_take(Time now, MessageKind kind, std::size_t bytes) {
   refill(now);
   const double reserved = kReservedShare[static_cast<std::size_t>(kind)];
-  const double size = static_cast<double>(bytes);
+  const auto size = static_cast<double>(bytes);
   if (datagrams_ - 1 < reserved * limits_.datagrams || bytes_ - size < reserved * limits_.bytes) {
     return false;
   }
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -372,12 +372,14 @@
 TEST_F(FleetSocket, TwoFindEachOtherAndOneThatLeavesIsHeardOfAtOnce) {
   const auto one = free_udp_port(), other = free_udp_port();
   GossipSocket a(io, clock, core("a", one, {}), at_port(one), 1, report);
-  auto b = std::make_unique<GossipSocket>(io, clock, core("b", other, {at(0x7f000001, one)}), at_port(other), 2,
-                                      report);
-  ASSERT_TRUE(wait_for(
-      [&] { return a.protocol().summary(clock.now()).alive == 2 && b->protocol().summary(clock.now()).alive == 2; }));
+  auto b = std::make_unique<GossipSocket>(io, clock, core("b", other, {at(0x7f000001, one)}), at_port(other),
+                                          2, report);
+  ASSERT_TRUE(wait_for([&] {
+    return a.protocol().summary(clock.now()).alive == 2 && b->protocol().summary(clock.now()).alive == 2;
+  }));
   b->set_facts({{kDraining, 1}});
-  ASSERT_TRUE(wait_for([&] { return fact(a.protocol().table().members().begin()->second.record, kDraining) == 1; }));
+  ASSERT_TRUE(
+      wait_for([&] { return fact(a.protocol().table().members().begin()->second.record, kDraining) == 1; }));
   b->leave();
   ASSERT_TRUE(wait_for([&] { return a.protocol().summary(clock.now()).left == 1; }));
   EXPECT_EQ(a.protocol().counters().declared_unreachable, 0U);
