--- a/cmake/fleet.cmake
+++ b/cmake/fleet.cmake
@@ -37,7 +37,7 @@
 target_include_directories(streampick_platform SYSTEM PRIVATE ${XXHASH_INCLUDE})
 target_compile_definitions(streampick_platform PUBLIC STREAMPICK_WITH_FLEET)
 # The shell on a socket, and what the daemon does with the view.
-add_library(streampick_fleet_parts STATIC src/fleet/demand_sampler.cpp src/fleet/fleet.cpp
+add_library(streampick_fleet_parts STATIC src/fleet/demand_sampler.cpp src/fleet/fleet.cpp src/fleet/fleet_status.cpp
   src/fleet/shared_limits.cpp src/fleet/shared_limits_status.cpp src/membership/udp.cpp)
 target_link_libraries(streampick_fleet_parts PUBLIC streampick_membership streampick_shares streampick_platform)
 target_link_libraries(streampick_daemon PUBLIC streampick_fleet_parts)
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -2,39 +2,29 @@
 
 #include <fstream>
 #include <iterator>
-#include <nlohmann/json.hpp>
 
+#include "fleet/hex.h"
 #include "shares/fleet_view.h"
 #include "shares/wire.h"
 
 namespace streampick::fleet {
 
 using membership::Change;
-using membership::Counts;
-using membership::Record;
-using nlohmann::ordered_json;
 
 namespace {
 
-constexpr int kLinesASecond = 5;
-constexpr std::uint64_t kProgram = 1;  // what kVersion says: raised with what routers must know of each other
-constexpr const char* kStates[] = {"alive", "suspect", "unreachable", "left"};
-constexpr const char* kWords[] = {"came",
-                                  "is suspected",
-                                  "is well after all",
-                                  "is unreachable",
-                                  "is back",
-                                  "has left",
-                                  "is forgotten",
-                                  "is a name that two processes have",
-                                  "takes a new boot",
-                                  "was not at work for a while"};
-
-std::string hex(std::uint64_t value) {
-  char out[17];
-  std::snprintf(out, sizeof out, "%016llx", static_cast<unsigned long long>(value));
-  return out;
-}
+constexpr int kMaxLinesPerSecond = 5;
+constexpr std::uint64_t kProgram = 1;  // value of kVersion: raised when routers must tell versions apart
+constexpr const char* kChangeTexts[] = {"came",
+                                        "is suspected",
+                                        "is well after all",
+                                        "is unreachable",
+                                        "is back",
+                                        "has left",
+                                        "is forgotten",
+                                        "is a name that two processes have",
+                                        "takes a new boot",
+                                        "was not at work for a while"};
 
 }  // namespace
 
@@ -52,7 +42,7 @@
             core.facts = facts(false);
             return core;
           }(),
-          options.udp, seed, [this](const Change& change) { heard(change); }) {
+          options.udp, seed, [this](const Change& change) { on_change(change); }) {
   each_second();
 }
 
@@ -95,25 +85,25 @@
   shell_.leave();
 }
 
-void Fleet::heard(const Change& change) {
-  if (++lines_ > kLinesASecond) {
-    ++unsaid_;
+void Fleet::on_change(const Change& change) {
+  if (++lines_this_second_ > kMaxLinesPerSecond) {
+    ++suppressed_changes_;
     return;
   }
-  std::string line = "fleet: " + change.name + " " + kWords[static_cast<std::size_t>(change.kind)];
+  std::string line = "fleet: " + change.name + " " + kChangeTexts[static_cast<std::size_t>(change.kind)];
   if (change.address != 0)
     line += " (" + membership::text_of(change.address) + ", boot " + hex(change.boot) + ")";
   hooks_.log(line);
 }
 
 void Fleet::each_second() {
-  if (unsaid_ > 0) hooks_.log("fleet: " + std::to_string(unsaid_) + " more changes");
-  lines_ = unsaid_ = 0;
+  if (suppressed_changes_ > 0) hooks_.log("fleet: " + std::to_string(suppressed_changes_) + " more changes");
+  lines_this_second_ = suppressed_changes_ = 0;
   if (const std::string& why = shell_.why_closed(); why != was_closed_) {
     if (!why.empty()) hooks_.log("fleet: no socket for the others: " + why);
     was_closed_ = why;
   }
-  look_at_roster();
+  reload_roster();
   const auto now = time_.now();
   const std::uint32_t routers = count_.see(now, shell_.core().counts(now));
   if (options_.count_routers && routers != hooks_.divided_by()) {
@@ -126,8 +116,8 @@
   });
 }
 
-// Read only when its time has changed; what it says counts when that has.
-void Fleet::look_at_roster() {
+// The file is read when its modification time has changed, and applied when its text has.
+void Fleet::reload_roster() {
   if (options_.roster_file.empty()) return;
   std::error_code error;
   const auto time = std::filesystem::last_write_time(options_.roster_file, error);
@@ -150,94 +140,4 @@
   }
 }
 
-namespace {
-
-ordered_json counted(const Counts& counts, membership::Time now, std::uint32_t routers) {
-  ordered_json out;
-  out["alive"] = counts.alive;
-  out["suspect"] = counts.suspect;
-  out["unreachable"] = counts.unreachable;
-  out["left"] = counts.left;
-  out["least"] = counts.least;
-  out["most"] = counts.most;
-  out["seen"] = counts.seen;
-  out["settled"] = counts.settled;
-  out["unchanged_ms"] = (now - counts.unchanged_since) / 1'000;
-  out["routers"] = routers;
-  return out;
-}
-
-ordered_json told(const Record& record) {
-  ordered_json out;
-  out["name"] = record.name;
-  out["boot"] = hex(record.boot);
-  out["address"] = membership::text_of(record.address);
-  out["state"] = kStates[static_cast<std::size_t>(record.state)];
-  out["incarnation"] = record.incarnation;
-  out["draining"] = membership::fact(record, membership::kDraining) != 0;
-  return out;
-}
-
-}  // namespace
-
-std::string Fleet::brief() const {
-  const auto now = time_.now();
-  return counted(shell_.core().counts(now), now, hooks_.divided_by()).dump();
-}
-
-std::string Fleet::shares() const { return limits_ ? limits_->status() : ""; }
-
-std::string Fleet::view() const {
-  const auto now = time_.now();
-  const membership::Core& core = shell_.core();
-  const Counts counts = core.counts(now);
-  ordered_json out = counted(counts, now, hooks_.divided_by());
-  out["digest"] = hex(counts.digest);
-  out["health"] = core.health();
-  out["open"] = shell_.open();
-  out["self"] = told(core.self());
-  out["members"] = ordered_json::array();
-  for (const auto& [boot, member] : core.table().all()) {
-    ordered_json one = told(member.record);
-    one["for_ms"] = (now - member.since) / 1'000;
-    out["members"].push_back(std::move(one));
-  }
-  const membership::Figures& figures = core.figures();
-  const membership::UdpShell::Counts& shell = shell_.counts();
-  ordered_json& told_figures = out["figures"];
-  for (std::size_t kind = 0; kind < membership::kKinds; ++kind) {
-    told_figures["sent"][membership::kKindNames[kind]] = shell.sent[kind];
-    told_figures["received"][membership::kKindNames[kind]] = shell.received[kind];
-  }
-  std::uint64_t unreadable = 0;
-  for (const std::uint64_t kind : shell.unreadable) unreadable += kind;
-  const std::pair<const char*, std::uint64_t> numbers[] = {{"bytes_sent", shell.bytes_sent},
-                                                           {"bytes_received", shell.bytes_received},
-                                                           {"longest", shell.longest},
-                                                           {"strangers", shell.strangers},
-                                                           {"unreadable", unreadable},
-                                                           {"over_budget", shell.over_budget},
-                                                           {"not_taken", shell.not_taken},
-                                                           {"too_long", shell.too_long},
-                                                           {"thrown_away", shell.thrown_away},
-                                                           {"probes", figures.probes},
-                                                           {"unanswered", figures.unanswered},
-                                                           {"repairs", figures.repairs},
-                                                           {"refutations", figures.refutations},
-                                                           {"declared", figures.declared},
-                                                           {"stray", figures.stray},
-                                                           {"other_address", figures.other_address},
-                                                           {"no_room", figures.no_room}};
-  for (const auto& [name, number] : numbers) told_figures[name] = number;
-  return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
-}
-
-std::string Fleet::summary() const {
-  const Counts counts = shell_.core().counts(time_.now());
-  return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
-         " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.least) +
-         " most=" + std::to_string(counts.most) + " routers=" + std::to_string(hooks_.divided_by()) +
-         (limits_ ? limits_->summary() : "");
-}
-
 }  // namespace streampick::fleet
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,5 +1,5 @@
-// A router's place in its fleet: the view on its socket, what the engine is told of it, figures and log
-// lines.
+// A router's part in its fleet: the membership view and the leases on one socket, and their effect on the
+// engine.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,8 +24,8 @@
         divide_by;                              // by how many routers totals are divided from now on
     std::function<std::uint32_t()> divided_by;  // ... and are
     std::function<void(std::string_view)> log;
-    // Of limits that are shared: what was asked for by tenant since the last count_anew, what is at the
-    // origin, and what of it all is this router's.
+    // Of shared limits: resets the counts of requests by tenant, reads them, reads the work at the origin,
+    // and sets this router's allowances.
     std::function<void()> count_anew;
     std::function<const std::vector<std::uint64_t>&()> asked;
     std::function<OriginWork()> origin;
@@ -35,36 +35,37 @@
     std::vector<std::string> names;
     std::vector<Tenant> all;
   };
-  // `constant`: the number of routers in the platform's settings.
+  /// `constant`: the number of routers in the platform's settings.
   Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options, std::uint64_t seed,
         std::uint32_t constant, Hooks hooks);
-  // SharedLimits that are shared, from now on.
+  /// Starts the lease protocol for shared limits.
   void share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
 
-  // By how many totals are to be divided where the platform's settings say so many routers; and those
-  // settings taken.
+  /// By how many routers totals are divided when the platform's settings have `constant`.
   std::uint32_t routers_with(std::uint32_t constant) const {
     return options_.count_routers && !left_ ? count_.with(constant) : constant;
   }
   void set_constant(std::uint32_t constant) { count_.set_constant(constant); }
   void set_tenants(const Tenants& tenants);
-  // This router drains, and then leaves: the socket is free for its successor. It does not come back. `ends`:
-  // the process does.
+  /// Tells the peers that this router is draining.
   void draining();
-  void leave(bool ends);
+  /// Leaves the fleet for good and closes the socket, so that a successor can open it. `process_ends`:
+  /// whether this process ends as well.
+  void leave(bool process_ends);
 
-  // One line of JSON each, without its end: all of the view, and the part of it for DUMP.
+  /// One line of JSON each, without its end: the whole view, its counts for DUMP, and the answer to SHARES
+  /// (empty: nothing is shared).
   std::string view() const;
   std::string brief() const;
-  std::string shares() const;  // empty: nothing is shared
-  // For the ten seconds' line.
+  std::string shares() const;
+  /// For the log line of every ten seconds.
   std::string summary() const;
   const membership::UdpShell& shell() const { return shell_; }
 
  private:
-  void heard(const membership::Change& change);
+  void on_change(const membership::Change& change);
   void each_second();
-  void look_at_roster();
+  void reload_roster();
   membership::Facts facts(bool draining) const;
 
   engine::TimeSource& time_;
@@ -72,7 +73,8 @@
   Hooks hooks_;
   RouterCount count_;
   bool left_ = false;
-  int lines_ = 0, unsaid_ = 0;         // log lines of this second, and changes that had none
+  int lines_this_second_ = 0;          // in the log
+  int suppressed_changes_ = 0;         // without a line of their own
   std::optional<std::string> roster_;  // as it was read last
   std::filesystem::file_time_type roster_time_{};
   std::string was_closed_;
--- /dev/null
+++ b/src/fleet/fleet_status.cpp
@@ -0,0 +1,106 @@
+// What operators see of the membership view: answers to commands and the summary line. Keys and words are
+// those of docs/operators/membership.md.
+#include <nlohmann/json.hpp>
+
+#include "fleet/fleet.h"
+#include "fleet/hex.h"
+
+namespace streampick::fleet {
+
+using membership::Counts;
+using membership::Record;
+using nlohmann::ordered_json;
+
+namespace {
+
+constexpr const char* kStates[] = {"alive", "suspect", "unreachable", "left"};
+
+ordered_json counts_json(const Counts& counts, membership::Time now, std::uint32_t routers) {
+  ordered_json out;
+  out["alive"] = counts.alive;
+  out["suspect"] = counts.suspect;
+  out["unreachable"] = counts.unreachable;
+  out["left"] = counts.left;
+  out["least"] = counts.least;
+  out["most"] = counts.most;
+  out["seen"] = counts.seen;
+  out["settled"] = counts.settled;
+  out["unchanged_ms"] = (now - counts.unchanged_since) / 1'000;
+  out["routers"] = routers;
+  return out;
+}
+
+ordered_json record_json(const Record& record) {
+  ordered_json out;
+  out["name"] = record.name;
+  out["boot"] = hex(record.boot);
+  out["address"] = membership::text_of(record.address);
+  out["state"] = kStates[static_cast<std::size_t>(record.state)];
+  out["incarnation"] = record.incarnation;
+  out["draining"] = membership::fact(record, membership::kDraining) != 0;
+  return out;
+}
+
+}  // namespace
+
+std::string Fleet::brief() const {
+  const auto now = time_.now();
+  return counts_json(shell_.core().counts(now), now, hooks_.divided_by()).dump();
+}
+
+std::string Fleet::shares() const { return limits_ ? limits_->status() : ""; }
+
+std::string Fleet::view() const {
+  const auto now = time_.now();
+  const membership::Core& core = shell_.core();
+  const Counts counts = core.counts(now);
+  ordered_json out = counts_json(counts, now, hooks_.divided_by());
+  out["digest"] = hex(counts.digest);
+  out["health"] = core.health();
+  out["open"] = shell_.open();
+  out["self"] = record_json(core.self());
+  out["members"] = ordered_json::array();
+  for (const auto& [boot, member] : core.table().all()) {
+    ordered_json one = record_json(member.record);
+    one["for_ms"] = (now - member.since) / 1'000;
+    out["members"].push_back(std::move(one));
+  }
+  const membership::Figures& figures = core.figures();
+  const membership::UdpShell::Counts& shell = shell_.counts();
+  ordered_json& figures_json = out["figures"];
+  for (std::size_t kind = 0; kind < membership::kKinds; ++kind) {
+    figures_json["sent"][membership::kKindNames[kind]] = shell.sent[kind];
+    figures_json["received"][membership::kKindNames[kind]] = shell.received[kind];
+  }
+  std::uint64_t unreadable = 0;
+  for (const std::uint64_t kind : shell.unreadable) unreadable += kind;
+  const std::pair<const char*, std::uint64_t> numbers[] = {{"bytes_sent", shell.bytes_sent},
+                                                           {"bytes_received", shell.bytes_received},
+                                                           {"longest", shell.longest},
+                                                           {"strangers", shell.strangers},
+                                                           {"unreadable", unreadable},
+                                                           {"over_budget", shell.over_budget},
+                                                           {"not_taken", shell.not_taken},
+                                                           {"too_long", shell.too_long},
+                                                           {"thrown_away", shell.thrown_away},
+                                                           {"probes", figures.probes},
+                                                           {"unanswered", figures.unanswered},
+                                                           {"repairs", figures.repairs},
+                                                           {"refutations", figures.refutations},
+                                                           {"declared", figures.declared},
+                                                           {"stray", figures.stray},
+                                                           {"other_address", figures.other_address},
+                                                           {"no_room", figures.no_room}};
+  for (const auto& [name, number] : numbers) figures_json[name] = number;
+  return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
+}
+
+std::string Fleet::summary() const {
+  const Counts counts = shell_.core().counts(time_.now());
+  return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
+         " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.least) +
+         " most=" + std::to_string(counts.most) + " routers=" + std::to_string(hooks_.divided_by()) +
+         (limits_ ? limits_->summary() : "");
+}
+
+}  // namespace streampick::fleet
--- /dev/null
+++ b/src/fleet/hex.h
@@ -0,0 +1,17 @@
+// Numbers as text for log lines and operators.
+#pragma once
+
+#include <cstdint>
+#include <cstdio>
+#include <string>
+
+namespace streampick::fleet {
+
+/// Sixteen hexadecimal digits.
+inline std::string hex(std::uint64_t value) {
+  char digits[17];
+  std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(value));
+  return digits;
+}
+
+}  // namespace streampick::fleet
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -5,6 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "fleet/configuration_error.h"
 #include "net/tcp.h"
 #include "platform/node_settings.h"
 #include "settings/json_value.h"
@@ -60,7 +61,7 @@
   table.text("roster_file", out.roster_file, 4096);
   std::string admit = "listed";
   table.text("admit", admit);
-  if (admit != "listed" && admit != "any") table.wrong("admit", "expected \"listed\" or \"any\"");
+  if (admit != "listed" && admit != "any") table.wrong("admit", R"(expected "listed" or "any")");
   out.udp.listed_only = admit == "listed";
   table.integer("period_ms", out.core.period, 50, 60'000, 1'000);
   out.core.answer_within = out.core.period * 3 / 10;
@@ -70,8 +71,8 @@
   table.integer("datagram_bytes", out.core.datagram, 256, 1'200);
   table.integer("helpers", out.core.helpers, 0, 16);
   table.integer("unreachable_s", out.core.lifetimes.unreachable, 10, 86'400, kSecond);
-  std::int64_t datagrams = static_cast<std::int64_t>(out.udp.budget.datagrams),
-               bytes = static_cast<std::int64_t>(out.udp.budget.bytes);
+  auto datagrams = static_cast<std::int64_t>(out.udp.budget.datagrams);
+  auto bytes = static_cast<std::int64_t>(out.udp.budget.bytes);
   table.integer("datagrams_per_s", datagrams, 10, 100'000);
   table.integer("bytes_per_s", bytes, 4'096, 100'000'000);
   out.udp.budget = {static_cast<double>(datagrams), static_cast<double>(bytes)};
@@ -100,58 +101,70 @@
   options.udp.listen = endpoint(config.at("peer_listen", expected));
   const auto peers = config.find("peers");
   if (!peers)
-    throw options::Error(file + ": fleet: the platform's configuration has peer_listen and no peers");
+    throw ConfigurationError(file, "fleet", "the platform's configuration has peer_listen and no peers");
   for (const JsonValue& peer : peers->items("a list of addresses"))
     options.udp.peers.push_back(endpoint(peer));
   if (options.udp.peers.size() > kMostContacts) peers->wrong("at most 2048 addresses");
   if (settings.settings.me >= options.udp.peers.size())
-    throw options::Error(file + ": fleet: the platform's peers are " +
-                         std::to_string(options.udp.peers.size()) + ", and this router's number is " +
-                         std::to_string(settings.settings.me));
+    throw ConfigurationError(file, "fleet",
+                             "the platform's peers are " + std::to_string(options.udp.peers.size()) +
+                                 ", and this router's number is " + std::to_string(settings.settings.me));
   options.core.self = membership::numbered(settings.settings.me);
   for (std::uint32_t number = 0; number < options.udp.peers.size(); ++number)
     options.core.contacts.push_back(membership::numbered(number));
   options.core.datagram = 256;
 }
 
+// The options' own way: `listen` and `advertise`, `seeds` and the roster file.
+void take_listed(Options& options, const std::string& file) {
+  options.udp.listen = to_udp(options.listen);
+  options.core.self = parse_address(options.advertise.empty() ? options.listen : options.advertise);
+  if (options.udp.listen.address().is_unspecified() && options.advertise.empty())
+    throw ConfigurationError(file, "fleet.advertise", "it is missing, and fleet.listen is every address");
+  for (const std::string& seed : options.seeds) options.core.contacts.push_back(parse_address(seed));
+  if (options.roster_file.empty()) return;
+  const std::string key = "fleet.roster_file";
+  std::ifstream in(options.roster_file);
+  if (!in) throw ConfigurationError(file, key, "'" + options.roster_file + "' can't be read");
+  try {
+    for (const Address address : parse_roster({std::istreambuf_iterator<char>(in), {}}))
+      options.core.contacts.push_back(address);
+  } catch (const std::runtime_error& error) {
+    throw ConfigurationError(file, key, options.roster_file + ": " + error.what());
+  }
+}
+
+// The name under which the platform knows this router.
+void take_name(Options& options, const platform::NodeSettings& settings, const std::string& file) {
+  options.core.name = settings.name;
+  const membership::Record self{1, settings.name, 1, 0, membership::State::alive, 0, 0, {}};
+  if (settings.name.empty() || !membership::fault(self).empty())
+    throw ConfigurationError(file, "fleet",
+                             "the platform's name of this router must be 1 to 32 letters, digits or signs");
+}
+
 }  // namespace
 
 void resolve(Options& options, const platform::NodeSettings& settings, const std::string& file) {
   if (!options.on) return;
   if (!settings.settings.may_talk)
-    throw options::Error(
-        file + ": fleet: the platform's settings forbid talk between routers (PolicyLimits.PeerMessages)");
-  options.core.name = settings.name;
-  membership::Record self{1, settings.name, 1, 0, membership::State::alive, 0, 0, {}};
-  if (settings.name.empty() || !membership::fault(self).empty())
-    throw options::Error(
-        file + ": fleet: the platform's name of this router must be 1 to 32 letters, digits or signs");
+    throw ConfigurationError(
+        file, "fleet", "the platform's settings forbid talk between routers (PolicyLimits.PeerMessages)");
+  take_name(options, settings, file);
   options.core.contacts.clear();
   options.udp.peers.clear();
   const nlohmann::json document = parse_json(settings.text);
   const JsonValue config(document);
-  if (options.listen.empty()) {
-    if (!config.find("peer_listen"))
-      throw options::Error(file + ": fleet.listen: it is missing, and the platform has no peer_listen");
-    try {
-      return take_peers(options, settings, config, file);
-    } catch (const JsonError& wrong) {
-      throw options::Error(file + ": fleet: the platform's configuration: " + wrong.what());
-    }
+  if (!options.listen.empty()) {
+    take_listed(options, file);
+    return;
   }
-  options.udp.listen = to_udp(options.listen);
-  options.core.self = parse_address(options.advertise.empty() ? options.listen : options.advertise);
-  if (options.udp.listen.address().is_unspecified() && options.advertise.empty())
-    throw options::Error(file + ": fleet.advertise: it is missing, and fleet.listen is every address");
-  for (const std::string& seed : options.seeds) options.core.contacts.push_back(parse_address(seed));
-  if (options.roster_file.empty()) return;
-  std::ifstream in(options.roster_file);
-  if (!in) throw options::Error(file + ": fleet.roster_file: '" + options.roster_file + "' can't be read");
+  if (!config.find("peer_listen"))
+    throw ConfigurationError(file, "fleet.listen", "it is missing, and the platform has no peer_listen");
   try {
-    for (const Address address : parse_roster({std::istreambuf_iterator<char>(in), {}}))
-      options.core.contacts.push_back(address);
-  } catch (const std::runtime_error& wrong) {
-    throw options::Error(file + ": fleet.roster_file: " + options.roster_file + ": " + wrong.what());
+    take_peers(options, settings, config, file);
+  } catch (const JsonError& error) {
+    throw ConfigurationError(file, "fleet", std::string("the platform's configuration: ") + error.what());
   }
 }
 
--- a/src/fleet/router_count.h
+++ b/src/fleet/router_count.h
@@ -1,7 +1,4 @@
-// By how many routers a total is divided: the most that may be there by the fleet's view, with hysteresis.
-// More are believed at once; fewer once nothing else was seen for the whole of `hold`. Until the view has
-// settled for the first time the settings' constant counts as well, as a router that has just started knows
-// nobody. No I/O, no clock.
+// By how many routers a total is divided. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -13,12 +10,15 @@
 
 namespace streampick::fleet {
 
+/// The maximum number of routers by the membership view, with hysteresis: an increase counts at once, a
+/// decrease once it has lasted for `hold`. Until the view has settled for the first time, the settings'
+/// constant is a lower bound, since a router that has just started knows nobody.
 class RouterCount {
  public:
   RouterCount(std::uint32_t constant, membership::Time hold)
       : constant_(constant), hold_(hold), value_(constant) {}
 
-  // What it would be with another constant in the settings; and that one taken.
+  /// The count with another constant in the settings.
   std::uint32_t with(std::uint32_t constant) const {
     return settled_once_ ? value_ : std::max(value_, constant);
   }
@@ -26,16 +26,16 @@
     value_ = with(constant);
     constant_ = constant;
   }
-  // The view now; to be told at least once a second. Returns the count.
+  /// Takes the view's counts and returns the new count; to be called at least once a second.
   std::uint32_t see(membership::Time now, const membership::Counts& counts) {
     settled_once_ = settled_once_ || (counts.settled && counts.alive > 1);
     auto most = static_cast<std::uint32_t>(std::max<std::size_t>(1, counts.most));
     if (!settled_once_) most = std::max(most, constant_);
-    // The most of the last `hold`: a falling sequence of those that may still be it.
+    // A sliding-window maximum over `hold`: values that can still become the maximum, falling.
     while (!seen_.empty() && seen_.back().second <= most) seen_.pop_back();
     seen_.emplace_back(now, most);
     while (seen_.front().first < now - hold_) seen_.pop_front();
-    // Time must have been watched for the whole of it.
+    // The window must have been observed completely.
     if (first_ == 0) first_ = now;
     const std::uint32_t held = seen_.front().second;
     value_ = now - first_ < hold_ ? std::max(value_, held) : held;
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -8,6 +8,7 @@
 #include <set>
 #include <sstream>
 
+#include "fleet/configuration_error.h"
 #include "platform/node_settings.h"
 
 namespace streampick::fleet {
@@ -66,30 +67,45 @@
   return out;
 }
 
+namespace {
+
+// The voters of the options, or of the platform's peers as many as usual, spread evenly.
+std::vector<Address> resolve_voters(const std::vector<std::string>& texts, std::size_t peers,
+                                    const std::string& file) {
+  const std::string key = "shares.voters";
+  std::vector<Address> voters;
+  for (const std::string& text : texts) {
+    const Address address = voter(text, peers);
+    if (address == 0)
+      throw ConfigurationError(
+          file, key,
+          "expected " +
+              (peers > 0 ? "numbers of the platform's peers, 0 to " + std::to_string(peers - 1)
+                         : std::string("ADDRESS:PORT, as the others reach it")) +
+              ", not '" + text.substr(0, 60) + "'");
+    voters.push_back(address);
+  }
+  if (texts.empty()) {
+    const std::size_t count = std::min(kUsualVoters, peers);
+    for (std::size_t i = 0; i < count; ++i)
+      voters.push_back(membership::numbered(static_cast<std::uint32_t>(i * peers / count)));
+  }
+  if (voters.empty()) throw ConfigurationError(file, key, "it is missing");
+  if (std::set<Address>(voters.begin(), voters.end()).size() != voters.size())
+    throw ConfigurationError(file, key, "one is named twice");
+  return voters;
+}
+
+}  // namespace
+
 void resolve(ShareOptions& options, const Options& fleet, const platform::NodeSettings& settings,
              const std::string& file) {
   if (!options.on) return;
-  const auto wrong = [&](const std::string& what) { throw options::Error(file + ": shares" + what); };
-  if (!fleet.on) wrong(": it needs the table [fleet]");
+  if (!fleet.on) throw ConfigurationError(file, "shares", "it needs the table [fleet]");
   const Config& config = settings.settings.config;
-  options.core.self = fleet.core.self;
-  options.core.voters.clear();
   const std::size_t peers = fleet.udp.peers.size();
-  for (const std::string& text : options.voters) {
-    const Address address = voter(text, peers);
-    if (address == 0)
-      wrong(".voters: expected " +
-            (peers > 0 ? "numbers of the platform's peers, 0 to " + std::to_string(peers - 1)
-                       : std::string("ADDRESS:PORT, as the others reach it")) +
-            ", not '" + text.substr(0, 60) + "'");
-    options.core.voters.push_back(address);
-  }
-  for (std::size_t i = 0, all = std::min(kUsualVoters, peers); options.voters.empty() && i < all; ++i)
-    options.core.voters.push_back(membership::numbered(static_cast<std::uint32_t>(i * peers / all)));
-  if (options.core.voters.empty()) wrong(".voters: it is missing");
-  if (std::set<Address>(options.core.voters.begin(), options.core.voters.end()).size() !=
-      options.core.voters.size())
-    wrong(".voters: one is named twice");
+  options.core.self = fleet.core.self;
+  options.core.voters = resolve_voters(options.voters, peers, file);
   if (options.core.expected_routers == 0)
     options.core.expected_routers = std::max(config.routers, static_cast<std::uint32_t>(peers));
   if (options.core.max_work_duration == 0) options.core.max_work_duration = longest_work(settings);
@@ -97,16 +113,17 @@
   options.core.limits = limits_of(options, settings.settings.names.tenants, config.tenants);
   std::set<leases::LimitId> ids;
   for (const leases::Limit& limit : options.core.limits)
-    if (!ids.insert(limit.id).second) wrong(": two limits have one number; rename tenant of " + limit.name);
+    if (!ids.insert(limit.id).second)
+      throw ConfigurationError(file, "shares", "two limits have one number; rename tenant of " + limit.name);
 }
 
 void check_work(const ShareOptions& options, const platform::NodeSettings& settings,
                 const std::string& file) {
   const Time longest = longest_work(settings);
   if (options.on && options.core.max_work_duration < longest)
-    throw options::Error(
-        file + ": shares.work_ms: expected at least the longest HardLimitUs of the platform's classes, " +
-        std::to_string((longest + 999) / 1'000));
+    throw ConfigurationError(file, "shares.work_ms",
+                             "expected at least the longest HardLimitUs of the platform's classes, " +
+                                 std::to_string((longest + 999) / 1'000));
 }
 
 std::string quota_of(const std::string& tenant) { return "quota of " + tenant; }
@@ -117,14 +134,18 @@
                                      const std::vector<Tenant>& tenants) {
   std::vector<leases::Limit> out;
   if (options.origin_places > 0)
-    out.push_back({kOriginPlaces, limit_id(kOriginPlaces), leases::LimitKind::hard,
-                   static_cast<double>(options.origin_places)});
+    out.push_back({.name = kOriginPlaces,
+                   .id = limit_id(kOriginPlaces),
+                   .kind = leases::LimitKind::hard,
+                   .total = static_cast<double>(options.origin_places)});
   // The rest, beyond what may be told, is divided evenly as without this.
   for (std::size_t i = 0; options.quotas && i < tenants.size() && out.size() < leases::kMaxLimits; ++i) {
     if (tenants[i].quota_per_s <= 0) continue;
     const std::string name = quota_of(i < names.size() ? names[i] : std::to_string(i));
-    out.push_back(
-        {name, limit_id(name), leases::LimitKind::soft, std::min(tenants[i].quota_per_s, leases::kMaxTotal)});
+    out.push_back({.name = name,
+                   .id = limit_id(name),
+                   .kind = leases::LimitKind::soft,
+                   .total = std::min(tenants[i].quota_per_s, leases::kMaxTotal)});
   }
   return out;
 }
--- a/src/shares/lease_table.h
+++ b/src/shares/lease_table.h
@@ -14,7 +14,8 @@
 ///
 /// Invariant of a hard limit: outstanding(now) is at most leasable_total() at every instant, because a grant
 /// replaces an earlier one only when its holder has acknowledged it, or when the earlier one has expired.
-/// Tests: LeaseTable.Outstanding*, LeaseModelMutation `epoch_fence` and `unacknowledged_grants`.
+/// Tests: LeaseTable.RandomClaims_KeepOutstandingWithinPool, LeaseModelMutationOfFence, LeaseModelMutation
+/// `unacknowledged_grants`.
 class LeaseTable {
  public:
   static constexpr std::size_t kMaxHolders = 2'048;
