--- a/src/shares/lease_holder.h
+++ b/src/shares/lease_holder.h
@@ -29,7 +29,7 @@
 ///
 /// Invariants: a lease ends, by this clock, before it ends by its granter's; a grant of an older epoch than
 /// one that was applied changes nothing. Tests: LeaseModel.GrantForAnotherIncarnation_IsNotApplied,
-/// LeaseModelMutation `clock_margin`, `use_after_expiry` and `epoch_fence`.
+/// LeaseModelMutation `clock_margin` and `use_after_expiry`, LeaseModelMutationOfFence.
 class LeaseHolder {
  public:
   enum class ClaimPurpose { renew, return_all };
