--- a/cmake/fleet.cmake
+++ b/cmake/fleet.cmake
@@ -49,6 +49,7 @@
 target_link_libraries(streampick_platform PUBLIC streampick_membership_records)
 # The shell on a socket, and what the daemon does with the view.
 add_library(streampick_fleet_parts STATIC src/fleet/demand_sampler.cpp src/fleet/fleet.cpp
+  src/fleet/fleet_status.cpp
   src/fleet/shared_limits.cpp src/fleet/shared_limits_status.cpp src/membership/gossip_socket.cpp
   src/membership/send_budget.cpp)
 target_link_libraries(streampick_fleet_parts PUBLIC streampick_membership streampick_shares streampick_platform)
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -2,39 +2,29 @@
 
 #include <fstream>
 #include <iterator>
-#include <nlohmann/json.hpp>
 
+#include "fleet/hex.h"
 #include "shares/fleet_view.h"
 #include "shares/wire.h"
 
 namespace streampick::fleet {
 
 using membership::Change;
-using membership::Record;
-
-using nlohmann::ordered_json;
 
 namespace {
 
-constexpr int kLinesASecond = 5;
-constexpr std::uint64_t kProgram = 1;  // what kVersion says: raised with what routers must know of each other
-constexpr const char* kStates[] = {"alive", "suspect", "unreachable", "left"};
-constexpr const char* kWords[] = {"came",
-                                  "is suspected",
-                                  "is well after all",
-                                  "is unreachable",
-                                  "is back",
-                                  "has left",
-                                  "is forgotten",
-                                  "is a name that two processes have",
-                                  "takes a new boot",
-                                  "was not at work for a while"};
-
-std::string hex(std::uint64_t value) {
-  char out[17];
-  std::snprintf(out, sizeof out, "%016llx", static_cast<unsigned long long>(value));
-  return out;
-}
+constexpr int kMaxLinesPerSecond = 5;
+constexpr std::uint64_t kProgram = 1;  // value of kVersion: raised when routers must tell versions apart
+constexpr const char* kChangeTexts[] = {"came",
+                                        "is suspected",
+                                        "is well after all",
+                                        "is unreachable",
+                                        "is back",
+                                        "has left",
+                                        "is forgotten",
+                                        "is a name that two processes have",
+                                        "takes a new boot",
+                                        "was not at work for a while"};
 
 }  // namespace
 
@@ -52,7 +42,7 @@
             core.facts = facts(false);
             return core;
           }(),
-          options.udp, seed, [this](const Change& change) { heard(change); }) {
+          options.udp, seed, [this](const Change& change) { on_change(change); }) {
   each_second();
 }
 
@@ -96,25 +86,25 @@
   shell_.leave();
 }
 
-void Fleet::heard(const Change& change) {
-  if (++lines_ > kLinesASecond) {
-    ++unsaid_;
+void Fleet::on_change(const Change& change) {
+  if (++lines_this_second_ > kMaxLinesPerSecond) {
+    ++suppressed_changes_;
     return;
   }
-  std::string line = "fleet: " + change.name + " " + kWords[static_cast<std::size_t>(change.kind)];
+  std::string line = "fleet: " + change.name + " " + kChangeTexts[static_cast<std::size_t>(change.kind)];
   if (change.address != 0)
     line += " (" + membership::text_of(change.address) + ", boot " + hex(change.instance) + ")";
   hooks_.log(line);
 }
 
 void Fleet::each_second() {
-  if (unsaid_ > 0) hooks_.log("fleet: " + std::to_string(unsaid_) + " more changes");
-  lines_ = unsaid_ = 0;
+  if (suppressed_changes_ > 0) hooks_.log("fleet: " + std::to_string(suppressed_changes_) + " more changes");
+  lines_this_second_ = suppressed_changes_ = 0;
   if (const std::string& why = shell_.open_error(); why != was_closed_) {
     if (!why.empty()) hooks_.log("fleet: no socket for the others: " + why);
     was_closed_ = why;
   }
-  look_at_roster();
+  reload_roster();
   const auto now = time_.now();
   const std::uint32_t routers = count_.see(now, shell_.protocol().summary(now));
   if (options_.count_routers && routers != hooks_.divided_by()) {
@@ -127,8 +117,8 @@
   });
 }
 
-// Read only when its time has changed; what it says counts when that has.
-void Fleet::look_at_roster() {
+// The file is read when its modification time has changed, and applied when its text has.
+void Fleet::reload_roster() {
   if (options_.roster_file.empty()) return;
   std::error_code error;
   const auto time = std::filesystem::last_write_time(options_.roster_file, error);
@@ -151,94 +141,4 @@
   }
 }
 
-namespace {
-
-ordered_json counted(const membership::ViewSummary& counts, membership::Time now, std::uint32_t routers) {
-  ordered_json out;
-  out["alive"] = counts.alive;
-  out["suspect"] = counts.suspect;
-  out["unreachable"] = counts.unreachable;
-  out["left"] = counts.left;
-  out["least"] = counts.min_live;
-  out["most"] = counts.max_live;
-  out["seen"] = counts.visible_share;
-  out["settled"] = counts.is_settled;
-  out["unchanged_ms"] = (now - counts.unchanged_since) / 1'000;
-  out["routers"] = routers;
-  return out;
-}
-
-ordered_json told(const Record& record) {
-  ordered_json out;
-  out["name"] = record.name;
-  out["boot"] = hex(record.instance);
-  out["address"] = membership::text_of(record.address);
-  out["state"] = kStates[static_cast<std::size_t>(record.state)];
-  out["incarnation"] = record.incarnation;
-  out["draining"] = membership::fact(record, membership::kDraining) != 0;
-  return out;
-}
-
-}  // namespace
-
-std::string Fleet::brief() const {
-  const auto now = time_.now();
-  return counted(shell_.protocol().summary(now), now, hooks_.divided_by()).dump();
-}
-
-std::string Fleet::shares() const { return limits_ ? limits_->status() : ""; }
-
-std::string Fleet::view() const {
-  const auto now = time_.now();
-  const membership::GossipProtocol& core = shell_.protocol();
-  const membership::ViewSummary counts = core.summary(now);
-  ordered_json out = counted(counts, now, hooks_.divided_by());
-  out["digest"] = hex(counts.digest);
-  out["health"] = core.local_health();
-  out["open"] = shell_.is_open();
-  out["self"] = told(core.self());
-  out["members"] = ordered_json::array();
-  for (const auto& [boot, member] : core.table().members()) {
-    ordered_json one = told(member.record);
-    one["for_ms"] = (now - member.since) / 1'000;
-    out["members"].push_back(std::move(one));
-  }
-  const membership::ProtocolCounters& figures = core.counters();
-  const membership::GossipSocket::Counts& shell = shell_.counts();
-  ordered_json& told_figures = out["figures"];
-  for (std::size_t kind = 0; kind < membership::kMessageKinds; ++kind) {
-    told_figures["sent"][membership::kMessageKindNames[kind]] = shell.sent[kind];
-    told_figures["received"][membership::kMessageKindNames[kind]] = shell.received[kind];
-  }
-  std::uint64_t unreadable = 0;
-  for (const std::uint64_t kind : shell.decode_errors) unreadable += kind;
-  const std::pair<const char*, std::uint64_t> numbers[] = {{"bytes_sent", shell.bytes_sent},
-                                                           {"bytes_received", shell.bytes_received},
-                                                           {"longest", shell.longest},
-                                                           {"strangers", shell.not_peers},
-                                                           {"unreadable", unreadable},
-                                                           {"over_budget", shell.over_budget},
-                                                           {"not_taken", shell.send_errors},
-                                                           {"too_long", shell.too_long},
-                                                           {"thrown_away", shell.discarded},
-                                                           {"probes", figures.pings},
-                                                           {"unanswered", figures.failed_probes},
-                                                           {"repairs", figures.anti_entropy_rounds},
-                                                           {"refutations", figures.refutations},
-                                                           {"declared", figures.declared_unreachable},
-                                                           {"stray", figures.unexpected_acks},
-                                                           {"other_address", figures.address_mismatches},
-                                                           {"no_room", figures.table_full}};
-  for (const auto& [name, number] : numbers) told_figures[name] = number;
-  return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
-}
-
-std::string Fleet::summary() const {
-  const membership::ViewSummary counts = shell_.protocol().summary(time_.now());
-  return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
-         " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.min_live) +
-         " most=" + std::to_string(counts.max_live) + " routers=" + std::to_string(hooks_.divided_by()) +
-         (limits_ ? limits_->summary() : "");
-}
-
 }  // namespace streampick::fleet
