--- a/tests/daemon/host_test.cpp
+++ b/tests/daemon/host_test.cpp
@@ -1,7 +1,7 @@
 // Requests from end to end over loopback sockets: answers, outcomes, the end.
 #include <unistd.h>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/daemon/running.h
+++ b/tests/daemon/running.h
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <optional>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 
--- a/tests/daemon/slow_start_test.cpp
+++ b/tests/daemon/slow_start_test.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "loopback.h"
+#include "support/loopback.h"
 #include "standin/platform.h"
 
 namespace streampick::test {
--- a/tests/faults/faulty_router.h
+++ b/tests/faults/faulty_router.h
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "faults/fault_counts.h"
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "fleet/fleet.h"
-#include "loopback.h"
+#include "support/loopback.h"
 #include "membership/budget.h"
 #include "testbed/bed.h"
 #include "testbed/relay.h"
--- a/tests/http1/crossings_test.cpp
+++ b/tests/http1/crossings_test.cpp
@@ -150,7 +150,7 @@
   quiet(20);
   EXPECT_TRUE(upstream.cancel_unsent({1, 0}));
   full.open();
-  quiet(1'300);                       // past the kernel's next try
+  quiet(1'300);                              // past the kernel's next try
   EXPECT_EQ(record.connections.open(), 1U);  // it came up, and rests
   EXPECT_EQ(full.requests(), 0U);
   EXPECT_TRUE(record.ended.empty());
--- a/tests/http1/leaving.h
+++ b/tests/http1/leaving.h
@@ -1,31 +1,35 @@
-// A router and clients whose ends cross what it does; each crossing is brought about by the order in which
-// both sides are let run.
+/// \file
+/// The test fixture for clients that disconnect while the router acts; each race is produced by the order in
+/// which both sides run.
 #pragma once
 
 #include <functional>
 #include <string>
 #include <thread>
 
-#include "loopback.h"
-#include "raw_client.h"
+#include "support/loopback.h"
+#include "support/raw_client.h"
 
 namespace streampick::test {
 
+/// A router with clients that close or reset their connections at chosen moments.
 class Leaving : public Loopback {
  protected:
+  /// Starts the shutdown of the router; `done` tells its end.
   void drain() {
     host->drain([this] { done = true; });
   }
   using Raw = RawClient;
   using Way = RawClient::Way;
-  bool ended(Raw& one) {
+  /// Whether the connection ends within the time of wait_for().
+  bool ended(Raw& client) {
     return wait_for([&] {
-      one.take();
-      return static_cast<bool>(one.end);
+      client.take();
+      return static_cast<bool>(client.end);
     });
   }
-  /// Runs `event` in the loop's next turn, before whatever else has become due within `milliseconds`: none of
-  /// that runs meanwhile.
+  /// Waits without running the event loop, then runs `event` before all that has become due within
+  /// `milliseconds`.
   void run_before_what_is_due(int milliseconds, std::function<void()> event) {
     asio::steady_timer first(io, std::chrono::steady_clock::time_point{});
     bool ran = false;
@@ -36,9 +40,9 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
     ASSERT_TRUE(wait_for([&] { return ran; }));
   }
-  // All that the router has to do with it: no request may reach a server any more.
+  /// Expects that no further request reaches a server. `before`: the requests that have.
   void expect_nothing_more(std::size_t before) {
-    quiet(1'200);  // past the delay of a copy, a wait in line and the kernel's next try at a connection
+    quiet(1'200);  // longer than the hedging delay, a wait in the queue and the kernel's SYN retry
     EXPECT_EQ(cache.requests.size() + origin.requests.size(), before);
   }
   bool done = false;
--- a/tests/management/operators_test.cpp
+++ b/tests/management/operators_test.cpp
@@ -2,7 +2,7 @@
 #include <map>
 #include <thread>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/overload/crowd_test.cpp
+++ b/tests/overload/crowd_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <thread>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/platform/node_settings_test.cpp
+++ b/tests/platform/node_settings_test.cpp
@@ -1,5 +1,5 @@
 // The configuration as it is read.
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/platform/reload_test.cpp
+++ b/tests/platform/reload_test.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "loopback.h"
+#include "support/loopback.h"
 #include "net/log.h"
 
 namespace streampick::test {
--- a/tests/roster/discovery_test.cpp
+++ b/tests/roster/discovery_test.cpp
@@ -1,5 +1,5 @@
 // The watch on discovery over loopback sockets.
-#include "loopback.h"
+#include "support/loopback.h"
 #include "roster/watch_times.h"
 
 namespace streampick::test {
--- a/tests/takeover/upgrade_test.cpp
+++ b/tests/takeover/upgrade_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "loopback.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
