--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "fleet/fleet.h"
-#include "loopback.h"
 #include "membership/send_budget.h"
+#include "support/loopback.h"
 #include "testbed/bed.h"
 #include "testbed/relay.h"
 #include "testbed/script.h"
