--- a/tests/shares/model_test.cpp
+++ b/tests/shares/model_test.cpp
@@ -7,6 +7,7 @@
 // LeaseModelMutation takes one safety rule out at a time and requires that the violation is found.
 #include <gtest/gtest.h>
 
+#include <ostream>
 #include <random>
 
 #include "model_search.h"
@@ -478,6 +479,9 @@
   bool ignores_lease_end = false;
 };
 
+// So that names of tests do not contain the bytes of an object.
+void PrintTo(const Mutation& mutation, std::ostream* out) { *out << mutation.name; }
+
 class LeaseModelMutation : public testing::TestWithParam<Mutation> {};
 
 TEST_P(LeaseModelMutation, WithoutRule_DrawnHistoryFindsViolation) {
