--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -8,14 +8,13 @@
 namespace streampick::fleet {
 
 using membership::Record;
-using membership::ViewSummary;
 using nlohmann::ordered_json;
 
 namespace {
 
 constexpr const char* kStates[] = {"alive", "suspect", "unreachable", "left"};
 
-ordered_json counts_json(const Counts& counts, membership::Time now, std::uint32_t routers) {
+ordered_json counts_json(const membership::ViewSummary& counts, membership::Time now, std::uint32_t routers) {
   ordered_json out;
   out["alive"] = counts.alive;
   out["suspect"] = counts.suspect;
@@ -53,7 +52,7 @@
 std::string Fleet::view() const {
   const auto now = time_.now();
   const membership::GossipProtocol& core = shell_.protocol();
-  const Counts counts = core.summary(now);
+  const membership::ViewSummary counts = core.summary(now);
   ordered_json out = counts_json(counts, now, hooks_.divided_by());
   out["digest"] = hex(counts.digest);
   out["health"] = core.local_health();
@@ -96,7 +95,7 @@
 }
 
 std::string Fleet::summary() const {
-  const Counts counts = shell_.protocol().summary(time_.now());
+  const membership::ViewSummary counts = shell_.protocol().summary(time_.now());
   return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
          " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.min_live) +
          " most=" + std::to_string(counts.max_live) + " routers=" + std::to_string(hooks_.divided_by()) +
--- a/tests/fleet/limits_digest_test.cpp
+++ b/tests/fleet/limits_digest_test.cpp
@@ -86,7 +86,7 @@
   std::unique_ptr<fleet::SharedLimits> make(std::size_t router) {
     fleet::ShareOptions options;
     options.origin_places = 24;
-    options.core.address = membership::numbered(static_cast<std::uint32_t>(router));
+    options.core.self = membership::numbered(static_cast<std::uint32_t>(router));
     for (std::uint32_t voter = 0; voter < 3; ++voter)
       options.core.voters.push_back(membership::numbered(voter));
     options.core.expected_routers = 3;
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -16,7 +16,7 @@
 struct Alone {
   explicit Alone(std::size_t tenants, std::int64_t places, double quota = 100) {
     options.origin_places = places;
-    options.core.address = membership::numbered(0);
+    options.core.self = membership::numbered(0);
     options.core.voters = {options.core.self};
     options.core.expected_routers = 4;
     options.core.max_work_duration = leases::kSecond;
--- a/tests/http1/downstream_digest_test.cpp
+++ b/tests/http1/downstream_digest_test.cpp
@@ -177,7 +177,7 @@
   listening.listen();
   start(::dup(listening.native_handle()));
   for (const bool has_memory : {true, false}) {
-    links.most_large = has_memory ? 8U * 1024 * 1024 : 0;
+    body_memory.set_limit(has_memory ? 8U * 1024 * 1024 : 0);
     for (const std::size_t size : {15'000U, 40'000U, 100'000U, 150'000U}) {
       const std::size_t requests = engine.requests();
       const auto client = connect();
@@ -362,7 +362,7 @@
   exchange("kept, chunked", request("PUT", "/pay/1", "pay", "Transfer-Encoding: chunked\r\n",
                                     "493e0\r\n" + middle + "\r\n0\r\n\r\n"));
   record_counts();
-  links.most_large = 100'000;
+  body_memory.set_limit(100'000);
   engine.respond_at_once = {};
   {
     const auto client = connect();
@@ -373,7 +373,7 @@
     engine.respond(served("streamed"));
     record("streamed", *client);
   }
-  links.most_large = 0;
+  body_memory.set_limit(0);
   exchange("no memory", write_request(middle));
   exchange("no memory, unknown class", request("PUT", "/song/1", "song", "Content-Length: 300000\r\n"));
   exchange("no memory, chunked", request("PUT", "/pay/1", "pay", "Transfer-Encoding: chunked\r\n",
@@ -569,13 +569,13 @@
 }
 
 TEST_F(DownstreamDigest, LoadSheddingWhileTheLoopIsBehind) {
-  overload.late = 1;
+  overload.target_loop_lag = 1;
   start();
   // Every probe is late: within some windows the level reaches its maximum.
   const auto hold_loop_up = [&](milliseconds time) {
     const auto end = std::chrono::steady_clock::now() + time;
     while (std::chrono::steady_clock::now() < end) {
-      admission().touch();
+      load_shedder().on_client_activity();
       std::this_thread::sleep_for(milliseconds(1));
       run_once();
     }
--- a/tests/http1/response_digest_test.cpp
+++ b/tests/http1/response_digest_test.cpp
@@ -24,7 +24,7 @@
     for (const ScriptedResponse& scripted : responses) {
       note(scripted.name);
       const std::size_t connections = server.peers.size();
-      const bool reused = links.connections > 0;
+      const bool reused = resources.connections.open() > 0;
       send_read();
       const std::size_t index = reused ? connections - 1 : connections;
       expect_request(index);
@@ -121,7 +121,7 @@
       {"long body of no length", {ok + "\r\n" + pattern(70'000)}},
       {"long body for a client without streaming", {ok + "Content-Length: 1100000\r\n\r\nx"}},
   });
-  links.most_large = 1'000;
+  resources.body_memory.set_limit(1'000);
   run({{"no memory for a long body", {ok + "Content-Length: 100000\r\n\r\nx"}}});
   expect_digest(0xfbea51adcd801f32);
 }
@@ -130,7 +130,7 @@
 
 class UpstreamStreamDigest : public UpstreamDigest {
  protected:
-  UpstreamStreamDigest() { links.parts_from = 64 * 1024; }
+  UpstreamStreamDigest() { resources.streaming.max_buffered_body = 64 * 1024; }
   std::shared_ptr<engine::Message> streaming() {
     auto made = message();
     made->accepts_streaming = true;
@@ -192,8 +192,8 @@
   read_stream();
   note_stream();
   note("short but slow");
-  links.parts_from = 1'000'000;
-  links.whole_wait = 1'000;
+  resources.streaming.max_buffered_body = 1'000'000;
+  resources.streaming.max_buffering_time = 1'000;
   send(streaming());
   expect_request(1);
   peer(1).write(head(100'000) + bytes.substr(0, 1'000));
@@ -232,7 +232,7 @@
   read_stream();
   note_stream();
   note("longer than the limit");
-  links.longest_in_parts = 150'000;
+  resources.streaming.max_body = 150'000;
   begin(3, "HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + bytes);
   read_stream(100'000);
   peer(3).write("\r\n186a0\r\n" + bytes);
@@ -253,7 +253,7 @@
 }
 
 TEST_F(UpstreamStreamDigest, LimitsOfStreams) {
-  links.longest_in_parts = 150'000;
+  resources.streaming.max_body = 150'000;
   note("too long");
   send(streaming());
   expect_request(0);
@@ -261,15 +261,15 @@
   expect_ended(1);
   state();
   note("no memory for its buffer");
-  links.most_large = 60'000;
+  resources.body_memory.set_limit(60'000);
   send(streaming());
   expect_request(1);
   peer(1).write(head(100'000));
   expect_ended(2);
   state();
   note("no memory for all of it, but for its buffer");
-  links.parts_from = 1'000'000;
-  links.most_large = 70'000;
+  resources.streaming.max_buffered_body = 1'000'000;
+  resources.body_memory.set_limit(70'000);
   send(streaming());
   expect_request(2);
   peer(2).write(head(100'000) + pattern(100'000));
@@ -319,11 +319,11 @@
   settle();
   state();
   upstream.reset();
-  transcript += "connections=" + std::to_string(links.connections) +
-                " draining=" + std::to_string(links.draining) + "\n";
+  transcript += "connections=" + std::to_string(resources.connections.open()) +
+                " draining=" + std::to_string(resources.drains.active) + "\n";
   note_stream();
   note("connecting, with an outcome under way");
-  upstream = std::make_unique<http1::Upstream>(io, clock, links, outcomes, "s-1");
+  upstream = std::make_unique<http1::Upstream>(io, clock, resources, outcomes, "s-1");
   upstream->set_address(server.address());
   send_read();
   send(message(engine::Operation::other_read));
--- a/tests/http1/scripted_downstream.h
+++ b/tests/http1/scripted_downstream.h
@@ -176,15 +176,15 @@
   /// `passed`: a listening descriptor that the downstream shares, or -1.
   void start(int passed = -1) {
     server = std::make_unique<http1::Server>(io, clock, names, engine, any_address(), descriptors, overload,
-                                             admission(), links, passed);
+                                             load_shedder(), body_memory, passed);
     server->start_accepting();
   }
   static net::tcp::endpoint any_address() { return {asio::ip::make_address("127.0.0.1"), 0}; }
   net::LoadShedder& load_shedder() {
-    if (!admission_) {
-      admission_ = std::make_unique<net::Admission>(io, overload, config(), 1.0, std::vector<bool>{});
+    if (!load_shedder_) {
+      load_shedder_ = std::make_unique<net::LoadShedder>(io, overload, config(), 1.0, std::vector<bool>{});
     }
-    return *admission_;
+    return *load_shedder_;
   }
 
   std::unique_ptr<Client> connect() {
@@ -275,7 +275,7 @@
   void record_counts() {
     settle();
     transcript.add(server->summary() + " unanswered=" + std::to_string(server->unanswered()));
-    transcript.add("memory=" + std::to_string(*links.large));
+    transcript.add("memory=" + std::to_string(body_memory.reserved()));
   }
   /// One connection for each text: the responses and the end.
   void exchange(const std::string& name, const std::string& text, std::size_t responses = 1) {
@@ -314,7 +314,7 @@
   }
   static overload::Settings without_shedding() {
     overload::Settings settings;
-    settings.late = 0;
+    settings.target_loop_lag = 0;
     return settings;
   }
 
@@ -324,9 +324,9 @@
   ScriptedEngine engine{transcript};
   asio::io_context io{1};
   net::Clock clock{io};
-  net::UpstreamResources links;
+  net::MemoryBudget body_memory;
   overload::DescriptorBudget descriptors{{200, 60, 60}};
-  std::unique_ptr<net::Admission> admission_;
+  std::unique_ptr<net::LoadShedder> load_shedder_;
   std::unique_ptr<http1::Server> server;
 };
 
--- a/tests/http1/upstream_digest.h
+++ b/tests/http1/upstream_digest.h
@@ -114,11 +114,11 @@
 class UpstreamDigest : public ::testing::Test {
  protected:
   UpstreamDigest() {
-    links.most_connections = 16;
-    links.whole_wait = 60'000'000;
+    resources.connections.set_limit(16);
+    resources.streaming.max_buffering_time = 60'000'000;
     overload::Settings overload;
-    overload.drain_wait = 60'000'000;
-    links.cancels = overload::CancelRules(overload);
+    overload.max_drain_time = 60'000'000;
+    resources.cancellation = overload::CancellationPolicy(overload);
     upstream->set_address(server.address());
   }
 
@@ -189,14 +189,17 @@
   }
   void state() {
     settle();
-    transcript +=
-        "state dials=" + std::to_string(links.dials) + " connections=" + std::to_string(links.connections) +
-        " written=" + std::to_string(links.written_whole) + " draining=" + std::to_string(links.draining) +
-        " drains=" + std::to_string(links.drains.begun) + "/" + std::to_string(links.drains.reused) +
-        " streams=" + std::to_string(links.streams.begun) + "/" + std::to_string(links.streams.cut) + "/" +
-        std::to_string(links.streams.left) + "/" + std::to_string(links.streams.open) +
-        " large=" + std::to_string(*links.large) +
-        " streaming=" + (upstream && upstream->has_streaming_response() ? "yes" : "no") + " peers=";
+    transcript += "state dials=" + std::to_string(resources.connect_attempts) +
+                  " connections=" + std::to_string(resources.connections.open()) +
+                  " written=" + std::to_string(resources.requests_sent) +
+                  " draining=" + std::to_string(resources.drains.active) +
+                  " drains=" + std::to_string(resources.drains.started) + "/" +
+                  std::to_string(resources.drains.reused) +
+                  " streams=" + std::to_string(resources.streams.started) + "/" +
+                  std::to_string(resources.streams.truncated) + "/" +
+                  std::to_string(resources.streams.abandoned) + "/" + std::to_string(resources.streams.open) +
+                  " large=" + std::to_string(resources.body_memory.reserved()) +
+                  " streaming=" + (upstream && upstream->has_streaming_response() ? "yes" : "no") + " peers=";
     for (const auto& accepted : server.peers) transcript += accepted->ended ? 'c' : 'o';
     transcript += "\n";
   }
@@ -207,12 +210,12 @@
 
   asio::io_context io{1};
   ScriptedClock clock;
-  net::UpstreamResources links;
+  net::UpstreamResources resources;
   std::string transcript;
   OutcomeRecorder outcomes{transcript};
   ScriptedServer server{io};
   std::unique_ptr<http1::Upstream> upstream =
-      std::make_unique<http1::Upstream>(io, clock, links, outcomes, "s-1");
+      std::make_unique<http1::Upstream>(io, clock, resources, outcomes, "s-1");
   std::uint32_t next_attempt = 0;
 };
 
--- a/tests/http1/upstream_digest_test.cpp
+++ b/tests/http1/upstream_digest_test.cpp
@@ -197,7 +197,7 @@
 }
 
 TEST_F(UpstreamDigest, NoDescriptors) {
-  links.most_connections = 1;
+  resources.connections.set_limit(1);
   send_read();
   send_read();
   send_read();
@@ -215,7 +215,7 @@
   expect_ended(4);
   note("evicted");
   serve_read(1, 1'000);
-  links.evict_idle_connection = [&] { upstream->close_oldest_idle(); };
+  resources.evict_idle_connection = [&] { upstream->close_oldest_idle(); };
   send_read();
   send_read();
   expect_ended(6);
@@ -256,7 +256,7 @@
     state();
     peer(0).write(
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf none").substr(received.size()));
-    ASSERT_TRUE(wait_for([&] { return links.draining == 0; }));
+    ASSERT_TRUE(wait_for([&] { return resources.drains.active == 0; }));
     state();
     clock.advance(kSettle);
   }
@@ -267,7 +267,7 @@
   expect_request(0);
   upstream->cancel({1, attempt}, engine::CancelReason::no_longer_needed);
   peer(0).write("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + pattern(300'000));
-  ASSERT_TRUE(wait_for([&] { return links.draining == 0; }));
+  ASSERT_TRUE(wait_for([&] { return resources.drains.active == 0; }));
   clock.advance(kSettle);
   serve_read(0, 10'000'000);
   expect_digest(0x3aaf3a35533714ac);
@@ -285,17 +285,17 @@
   note("reset");
   cancelled_on(0);
   reset(0);
-  ASSERT_TRUE(wait_for([&] { return links.draining == 0; }));
+  ASSERT_TRUE(wait_for([&] { return resources.drains.active == 0; }));
   state();
   note("malformed");
   cancelled_on(1);
   peer(1).write("noise\r\n\r\n");
-  ASSERT_TRUE(wait_for([&] { return links.draining == 0; }));
+  ASSERT_TRUE(wait_for([&] { return resources.drains.active == 0; }));
   state();
   note("closing response");
   cancelled_on(2);
   peer(2).write(response(200, "x", "Connection: close\r\n"));
-  ASSERT_TRUE(wait_for([&] { return links.draining == 0; }));
+  ASSERT_TRUE(wait_for([&] { return resources.drains.active == 0; }));
   state();
   note("evicted");
   cancelled_on(3);
@@ -323,7 +323,7 @@
   const std::uint32_t attempt = send_read();
   expect_request(0);
   upstream->cancel({1, attempt}, engine::CancelReason::no_longer_needed);
-  transcript += "draining=" + std::to_string(links.draining) + "\n";
+  transcript += "draining=" + std::to_string(resources.drains.active) + "\n";
   expect_closed(0);
   state();
   note("waited too long already");
@@ -374,7 +374,7 @@
 TEST_F(UpstreamDigest, ConnectTimeoutAndRefusal) {
   FullListener full(io);
   settle();
-  links.connect_timeout = 30'000;
+  resources.connect_timeout = 30'000;
   upstream->set_address(full.address());
   send_read();
   send_read();
