--- a/tests/daemon/slow_start_test.cpp
+++ b/tests/daemon/slow_start_test.cpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "support/loopback.h"
 #include "standin/platform.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/platform/reload_test.cpp
+++ b/tests/platform/reload_test.cpp
@@ -4,8 +4,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "support/loopback.h"
 #include "net/log.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
--- a/tests/plugin/virtual_test.cpp
+++ b/tests/plugin/virtual_test.cpp
@@ -279,8 +279,9 @@
             "cold", {}, {{2 * kSecond, "c-7", Phase::ready, true}, {3 * kSecond, "c-8", Phase::ready, true}}},
         Scenario{"flush", {{K::flush, 3 * kSecond, 5 * kSecond}}},
         Scenario{"resets", {{K::reset, kSecond, 9 * kSecond, "", 150}}},
-        Scenario{"spoilt",
-                 {{K::malformed, kSecond, 9 * kSecond, "", 150}, {K::overloaded, kSecond, 9 * kSecond, "", 50}}},
+        Scenario{
+            "spoilt",
+            {{K::malformed, kSecond, 9 * kSecond, "", 150}, {K::overloaded, kSecond, 9 * kSecond, "", 50}}},
         Scenario{"all at once",
                  {{K::reset, kSecond, 9 * kSecond, "", 60},
                   {K::stall, 3 * kSecond, 5 * kSecond, "c-3"},
--- a/tests/roster/discovery_test.cpp
+++ b/tests/roster/discovery_test.cpp
@@ -1,6 +1,6 @@
 // The watch on discovery over loopback sockets.
-#include "support/loopback.h"
 #include "roster/watch_times.h"
+#include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
