--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -5,9 +5,10 @@
 namespace streampick::policy {
 namespace {
 
-// Part of the limit for tenants over their quota.
+// Share of the limit that requests of tenants over their quota may use.
 constexpr double kOverQuotaPart = 0.6;
-// How much less of the limit a class of no priority weight has than the one of greatest weight.
+// Share of the limit that is withheld from a class with priority weight 0. The withheld share falls linearly
+// to 0 for the class with the greatest weight.
 constexpr double kPriorityPart = 0.3;
 
 }  // namespace
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -8,30 +8,31 @@
 
 namespace streampick::policy {
 
-/// Whether a request counts against its tenant's quota or beyond it.
+/// Whether the tenant of a request is within its quota or over it.
 enum class QuotaState : std::uint8_t { within, over };
 
-/// Decides whether a request may be started now: against the limit on cache work in flight, of which tenants
-/// over their quota and classes of little priority weight may use a part only. Writes of look-aside fleets go
-/// to the origin and always may.
+/// Decides whether a request may be started now. Compares the cache attempts in flight with the concurrency
+/// limit. Tenants over their quota and classes of low priority weight may use only a share of the limit.
+/// Writes in look-aside fleets go to the origin and are always admitted.
 class AdmissionControl {
  public:
   AdmissionControl(const Config& config, const AttemptDispatcher& dispatcher, CacheLimit& limit)
       : config_(config), dispatcher_(dispatcher), limit_(limit) {}
 
-  /// Adopts the classes' priority weights.
+  /// Takes the priority weights of the request classes from the settings.
   void configure(const Config& next);
 
+  /// Whether a request that arrives at `now` may be started at once.
   [[nodiscard]] bool admits(const Request& request, QuotaState quota, Time now);
 
  private:
-  // Where all classes are worth nothing this is what they are divided by.
+  // Divisor for the weights if all classes have priority weight 0.
   static constexpr double kLeastWeight = 1e-9;
 
   const Config& config_;
   const AttemptDispatcher& dispatcher_;
   CacheLimit& limit_;
-  double greatest_weight_ = kLeastWeight;  // of the classes that go to caches
+  double greatest_weight_ = kLeastWeight;  // among the classes that use caches
 };
 
 }  // namespace streampick::policy
--- a/src/policy/admission_queue.cpp
+++ b/src/policy/admission_queue.cpp
@@ -5,7 +5,7 @@
 namespace streampick::policy {
 namespace {
 
-// Longest wait for capacity, as a share of the latency objective.
+// Maximum time in the queue, as a share of the latency objective.
 constexpr double kWaitPerObjective = 0.2;
 
 }  // namespace
@@ -27,7 +27,8 @@
 
 void AdmissionQueue::on_timeout(RequestState& request, Time now) {
   request.is_queued = false;
-  // The old end is cleared here: under overload that lasts drain() never gets there.
+  // Removes entries from the old end that no longer wait. Under sustained overload drain() never reaches
+  // them.
   while (!queue_.empty() && !is_waiting(queue_.front())) {
     queue_.pop_front();
   }
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -13,11 +13,12 @@
 
 namespace streampick::policy {
 
-/// Reads that wait a little for capacity at the caches. Last in, first out, as in adaptive LIFO: under
-/// overload the newest can still be answered in time.
+/// Requests that wait for capacity at the caches. The order is last in, first out, as in adaptive LIFO: under
+/// overload the newest requests can still be answered in time.
 ///
-/// A queue that has not been empty for as long as a read may wait holds no burst any more (CoDel's rule): who
-/// waits there for longer than an answer takes waits in vain, and holds a connection meanwhile.
+/// If the queue has not been empty for the maximum wait, the backlog is a standing queue and not a burst (the
+/// criterion of CoDel). The wait is then limited to the usual latency of an answer: longer waits would rarely
+/// succeed, and each waiting request holds a connection.
 class AdmissionQueue {
  public:
   struct Parts {
@@ -30,14 +31,14 @@
   };
   explicit AdmissionQueue(const Parts& parts) : parts_(parts) {}
 
-  /// Queues the request, and starts what has capacity.
+  /// Adds the request, then starts queued requests while there is capacity.
   void enqueue(RequestState& request, Time now);
 
-  /// The request has waited for as long as it may: it leaves the queue and falls back to the origin.
+  /// Handles the end of the request's maximum wait: removes it from the queue and falls back to the origin.
   void on_timeout(RequestState& request, Time now);
 
-  /// Starts queued requests while there is capacity, the newest first.
-  /// Inline: it is called behind each event, mostly with nothing queued.
+  /// Starts queued requests while there is capacity, the newest first. Inline because it runs after each
+  /// event, mostly with an empty queue.
   void drain(Time now) {
     if (!queue_.empty()) {
       start_newest(now);
@@ -45,7 +46,7 @@
   }
 
   [[nodiscard]] bool empty() const { return queue_.empty(); }
-  /// Places in the queue, those that were left and are not yet taken out among them.
+  /// Number of entries, including requests that no longer wait but have not been removed yet.
   [[nodiscard]] std::size_t size() const { return queue_.size(); }
 
  private:
--- a/src/policy/arrival_interval.h
+++ b/src/policy/arrival_interval.h
@@ -5,20 +5,20 @@
 
 namespace streampick::policy {
 
-/// Running mean of the time between two requests at this router.
+/// Running mean of the time between two consecutive requests at this router.
 class ArrivalInterval {
  public:
-  /// To be called once for each request that arrives, at the time of its arrival.
+  /// Call once for each request, at the time of its arrival.
   void record_arrival(Time now) {
     if (last_arrival_ > 0) {
-      // The first interval is taken as it is.
+      // The first interval becomes the initial mean.
       const double weight = mean_ > 0 ? kSampleWeight : 1;
       mean_ += (static_cast<double>(now - last_arrival_) - mean_) * weight;
     }
     last_arrival_ = now;
   }
 
-  /// Microseconds; 0 before the second request.
+  /// Mean interval in microseconds; 0 until two requests have arrived.
   [[nodiscard]] double mean() const { return mean_; }
 
  private:
--- a/src/policy/attempt_dispatcher.h
+++ b/src/policy/attempt_dispatcher.h
@@ -7,29 +7,29 @@
 
 namespace streampick::policy {
 
-/// Sends attempts and accounts for those in flight: at their request, at their endpoint, at its failure
-/// domains, and in total.
+/// Sends attempts and counts those in flight: for each request, endpoint and failure domain, and in total.
 class AttemptDispatcher {
  public:
   AttemptDispatcher(EndpointTable& endpoints, const IdleConnections& connections, ActionSink& sink)
       : endpoints_(endpoints), connections_(connections), sink_(sink) {}
 
-  /// Sends one more attempt of `request`, which must have fewer than kMaxAttempts.
+  /// Sends another attempt of `request`, which must have fewer than kMaxAttempts attempts.
   void send(RequestState& request, ServerId id, Time now);
 
-  /// Accounts for the end of an attempt that is in flight.
+  /// Updates the counts when an attempt in flight ends.
   void complete(RequestState& request, AttemptState& attempt, Outcome outcome);
 
-  /// Marks an attempt in flight that is stuck on its own connection: it is no work of its endpoint's, and is
-  /// counted no more. Once for each attempt.
+  /// Marks an attempt in flight as stuck on its own connection. It no longer counts as load on its endpoint.
+  /// Further calls for the same attempt have no effect.
   void mark_stalled(AttemptState& attempt);
 
-  /// Attempts in flight at caches, those that stalled among them.
+  /// Attempts in flight at caches, including stalled ones.
   [[nodiscard]] int cache_in_flight() const { return cache_in_flight_; }
+  /// Stalled attempts in flight at caches.
   [[nodiscard]] int cache_stalled() const { return cache_stalled_; }
-  /// Attempts in flight at the origin, without those that stalled.
+  /// Attempts in flight at the origin, without stalled ones.
   [[nodiscard]] int origin_in_flight() const { return origin_in_flight_; }
-  /// Writes in flight at the origin, those that stalled among them.
+  /// Writes in flight at the origin, including stalled ones.
   [[nodiscard]] int origin_writes() const { return origin_writes_; }
 
  private:
--- a/src/policy/cache_limit.cpp
+++ b/src/policy/cache_limit.cpp
@@ -5,15 +5,15 @@
 namespace streampick::policy {
 namespace {
 
-// First limit and the least one: for each endpoint, shared by all routers. The least is not below one at a
-// time while that is within the first.
+// Initial and minimum limit per endpoint, divided among all routers. The minimum is raised to one attempt at
+// a time where the initial limit allows that.
 constexpr double kInitialLimitPerEndpoint = 3;
 constexpr double kMinLimitPerEndpoint = 0.5;
 constexpr double kOneAtATime = 1;
 constexpr double kMaxLimit = 1e9;
 constexpr double kDecrease = 0.9;
 constexpr double kIncrease = 1.2;
-// The limit is in use from this part of it on.
+// The limit counts as in use when at least this share of it is in flight.
 constexpr double kInUsePart = 0.7;
 
 }  // namespace
--- a/src/policy/cache_limit.h
+++ b/src/policy/cache_limit.h
@@ -6,39 +6,41 @@
 
 namespace streampick::policy {
 
-/// The limit on cache work in flight above which reads are shed. It is cut while the caches are congested,
-/// and raised while it is in use (multiplicative both ways).
+/// The concurrency limit on cache attempts. Reads above it are shed. The limit is decreased while the caches
+/// are congested and increased while it is in use, multiplicatively in both directions.
 class CacheLimit {
  public:
-  /// What the limit is compared with.
+  /// The load that the limit is compared with.
   struct Load {
     int in_flight = 0;            ///< attempts at caches
-    double per_router_share = 0;  ///< ready endpoints for each router
+    double per_router_share = 0;  ///< ready endpoints divided by the number of routers
   };
 
   explicit CacheLimit(const CongestionEstimate& congestion) : congestion_(congestion) {}
 
-  /// Sets the limit that a router starts with: an even part of what the endpoints should hold at once.
-  /// Does nothing if the limit was set before.
-  /// Returns whether it did.
+  /// Sets the initial limit: this router's even share of what all endpoints should process at once. Does
+  /// nothing if the limit has been set before. Returns whether the limit was set.
   bool initialize(double per_router_share);
 
-  /// Whether the limit has room for one more at `in_flight`; if not, that counts as use of the limit.
+  /// Whether another attempt is allowed while `in_flight` attempts are in flight. A refusal marks the limit
+  /// as in use until the next tick.
   [[nodiscard]] bool try_admit(Time now, double in_flight);
 
-  /// To be called at each tick.
+  /// Increases or decreases the limit. Call at each tick.
   void adjust(Load load);
 
-  /// Whether the limit is a rate: below one, with a pause behind each attempt.
+  /// Whether the limit is below one attempt at a time, so that it acts as a rate with a pause after each
+  /// attempt.
   [[nodiscard]] bool is_rate() const { return limit_.value() < 1; }
-  /// A cache attempt has ended that took `duration` microseconds. A rate pauses, at most for `longest`.
+  /// Call when a cache attempt ends that took `duration` microseconds. A limit below one then pauses, at most
+  /// for `longest` microseconds.
   void pause_after(Time now, double duration, Time longest) { limit_.pause_after(now, duration, longest); }
   /// End of the last pause.
   [[nodiscard]] Time resumes_at() const { return limit_.resumes_at(); }
 
  private:
   const CongestionEstimate& congestion_;
-  ConcurrencyLimit limit_;  // 0 until the first endpoints are known
+  ConcurrencyLimit limit_;  // 0 until initialize()
   bool shed_since_tick_ = false;
 };
 
--- a/src/policy/class_latencies.cpp
+++ b/src/policy/class_latencies.cpp
@@ -6,7 +6,7 @@
 namespace streampick::policy {
 namespace {
 
-// How much of the estimate one answer replaces.
+// Weight of one answer in the running mean.
 constexpr double kAnswerWeight = 0.01;
 
 }  // namespace
--- a/src/policy/class_latencies.h
+++ b/src/policy/class_latencies.h
@@ -6,22 +6,22 @@
 
 namespace streampick::policy {
 
-/// The usual latency of a cache answer, by request class, learned from answers.
+/// The usual latency of cache answers for each request class: a running mean.
 class ClassLatencies {
  public:
-  /// Adopts the classes of `next`. What was learned of a class that stays as it was in `previous` stays; a
-  /// new one begins with the latency of the class that it is declared to be like.
+  /// Takes the classes of `next`. A class that is the same as in `previous` keeps its estimate. A new or
+  /// changed class starts with the estimate of its `similar_class`.
   void configure(const Config& previous, const Config& next);
 
-  /// Microseconds; 0 before the first answer.
+  /// Usual latency in microseconds; 0 before the first answer.
   [[nodiscard]] double usual(const Request& request) const { return usual_[request.request_class]; }
 
-  /// Half the usual latency: how long a full endpoint is expected to stay full.
+  /// Half the usual latency, in microseconds: the time for which a full endpoint is expected to stay full.
   [[nodiscard]] Time half_usual(const Request& request) const {
     return static_cast<Time>(usual(request) / 2);
   }
 
-  /// Learns from an answer to `request` that took `latency` microseconds. Returns the updated usual latency.
+  /// Adds an answer to `request` that took `latency` microseconds. Returns the updated usual latency.
   double record(const Request& request, double latency);
 
  private:
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -6,8 +6,8 @@
 
 namespace streampick::policy {
 
-/// A limit on work in flight. It may be a part of one: then it is a rate, one at a time with a pause behind
-/// each.
+/// A limit on the number of operations in flight. A limit below one acts as a rate: one operation at a time
+/// with a pause after each.
 class ConcurrencyLimit {
  public:
   [[nodiscard]] double value() const { return value_; }
@@ -17,8 +17,8 @@
     return in_flight < value_ && now >= resumes_at_;
   }
 
-  /// A piece of work has ended that took `duration` microseconds. A limit below one pauses for as long as
-  /// makes that share of work, at most `longest`.
+  /// Call when an operation ends that took `duration` microseconds. If the limit is below one, pauses so that
+  /// operations run for that share of the time. The pause is at most `longest` microseconds.
   void pause_after(Time now, double duration, Time longest) {
     if (value_ < 1) {
       resumes_at_ = now + std::min(longest, static_cast<Time>(duration * (1 / value_ - 1)));
--- a/src/policy/congestion.h
+++ b/src/policy/congestion.h
@@ -5,17 +5,17 @@
 
 namespace streampick::policy {
 
-/// Whether the caches are congested: the running mean of their answers' latency as a share of the request
-/// class's latency objective, where a request that two endpoints in a row turned away counts as one that used
-/// up all of it.
+/// Estimates whether the caches are congested. The level is the running mean of the latency of cache answers
+/// as a share of the latency objective of their request class. An overloaded outcome of a request with more
+/// than one attempt counts as an answer that used the whole objective.
 class CongestionEstimate {
  public:
-  /// `share` is an answer's latency divided by the latency objective; more than 1 counts as 1.
+  /// Adds an answer. `share` is its latency divided by the latency objective; values above 1 count as 1.
   void record_latency_share(Time now, double share);
-  /// An attempt that was not the request's first found its endpoint full.
+  /// Adds an overloaded outcome of a request with more than one attempt.
   void record_rejected_again(Time now);
 
-  /// From 0, no answer yet, to 1.
+  /// From 0 to 1; 0 before the first answer.
   [[nodiscard]] double level() const { return level_; }
   [[nodiscard]] bool is_congested() const { return level_ > kThreshold; }
 
--- a/src/policy/discovery_polling.cpp
+++ b/src/policy/discovery_polling.cpp
@@ -5,11 +5,11 @@
 namespace streampick::policy {
 namespace {
 
-// Mean time between two polls while they fail; jitter is half of it either way. roster/watch_times.h reckons
-// with the longest.
+// Mean time between two polls while polls fail. The jitter adds or subtracts up to half of it.
+// roster/watch_times.h relies on the maximum.
 constexpr Time kPollInterval = 300 * kMillisecond;
 constexpr double kPollJitterFrom = 0.5;
-// Longest time to the next poll behind a list that was out of date.
+// Maximum time from the receipt of a stale list to the next poll.
 constexpr Time kStaleListInterval = kSecond;
 
 }  // namespace
--- a/src/policy/discovery_polling.h
+++ b/src/policy/discovery_polling.h
@@ -6,25 +6,26 @@
 
 namespace streampick::policy {
 
-/// When discovery is polled for the endpoint list, where it answers only when asked: again after a failure,
-/// with jitter; the list that is known stays in use meanwhile. `roster/watch_times.h` adds up how old news
-/// can get.
+/// Decides when to poll discovery for the endpoint list, in deployments where discovery has to be polled.
+/// After a failure it polls again with jitter; the last known list stays in use until then.
+/// `roster/watch_times.h` computes how stale the list can get.
 class DiscoveryPolling {
  public:
   DiscoveryPolling(const Config& config, RandomSource& random, TimerQueue& timers)
       : config_(config), random_(random), timers_(timers) {}
 
-  /// Discovery has answered, or has failed to. Draws one random number if it must be polled again.
+  /// Handles an answer of discovery or its failure to answer. Draws one random number if another poll is
+  /// needed.
   void on_update(Update update, Time now);
 
-  /// Whether discovery is to be polled, when the timer is due.
+  /// Whether discovery has to be polled at `now`, when the timer is due.
   [[nodiscard]] bool is_due(Time now) const { return !is_watching_ && now >= next_poll_; }
 
  private:
   const Config& config_;
   RandomSource& random_;
   TimerQueue& timers_;
-  bool is_watching_ = false;  // an answer of discovery is under way or not needed
+  bool is_watching_ = false;  // discovery needs no poll: the last one succeeded, or the settings use none
   Time next_poll_ = 0;
 };
 
--- a/src/policy/durations.h
+++ b/src/policy/durations.h
@@ -1,4 +1,4 @@
-/// Units of time shared by the decision module. All times are microseconds on the host's clock.
+/// Units of time of the decision module. All times are in microseconds on the host's clock.
 #pragma once
 
 #include "streampick/router.h"
@@ -8,10 +8,10 @@
 inline constexpr Time kMillisecond = 1'000;
 inline constexpr Time kSecond = 1'000 * kMillisecond;
 
-/// Stands for "no limit" where a duration is multiplied and `kNever` would overflow: one day.
+/// A duration without limit, for computations in which `kNever` would overflow: one day.
 inline constexpr Time kUnlimited = 86'400 * kSecond;
 
-/// Period of the housekeeping tick, and the longest pause of a request that waits to be tried again.
+/// Period of the housekeeping tick. Also the maximum delay until a request without an endpoint is retried.
 inline constexpr Time kTickPeriod = 200 * kMillisecond;
 
 /// `duration` multiplied by `factor`, truncated to whole microseconds.
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -6,22 +6,23 @@
 namespace streampick::policy {
 namespace {
 
-// Bound on attempts in flight at one endpoint, as a multiple of its share of all that are.
+// Bound on the attempts in flight at one endpoint, as a multiple of its share of all attempts in flight.
 constexpr double kLoadBoundFactor = 1.25;
-// Least bound: small counts are all noise.
+// Minimum bound: differences between smaller counts are noise.
 constexpr double kMinLoadBound = 2;
-// The least bound is raised up to this one where answers take so little of the latency objective that as many
-// of them behind one another stay within kQueueingShare of it.
+// Greatest value of the minimum bound. It applies where answers are so fast that this many of them, one after
+// the other, take less than kQueueingShare of the latency objective.
 constexpr double kMaxMinLoadBound = 8;
 constexpr double kQueueingShare = 0.1;
-// Least bound of an endpoint that warms up.
+// Minimum bound for an endpoint that is warming up.
 constexpr double kWarmingUpLoadBound = 1;
-// Leaves of a large fleet in which a key's endpoint with room is looked for.
+// Maximum number of leaves searched for an endpoint below its bound, in a large fleet.
 constexpr std::uint64_t kMaxLeaves = 8;
-// Factor on the spare weight of an ejected endpoint, in the choice among endpoints without room.
+// Factor on the spare weight of an ejected endpoint, in the choice among endpoints at their bound.
 constexpr double kEjectedFactor = 1e-3;
 
-// Weighted rendezvous: the greatest of these scores comes to each endpoint with its share of all weight.
+// Score for weighted rendezvous hashing: each endpoint has the greatest score with a probability that equals
+// its share of the total weight.
 double rendezvous_score(std::uint64_t hash, double weight) {
   return -weight / std::log(to_unit_interval(mix64(hash)));
 }
@@ -31,7 +32,8 @@
 std::optional<ServerId> EndpointPicker::pick(const RequestState& request, PickPurpose purpose, Time now) {
   const std::uint64_t key = request.request.has_key ? request.request.key : request.request.id;
   const bool is_large_fleet = ready_.tree().is_split();
-  // In a large fleet the sum is kept step by step; in a small one it is exact at each pick.
+  // The sum of healthy weight is exact at each pick in a small fleet, and updated incrementally in a large
+  // one.
   if (!is_large_fleet) {
     ready_.refresh_all_health(now);
   }
@@ -71,7 +73,7 @@
   }
   const double min_bound = warms_up ? kWarmingUpLoadBound : search.min_bound;
   const double bound = std::max(load_bound(search, weight), min_bound);
-  // Where all endpoints are ejected none is.
+  // If all endpoints are ejected, ejections are ignored.
   const bool ejected = endpoint.is_ejected && ready_.healthy_weight() > 0;
   if (!ejected && endpoint.in_flight - endpoint.stalled < bound) {
     search.chosen.offer({id, score});
@@ -86,7 +88,7 @@
   for (const RendezvousTree::Entry& entry : ready_.tree().leaf(search.leaf_key, rendezvous_score)) {
     consider(search, entry);
   }
-  // Won or lost, the draw is spent at the endpoint that ranked first.
+  // The draw is spent at the endpoint that ranked first, whether it was won or lost.
   const Best& first = search.passed_over.score > search.chosen.score ? search.passed_over : search.chosen;
   if (search.is_first_attempt() && first.id != kNone) {
     endpoints_.at(first.id).last_slow_start_draw = search.now;
@@ -107,8 +109,8 @@
   return std::ceil(search.bounded_load * weight / std::max(ready_.healthy_weight(), kMinWeight));
 }
 
-// Where answers are quick, chance alone brings a few to one endpoint at a time: to skip it then would scatter
-// its keys over endpoints that lack them, and save nobody a wait.
+// Where answers are fast, a few attempts often coincide at one endpoint by chance. Skipping the endpoint
+// would send its keys to endpoints that do not have them cached, without saving any wait.
 double EndpointPicker::min_load_bound() const {
   const double congestion = congestion_.level();
   if (congestion <= 0) {
--- a/src/policy/endpoint_picker.h
+++ b/src/policy/endpoint_picker.h
@@ -14,18 +14,18 @@
 
 namespace streampick::policy {
 
-/// What an endpoint is picked for. Only first attempts go to endpoints that warm up.
+/// The purpose of a pick. Only first attempts go to endpoints that are warming up.
 enum class PickPurpose : std::uint8_t {
   attempt,  ///< the first attempt of a request, or a retry
-  hedge,    ///< a hedged request beside attempts that are in flight
+  hedge,    ///< a hedged request while other attempts are in flight
 };
 
-/// Weighted rendezvous hashing with bounded loads: a key's endpoint is the first in its order that has not
-/// been tried, is not ejected, and has fewer attempts of this router in flight than its bound, a multiple of
-/// its share. Holds no state of its own.
+/// Picks endpoints by weighted rendezvous hashing with bounded loads. The pick is the first endpoint in the
+/// order of the key that has not been tried, is not ejected, and has fewer attempts of this router in flight
+/// than its bound, which is a multiple of its share. Has no state of its own.
 ///
-/// The bound costs most where few attempts are in flight and a key's reads scatter over endpoints that lack
-/// it; see docs/overload.md.
+/// The bound is most harmful when few attempts are in flight: reads of one key then go to several endpoints
+/// that do not have it cached. See docs/overload.md.
 class EndpointPicker {
  public:
   EndpointPicker(EndpointTable& endpoints, ReadyEndpoints& ready, const SlowStart& slow_start,
@@ -38,8 +38,8 @@
         congestion_(congestion),
         random_(random) {}
 
-  /// The endpoint for the next attempt of `request`; nothing if all have been tried or are known to be full.
-  /// Draws one random number.
+  /// The endpoint for the next attempt of `request`; nullopt if each endpoint has been tried or is known to
+  /// be full. Draws one random number.
   [[nodiscard]] std::optional<ServerId> pick(const RequestState& request, PickPurpose purpose, Time now);
 
  private:
@@ -48,26 +48,28 @@
     double score = -1;
 
     void offer(const Best& candidate) {
-      // By field: a copy of the whole would wait for the two stores that made the candidate.
+      // Copies the fields one by one: a copy of the whole struct would stall on the two stores that just
+      // wrote it.
       if (candidate.score > score) {
         id = candidate.id;
         score = candidate.score;
       }
     }
   };
-  /// What one pick asks and what it has found so far.
+  /// Parameters and intermediate results of one pick.
   struct Search {
     const RequestState& request;
     PickPurpose purpose;
     Time now;
-    bool is_large_fleet;     // candidates come from leaves of the tree, their health is refreshed on the way
+    bool is_large_fleet;     // candidates come from leaves of the tree; their health is refreshed during the
+                             // search
     double slow_start_draw;  // uniform in (0, 1)
-    double bounded_load;     // attempts in flight and the next one, times the bound's factor
-    double min_bound;        // least bound on attempts in flight
+    double bounded_load;     // attempts in flight plus the next one, times kLoadBoundFactor
+    double min_bound;        // minimum bound on the attempts in flight at one endpoint
     std::uint64_t leaf_key = 0;
-    Best chosen = {};       // has room
-    Best fallback = {};     // has none: the one with most spare weight, over all leaves
-    Best passed_over = {};  // warms up, and the draw was lost
+    Best chosen = {};       // below its bound
+    Best fallback = {};     // at its bound, with the most spare weight of all leaves
+    Best passed_over = {};  // warming up, and skipped by the slow start draw
 
     [[nodiscard]] bool is_first_attempt() const {
       return purpose == PickPurpose::attempt && request.attempt_count == 0;
@@ -75,7 +77,7 @@
   };
 
   void search_leaf(Search& search);
-  // Inline: it is called for each candidate of each pick, from search_leaf() alone.
+  // Inline because it runs for each candidate of each pick. Called only by search_leaf().
   inline void consider(Search& search, const RendezvousTree::Entry& candidate);
   [[nodiscard]] bool loses_slow_start_draw(const Search& search, const Endpoint& endpoint,
                                            double capacity) const;
--- a/src/policy/endpoint_updates.cpp
+++ b/src/policy/endpoint_updates.cpp
@@ -5,8 +5,8 @@
 namespace streampick::policy {
 namespace {
 
-// A new process, or another server under an id that is used again: nothing learned holds. What is in flight
-// stays, and so does the place among the ready endpoints.
+// State of an endpoint after its process was restarted or its id was reused for another server: statistics
+// are reset. Attempts in flight are kept, and so is membership in the ready endpoints.
 Endpoint without_history(const Endpoint& endpoint, Time now) {
   Endpoint fresh;
   fresh.last_slow_start_draw = now;
--- a/src/policy/endpoint_updates.h
+++ b/src/policy/endpoint_updates.h
@@ -8,13 +8,14 @@
 
 namespace streampick::policy {
 
-/// Applies updates of the endpoint list to the table and to the ready endpoints. Holds no state of its own.
+/// Applies updates of the endpoint list to the table and to the ready endpoints. Has no state of its own.
 class EndpointUpdates {
  public:
   EndpointUpdates(const Config& config, EndpointTable& endpoints, ReadyEndpoints& ready)
       : config_(config), endpoints_(endpoints), ready_(ready) {}
 
-  /// `update` must not be Update::failed. Of a whole list, what is not in `members` is taken off.
+  /// Applies one update, which must not be Update::failed. Unless it is Update::changes, `members` is the
+  /// whole list, and endpoints that are missing from it become unlisted.
   void apply(Time now, Update update, std::span<const Member> members);
 
  private:
--- a/src/policy/endpoint_weights.cpp
+++ b/src/policy/endpoint_weights.cpp
@@ -8,15 +8,17 @@
 namespace {
 
 constexpr Time kRefreshPeriod = kSecond;
-// Endpoints of a large fleet that are refreshed at each tick.
+// Endpoints refreshed at each tick in a large fleet.
 constexpr std::size_t kEndpointsPerTick = 512;
-// weight = speed to this power; the listed weight has the rest.
+// Weight is the geometric mean of the speed, with this exponent, and the listed weight, with the remaining
+// one.
 constexpr double kSpeedPower = 0.75;
-// Speed is taken to be within this factor of the mean.
+// Speeds are clamped to within this factor of the mean.
 constexpr double kSpeedRange = 4;
-// Share of all answers that a kind needs to be told apart from the mean.
+// Weight of the prior, as a share of all answers, that pulls the speed of a kind with few answers to the
+// mean.
 constexpr double kKindPrior = 0.02;
-// A change of a weight by less is not worth the keys that it moves.
+// Smaller relative changes of a weight are not applied, because each change moves keys.
 constexpr double kLeastChange = 0.1;
 
 }  // namespace
@@ -78,7 +80,7 @@
   const double prior = kKindPrior * sums.all.expected;
   const double speed =
       (kind->second.expected + prior) / (kind->second.actual + prior / mean_speed) / mean_speed;
-  // The listed weight may tell the same as the speed: the two are averaged, not multiplied.
+  // The listed weight and the speed may express the same property, so they are averaged and not multiplied.
   const double listed = std::max(kMinWeight, endpoint.member.weight) / sums.mean_listed_weight;
   const double weight = std::pow(listed, 1 - kSpeedPower) *
                         std::pow(std::clamp(speed, 1 / kSpeedRange, kSpeedRange), kSpeedPower);
--- a/src/policy/endpoint_weights.h
+++ b/src/policy/endpoint_weights.h
@@ -10,21 +10,21 @@
 
 namespace streampick::policy {
 
-/// Weights of the ready endpoints: the listed weight, corrected by the speed that answers show. Speed is
-/// learned by the endpoints' kind: one endpoint's own answers are few, and would set each router's placement
-/// apart.
+/// Computes the weights of the ready endpoints from the listed weight and the speed that answers show. Speed
+/// is estimated for each kind of endpoint: answers of a single endpoint are too few, and their noise would
+/// give each router a different placement.
 class EndpointWeights {
  public:
   EndpointWeights(EndpointTable& endpoints, ReadyEndpoints& ready) : endpoints_(endpoints), ready_(ready) {}
 
-  /// To be called at each tick. Refreshes the weights of a small fleet at once, each second; of a large one
-  /// in parts, so that no tick walks over all. In a large fleet it refreshes the endpoints' health too.
+  /// Call at each tick. In a small fleet, refreshes all weights once a second. In a large fleet, refreshes
+  /// some endpoints at each tick, so that no tick visits all of them, and refreshes their health as well.
   void refresh(Time now);
 
  private:
   struct LatencySums {
-    double actual = 0;    // what answers took, microseconds
-    double expected = 0;  // what they were expected to take
+    double actual = 0;    // sum of answer latencies, microseconds
+    double expected = 0;  // sum of expected latencies, microseconds
   };
   struct SpeedSums {
     std::map<std::uint32_t, LatencySums> by_kind;
@@ -40,7 +40,8 @@
   EndpointTable& endpoints_;
   ReadyEndpoints& ready_;
   Time last_refresh_ = 0;
-  // Of a large fleet: the sums of the last walk over it, those of the one under way, and where that goes on.
+  // For large fleets: the sums of the last complete pass, the sums of the current pass, and its next position
+  // in ReadyEndpoints::ids().
   SpeedSums sums_;
   SpeedSums next_sums_;
   std::size_t next_position_ = 0;
--- a/src/policy/hashing.h
+++ b/src/policy/hashing.h
@@ -8,7 +8,8 @@
 /// Odd 64-bit constant of the golden ratio: the increment of splitmix64.
 inline constexpr std::uint64_t kGoldenRatio64 = 0x9e3779b97f4a7c15U;
 
-/// The finalizer of splitmix64. All routers must use the same one: it decides where keys are placed.
+/// The finalizer of splitmix64. All routers must use the same function, because it decides the placement of
+/// keys.
 constexpr std::uint64_t mix64(std::uint64_t value) {
   value += kGoldenRatio64;
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -7,14 +7,15 @@
 namespace streampick::policy {
 namespace {
 
-// The constant delay, as a share of the latency objective.
+// Delay before each hedged request, as a share of the latency objective.
 constexpr double kDelayPerObjective = 0.4;
-// Most hedged requests of one request.
+// Maximum number of hedged requests for one request.
 constexpr std::uint32_t kMaxHedges = 2;
-// Hedged requests saved up: for each endpoint, shared by all routers; and at least so many.
+// Capacity of the hedging budget: hedged requests per endpoint, divided among all routers, and the minimum
+// for one router.
 constexpr double kBurstPerEndpoint = 2;
 constexpr double kMinBurst = 2;
-// An attempt is stalled once its endpoint has answered so many others since.
+// An attempt counts as stalled once its endpoint has answered this many other attempts since it was sent.
 constexpr std::uint32_t kAnswersToStall = 4;
 
 }  // namespace
@@ -27,7 +28,7 @@
 
 void Hedging::on_timer(RequestState& request, Time now) {
   const Time next_at = now + delay(request);
-  // A miss is an answer: once the origin read is under way there is nothing left to hedge.
+  // A miss is an answer: once an origin read has been requested there is nothing left to hedge.
   if (request.origin_stage != OriginStage::none) {
     parts_.origin_reads.check_stalled(request, now);
     parts_.timers.add(next_at, TimerKind::hedge, request.self);
@@ -63,7 +64,7 @@
     return;
   }
   Endpoint& endpoint = parts_.endpoints.at(attempt.endpoint);
-  // No answer at all since this attempt went out: the endpoint, not the request, is slow.
+  // No answer since this attempt was sent: the endpoint is slow, not just this request.
   if (!attempt.silence_recorded && endpoint.outlier.last_answer_at < attempt.sent_at) {
     attempt.silence_recorded = true;
     const bool zone_is_silent = endpoint.zone_outlier->last_answer_at < attempt.sent_at;
@@ -71,7 +72,7 @@
         endpoint, zone_is_silent ? FailureScope::failure_domain : FailureScope::endpoint, now);
     return;
   }
-  // Many others were answered since: what holds this one is no work of the endpoint's.
+  // Many other attempts have been answered since: this one does not wait for work of the endpoint.
   if (!attempt.to_origin && endpoint.answers - attempt.endpoint_answers >= kAnswersToStall) {
     parts_.dispatcher.mark_stalled(attempt);
   }
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -13,9 +13,9 @@
 
 namespace streampick::policy {
 
-/// Hedged requests (speculative executions) of safe reads: one more attempt on the next endpoint of the plan
-/// after each constant delay, within a budget and while the caches are not congested. The same timer finds
-/// endpoints that have fallen silent and attempts that stalled.
+/// Sends hedged requests (speculative executions) for safe reads: another attempt at the next endpoint of the
+/// plan after each constant delay, within a budget and only while the caches are not congested. The same
+/// timer detects endpoints that do not answer any more, and stalled attempts.
 class Hedging {
  public:
   struct Parts {
@@ -31,18 +31,19 @@
   };
   explicit Hedging(const Parts& parts) : parts_(parts) {}
 
-  /// Refills the budget.
+  /// Refills the budget. Call once for each request, at its first attempt.
   void on_first_attempt() { budget_.refill(kHedgesPerFirstAttempt); }
 
-  /// Sets the first timer of a request whose first attempt has just been sent, if it may be hedged.
+  /// Starts the hedge timer of a request whose first attempt has just been sent, if the request may be
+  /// hedged.
   void schedule(const RequestState& request, Time now);
 
-  /// The timer of a request is due.
+  /// Handles the hedge timer of a request.
   void on_timer(RequestState& request, Time now);
 
-  /// Fills the budget with its burst; once, when the first endpoints are known.
+  /// Fills the budget to its initial value. Call once, when the first endpoints are known.
   void initialize_budget(double per_router_share);
-  /// Bounds what the budget saves up.
+  /// Sets the capacity of the budget.
   void resize_budget(double per_router_share);
 
  private:
--- a/src/policy/idle_connections.cpp
+++ b/src/policy/idle_connections.cpp
@@ -8,20 +8,20 @@
 namespace streampick::policy {
 namespace {
 
-// Connections to each server that the settings' price is reckoned in. With fewer routers one connection of
-// each fills no server's table.
+// Config::connection_cost is the cost of this many connections to a server. With no more routers than this,
+// one connection from each does not load a server noticeably.
 constexpr std::uint32_t kPricedConnections = 100;
-// Timeout of an idle connection that is used seldom and costs.
+// Timeout of infrequently used idle connections, where connections have a cost.
 constexpr Time kInfrequentTimeout = kSecond / 2;
 constexpr Time kLeastTimeout = 20 * kMillisecond;
-// Steps of the learned timeout: for a refused connection, and for a new one.
+// Factors on the learned timeout: when connections are refused, and after each new connection.
 constexpr double kDecrease = 0.5;
 constexpr double kIncrease = 1.02;
-// Share of refused connections from which the timeout is shortened.
+// The timeout is shortened when the share of refused connections exceeds this value.
 constexpr double kRefusedThreshold = 0.5;
-// How much of that share one new connection replaces.
+// Weight of one new connection in the running share of refused connections.
 constexpr double kConnectionWeight = 0.2;
-// Idle connections remembered beyond two for each endpoint.
+// Number of queue entries, beyond two per endpoint, after which stale entries are removed.
 constexpr std::size_t kRememberedSlack = 64;
 
 }  // namespace
@@ -73,7 +73,8 @@
 void IdleConnections::remember(ServerId id, UsePattern pattern, Time now) {
   IdleQueue& idle = queue(pattern);
   idle.push_back({now, id});
-  // Most have been used again. Where connections are kept for good nothing else takes them out.
+  // Most entries are stale because the connection was used again. If connections never expire, stale entries
+  // behind one that is not stale are only removed here.
   if (idle.size() > 2 * endpoints_.size() + kRememberedSlack) {
     std::erase_if(idle, [this](const IdleSince& one) {
       return endpoints_.at(one.endpoint).connection_used_at != one.last_use;
@@ -94,7 +95,7 @@
 
 void IdleConnections::close_expired(UsePattern pattern, Time now, Time& next_expiry) {
   const Time limit = timeout(pattern);
-  // At the longest timeout the endpoint closes by itself.
+  // At the longest timeout the endpoint closes the connection itself.
   const bool is_own_limit = limit < longest_timeout_;
   IdleQueue& idle = queue(pattern);
   for (; !idle.empty(); idle.pop_front()) {
--- a/src/policy/idle_connections.h
+++ b/src/policy/idle_connections.h
@@ -14,31 +14,34 @@
 
 namespace streampick::policy {
 
-/// Decides for how long connections to endpoints are kept idle. Each takes some of a server's strength and a
-/// new one takes more: by the prices in the settings there is an idle time at which both cost the same.
-/// Refused connections shorten the timeout, new ones that succeed lengthen it again. See docs/fleet.md.
+/// Decides how long idle connections to endpoints are kept open. An open connection costs a server some
+/// capacity, and a new one costs a handshake. From the costs in the settings follows the idle time at which
+/// both are equal. Refused connections shorten the timeout; new connections that succeed lengthen it again.
+/// See docs/fleet.md.
 class IdleConnections {
  public:
   IdleConnections(const Config& config, EndpointTable& endpoints, const ReadyEndpoints& ready,
                   const ArrivalInterval& arrivals, TimerQueue& timers, ActionSink& sink);
 
-  /// Whether an open connection to the endpoint is to be expected.
+  /// Whether the endpoint is expected to have an open connection.
   [[nodiscard]] bool has_connection(const Endpoint& endpoint, Time now) const {
     return endpoint.in_flight > 0 ||
            (endpoint.connection_used_at > 0 && now - endpoint.connection_used_at < longest_timeout_);
   }
 
-  /// Learns from an attempt that has ended, and closes what has expired.
+  /// Updates the timeout after an attempt has ended, and closes expired connections.
   void on_attempt_ended(const AttemptState& attempt, const AttemptResult& result, Time now);
 
-  /// Closes connections that have been idle for too long, and sets a timer for the next one.
+  /// Closes connections that have been idle for longer than their timeout, and sets a timer for the next
+  /// expiry.
   void close_expired(Time now);
 
-  /// Idle connections that are remembered, those that were used again since among them.
+  /// Number of queue entries, including stale ones whose connection has been used again.
   [[nodiscard]] std::size_t remembered() const;
 
  private:
-  /// Whether the last two uses came so close together that keeping the connection pays.
+  /// Whether the time between the last two uses was below the break-even idle time, so that keeping the
+  /// connection costs less than opening a new one.
   enum class UsePattern : std::uint8_t { infrequent, frequent };
   struct IdleSince {
     Time last_use = 0;
@@ -52,8 +55,8 @@
   [[nodiscard]] bool is_stale(const IdleSince& idle) const;
   [[nodiscard]] IdleQueue& queue(UsePattern pattern) { return queues_[static_cast<std::size_t>(pattern)]; }
 
-  /// Idle time after which an open connection has cost as much as a new one; kNever where keeping one is
-  /// free.
+  /// Idle time after which an open connection has cost as much as a new one; kNever if open connections cost
+  /// nothing.
   [[nodiscard]] Time break_even_idle_time() const;
   [[nodiscard]] Time timeout(UsePattern pattern) const;
 
@@ -65,10 +68,10 @@
   ActionSink& sink_;
 
   Time timeout_;          // learned
-  Time longest_timeout_;  // after it the endpoint closes
+  Time longest_timeout_;  // after which the endpoint closes the connection
   Time next_timer_ = 0;
-  double refused_share_ = 0;         // of new connections lately
-  std::array<IdleQueue, 2> queues_;  // by use pattern, in the order of their last use
+  double refused_share_ = 0;         // running share of refused ones among new connections
+  std::array<IdleQueue, 2> queues_;  // by use pattern; each in the order of last use
 };
 
 }  // namespace streampick::policy
--- a/src/policy/origin_limit.cpp
+++ b/src/policy/origin_limit.cpp
@@ -5,23 +5,24 @@
 namespace streampick::policy {
 namespace {
 
-// First limit: so much for each endpoint, shared by all routers, but at most kMaxInitialLimit.
+// Initial limit per endpoint, divided among all routers, and at most kMaxInitialLimit for one router.
 constexpr double kInitialLimitPerEndpoint = 4;
 constexpr double kMaxInitialLimit = 4;
-// Least limit, for each endpoint, shared by all routers; and the greatest.
+// Minimum limit per endpoint, divided among all routers; and the maximum limit of one router.
 constexpr double kMinLimitPerEndpoint = 0.1;
 constexpr double kMaxLimit = 64;
-// Part of the limit that reads have beside writes.
+// Share of the limit that is reserved for reads while writes are in flight.
 constexpr double kReadPart = 0.5;
-// An answer is slow beyond this share of the latency objective, and beyond this multiple of the best latency.
+// Answers are slow when the usual latency exceeds both this share of the latency objective and this multiple
+// of the best latency.
 constexpr double kSlowShareOfObjective = 0.33;
 constexpr double kSlowMultipleOfBest = 2;
-// Growth of the best latency with each answer: what was best long ago is forgotten.
+// Factor on the best latency with each answer, so that old minima are forgotten.
 constexpr double kBestLatencyGrowth = 1.002;
 constexpr double kDecrease = 0.8;
-// The limit is in use from this part of it on.
+// The limit counts as in use when at least this share of it is in flight.
 constexpr double kInUsePart = 0.8;
-// Greatest step upwards, as a part of the limit.
+// Maximum increase in one step, as a share of the limit.
 constexpr double kMaxIncreasePart = 0.5;
 
 }  // namespace
@@ -52,7 +53,7 @@
       increase(load);
     }
   }
-  // Once a round trip: what was sent before the last cut says nothing about it.
+  // At most one decrease per round trip: an attempt sent before the last decrease does not show its effect.
   if (congested && attempt.sent_at > last_decrease_) {
     limit_.set_value(limit_.value() * kDecrease);
     last_decrease_ = now;
--- a/src/policy/origin_limit.h
+++ b/src/policy/origin_limit.h
@@ -7,46 +7,50 @@
 
 namespace streampick::policy {
 
-/// How much of the origin this router may use: a limit on reads in flight that is learned from the origin's
-/// answers, and, where routers share the origin by leases, this router's share of all attempts there.
+/// Limits how much of the origin this router uses. A concurrency limit on reads adapts to the latency of the
+/// origin's answers. Where routers share the origin by leases, the lease bounds all attempts of this router
+/// there.
 ///
-/// The limit grows by one a round trip while it is in use (additive increase) and is cut when answers become
-/// slow, against the latency objective and, where slow answers are normal, against the usual latency.
+/// The limit grows by one per round trip while it is in use (additive increase). It is decreased by a factor
+/// when answers are slow compared with both the latency objective and the best recent latency.
 class OriginLimit {
  public:
-  /// Work at the origin when one of its answers came.
+  /// Load at the origin when an answer arrives.
   struct Load {
-    int in_flight = 0;  ///< attempts, the one that ended no longer among them
+    int in_flight = 0;  ///< attempts, without the one that has just ended
     bool has_queued_reads = false;
   };
 
-  /// Sets the limit that a router starts with.
+  /// Sets the initial limit.
   void initialize(double per_router_share);
 
-  /// Attempts of this router that all routers' agreement allows at once; see Shares.
+  /// Sets the number of concurrent attempts that this router's share of the origin allows; see Shares.
   void set_lease(const Shares& shares);
 
-  /// Whether the lease allows one more attempt while `in_flight` attempts are out.
+  /// Whether the lease allows another attempt while `in_flight` attempts are in flight.
   [[nodiscard]] bool lease_allows(Time now, int in_flight) const {
     return in_flight < lease_floor_ + (now < leased_until_ ? leased_extra_ : 0);
   }
 
-  /// Whether one more read may be sent beside the work in flight.
+  /// Whether another read may be sent while `in_flight` attempts are in flight.
   [[nodiscard]] bool allows_read(Time now, double in_flight) const {
     return limit_.has_capacity(now, in_flight);
   }
-  /// The same, where of those in flight `writes` are writes: reads have a part of the places however many
-  /// writes there are, since without reads no cache fills again.
+  /// Like allows_read(), where `writes` of the attempts in flight are writes. A share of the limit is
+  /// reserved for reads regardless of the number of writes, because without reads the caches would not be
+  /// filled again.
   [[nodiscard]] bool allows_read_beside_writes(Time now, int in_flight, int writes) const;
-  /// Whether one more write may be sent beside `writes` that are in flight.
+  /// Whether another write may be sent while `writes` writes are in flight.
   [[nodiscard]] bool allows_write(int writes) const { return writes < limit_.value() + 1; }
 
-  /// Learns from an answer of the origin to `attempt` of a request with this class's latency objective.
+  /// Adjusts the limit after an answer of the origin to `attempt`. `objective` is the latency objective of
+  /// the request's class.
   void record_answer(const AttemptState& attempt, const AttemptResult& result, Time objective, Load load,
                      Time now);
-  /// Bounds the limit; to be called behind each answer.
+  /// Clamps the limit to its minimum and maximum. Call after each answer.
   void clamp(double per_router_share);
-  /// A read has ended that took `duration` microseconds: a limit below one pauses, at most for `longest`.
+  /// Call when a read ends that took `duration` microseconds. A limit below one then pauses, at most for
+  /// `longest` microseconds.
   void pause_after_read(Time now, double duration, Time longest) {
     limit_.pause_after(now, duration, longest);
   }
@@ -54,20 +58,20 @@
   [[nodiscard]] Time resumes_at() const { return limit_.resumes_at(); }
 
   [[nodiscard]] double value() const { return limit_.value(); }
-  /// Usual latency of an answer lately, microseconds; 0 before the first.
+  /// Running mean of the answer latency in microseconds; 0 before the first answer.
   [[nodiscard]] double usual_latency() const { return usual_latency_; }
 
  private:
-  /// Learns the origin's latency. Returns whether that says that the origin is congested.
+  /// Adds an answer to the latency estimates. Returns whether they show that the origin is congested.
   bool record_latency(Time now, const AttemptState& attempt, Time objective);
   void increase(Load load);
 
   ConcurrencyLimit limit_;
   double usual_latency_ = 0;
-  double best_latency_ = 0;  // the least usual latency, forgotten slowly
+  double best_latency_ = 0;  // minimum of the usual latency, which decays slowly
   SampleWeight sample_weight_{2 * kSampleWeight};
   Time last_decrease_ = 0;
-  // Until the host tells of shares there is no bound.
+  // Unlimited until the host sets a lease.
   double lease_floor_ = 1e18;
   double leased_extra_ = 0;
   Time leased_until_ = 0;
--- a/src/policy/origin_reads.cpp
+++ b/src/policy/origin_reads.cpp
@@ -7,14 +7,15 @@
 namespace streampick::policy {
 namespace {
 
-// An origin attempt that takes so many times the usual latency, while so many later ones were answered, is
-// stalled; from the second pair of bounds on it is lost and sent again. See docs/overload.md.
+// An origin attempt is stalled once it has taken this multiple of the usual latency and this many other
+// attempts have been answered since it was sent. It is lost, and sent again, from the second pair of
+// thresholds on. See docs/overload.md.
 constexpr double kStalledLatencies = 3;
 constexpr std::uint32_t kStalledAnswers = 8;
 constexpr double kLostLatencies = 4;
 constexpr std::uint32_t kLostAnswers = 32;
 
-// The cache that lacked the request's key, and was filled by the origin read behind it.
+// The first cache that missed the request's key; the origin read that followed has filled it.
 std::optional<ServerId> first_cache_miss(const RequestState& request) {
   for (const AttemptState& attempt : request.sent_attempts()) {
     if (attempt.outcome == Outcome::miss && !attempt.in_flight) {
@@ -72,8 +73,8 @@
   return parts_.requests.is_active(ref) && parts_.requests.at(ref.slot).origin_stage == OriginStage::queued;
 }
 
-// A queue that moves too slowly: reads that miss their latency objective make room for those that can still
-// meet it.
+// If the read queue is longer than the limit, reads that can no longer meet their latency objective are
+// dropped in favour of those that still can.
 bool OriginReads::is_hopeless(const RequestState& request, Kind kind, Time now) const {
   if (kind == Kind::write || request.in_flight_count > 0) {
     return false;
@@ -113,8 +114,9 @@
          parts_.limit.allows_read(now, parts_.dispatcher.origin_in_flight()) && lease_allows(now);
 }
 
-// What takes long while later ones are answered is stuck on its connection: it takes no place at the origin,
-// and once that is beyond doubt it goes out again. Its followers wait for that.
+// An attempt that takes long while later ones are answered is stuck on its connection. It then no longer
+// counts against the limit, and is cancelled and sent again once it is certainly lost. Followers wait for the
+// new attempt.
 void OriginReads::check_stalled(RequestState& request, Time now) {
   if (request.attempt_count == 0) {
     return;
@@ -159,7 +161,7 @@
     flights_.erase(flight);
   }
   const std::optional<ServerId> filled_cache = filled ? first_cache_miss(request) : std::nullopt;
-  // Taken out first: a follower that reads the origin next may get followers of its own.
+  // Moved out before the loop, because a follower that reads the origin next may get followers of its own.
   const std::vector<SlotIndex> followers = std::exchange(request.single_flight_waiters, {});
   for (const SlotIndex slot : followers) {
     RequestState& follower = parts_.requests.at(slot);
@@ -175,8 +177,8 @@
   const bool may_send =
       parts_.rules.cache_attempts_left(follower) > 0 && parts_.rules.may_resend(follower, now);
   if (filled_cache && may_send && parts_.ready.is_eligible(parts_.endpoints.at(*filled_cache))) {
-    // An endpoint that warms up was filled for its part of the attempts only: the next one has the value too,
-    // or gets it.
+    // An endpoint that is warming up may receive only its share of attempts. The next endpoint has the value
+    // as well, or will be filled.
     const bool warms_up = parts_.slow_start.is_warming_up(parts_.endpoints.at(*filled_cache), now);
     target = warms_up ? parts_.picker.pick(follower, PickPurpose::attempt, now) : filled_cache;
   }
--- a/src/policy/origin_reads.h
+++ b/src/policy/origin_reads.h
@@ -20,9 +20,9 @@
 
 namespace streampick::policy {
 
-/// Reads and writes at the origin of a look-aside fleet (cache-aside). Each kind waits in a queue of its own
-/// for a place at the origin; of a key one read is in flight at a time (single flight), and the requests that
-/// want the same key wait for it.
+/// Reads and writes at the origin of a look-aside (cache-aside) fleet. Reads and writes wait in separate
+/// queues for capacity at the origin. At most one read per key is in flight (single flight); other requests
+/// for the same key, its followers, wait for it.
 class OriginReads {
  public:
   struct Parts {
@@ -40,12 +40,12 @@
   };
   explicit OriginReads(const Parts& parts) : parts_(parts) {}
 
-  /// Sends the request to the origin as soon as there is a place, or lets it follow the read of its key that
-  /// is queued or in flight already.
+  /// Sends the request to the origin as soon as there is capacity. If a read of its key is already queued or
+  /// in flight, the request follows that read instead.
   void fetch(RequestState& request, Time now);
 
-  /// Sends what is queued while there are places, and ends what can no longer be answered in time.
-  /// Inline: it is called behind each event, mostly with nothing queued.
+  /// Sends queued requests while there is capacity, and ends those that can no longer be answered in time.
+  /// Inline because it runs after each event, mostly with empty queues.
   void drain(Time now) {
     if (!writes_.empty()) {
       drain(Kind::write, now);
@@ -55,21 +55,21 @@
     }
   }
 
-  /// To be called from time to time while the request is open: takes note when its origin attempt stalled,
-  /// and cancels one that is lost beyond doubt, so that it is sent again.
+  /// Call periodically while the request is open. Marks its origin attempt as stalled when it is, and cancels
+  /// it when it is certainly lost, so that it is sent again.
   void check_stalled(RequestState& request, Time now);
 
-  /// An origin attempt of `request` has ended.
+  /// Handles the end of an origin attempt of `request`.
   void on_answer(RequestState& request, const AttemptState& attempt, const AttemptResult& result, Time now);
 
-  /// The read of the request's key is over: its followers go to the cache that was `filled`, or the first of
-  /// them reads the origin next.
+  /// Ends the single flight of the request's key. If a cache was `filled`, the followers read from it;
+  /// otherwise the first of them reads the origin next.
   void release_followers(RequestState& request, bool filled, Time now);
 
-  /// Whether a read would be sent at once.
+  /// Whether a read would be sent to the origin at once.
   [[nodiscard]] bool has_capacity(Time now) const;
 
-  /// Requests in both queues; those that are over and not taken out yet among them.
+  /// Number of entries in both queues, including requests that are over but not removed yet.
   [[nodiscard]] std::size_t queued() const { return reads_.size() + writes_.size(); }
 
  private:
--- a/src/policy/outcomes.h
+++ b/src/policy/outcomes.h
@@ -1,4 +1,4 @@
-/// What the outcome of an attempt says about the server and about resending.
+/// Conclusions from the outcome of an attempt.
 #pragma once
 
 #include "streampick/router.h"
@@ -16,7 +16,7 @@
   }
 }
 
-/// Whether a failed connection was refused at once, by a machine that is up, and did not time out.
+/// Whether a failed connection was refused quickly, by a machine that is up, rather than timed out.
 /// `connect_timeout` is in microseconds.
 constexpr bool connection_refused(const AttemptResult& result, Time connect_timeout) {
   return 2 * result.duration < connect_timeout;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,8 +5,8 @@
 namespace streampick::policy {
 namespace {
 
-// An ejection lasts its length times a random factor from here to one above it: routers that saw the same
-// failure do not all come back at once.
+// Each ejection is multiplied by a random factor of at least kJitterFrom and less than kJitterFrom +
+// kJitterRange, so that routers that saw the same failure do not all return to the endpoint at once.
 constexpr double kJitterFrom = 0.75;
 constexpr double kJitterRange = 0.5;
 
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -8,26 +8,26 @@
 
 namespace streampick::policy {
 
-/// Whom a failure speaks against.
+/// What a failure is counted against.
 enum class FailureScope : std::uint8_t {
   endpoint,        ///< the endpoint alone
-  failure_domain,  ///< its zone and its cell too: nothing there may be reachable
+  failure_domain,  ///< its zone and its cell as well, which may be unreachable as a whole
 };
 
-/// Outlier ejection by consecutive failures, from this router's own outcomes. Ejections grow longer each
-/// time; behind one a single trial request is let out, whose answer ends it. Whoever picks an endpoint must
-/// pass over this where all endpoints are ejected.
+/// Outlier ejection after consecutive failures, as observed by this router. Each ejection lasts longer than
+/// the one before. After it, one trial attempt at a time is allowed; an answer ends the ejection. Callers
+/// must ignore ejections when all endpoints are ejected.
 class OutlierDetector {
  public:
   explicit OutlierDetector(RandomSource& random) : random_(random) {}
 
-  /// Counts a failure. Draws one random number for each ejection that it brings.
+  /// Counts a failure. Draws one random number for each ejection that follows from it.
   void record_failure(Endpoint& endpoint, FailureScope scope, Time now);
 
-  /// Counts an answer: ends all ejections of the endpoint and of its failure domains.
+  /// Counts an answer. Ends all ejections of the endpoint and of its failure domains.
   static void record_success(Endpoint& endpoint, Time now);
 
-  /// Whether this state alone keeps attempts away: ejected, or one trial request is out.
+  /// Whether this state prevents attempts: it is ejected, or a trial attempt is in flight.
   [[nodiscard]] static bool is_ejected(const OutlierState& state, Time now) {
     return state.ejected_until > now ||
            (state.consecutive_failures >= kFailuresToEject && state.in_flight > 0);
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -6,8 +6,8 @@
 
 namespace streampick::policy {
 
-/// The module's only source of random numbers. Seeded by the host, so that a run can be replayed: every
-/// draw of every class comes from this one sequence.
+/// The only source of random numbers in this module. The host provides the seed, and all draws come from one
+/// sequence, so that a run can be replayed.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed) {}
--- a/src/policy/rendezvous_tree.cpp
+++ b/src/policy/rendezvous_tree.cpp
@@ -44,7 +44,7 @@
     return;
   }
   node.entries.insert(lower_bound(node, entry), entry);
-  // Identities that are all alike can't be told apart further down.
+  // At the last level the identities are equal and cannot be split further.
   if (node.entries.size() <= kMaxLeafSize || level + 1 >= kMaxLevels) {
     return;
   }
@@ -88,7 +88,7 @@
   node.entries = std::move(entries);
 }
 
-// Summed anew: adding a weight and taking it away again would leave an error of rounding.
+// Recomputes the sum, because adding a weight and subtracting it again would leave a rounding error.
 void RendezvousTree::sum_weights(Node& node) {
   node.weight = 0;
   if (node.children) {
--- a/src/policy/rendezvous_tree.h
+++ b/src/policy/rendezvous_tree.h
@@ -11,19 +11,20 @@
 
 namespace streampick::policy {
 
-/// Weighted rendezvous hashing over a tree, so that a key finds its few candidates without a walk over all
+/// Weighted rendezvous hashing over a tree, which finds the few candidates for a key without visiting all
 /// endpoints.
 ///
-/// A trie over identities, which are hashes: a node of more than kMaxLeafSize endpoints has sixteen children,
-/// by the next four bits. A key chooses a child by weighted rendezvous over the children's sums of weights,
-/// down to a leaf, whose endpoints the caller ranks alike: it comes to an endpoint with that endpoint's share
-/// of all weight. A change of one weight moves keys only to or from that endpoint, at each level. Up to
-/// kMaxLeafSize endpoints the root is a leaf and holds all.
+/// The tree is a trie over identities, which are hashes: a node with more than kMaxLeafSize endpoints has
+/// sixteen children, selected by the next four bits. At each node a key selects a child by weighted
+/// rendezvous hashing over the children's sums of weights, down to a leaf. The caller ranks the endpoints of
+/// the leaf in the same way. Thus an endpoint gets each key with a probability that equals its share of the
+/// total weight. A change of one weight moves keys only to or from the part of the tree that holds that
+/// endpoint, at each level. With up to kMaxLeafSize endpoints the root is a leaf that holds all of them.
 class RendezvousTree {
  public:
   /// A leaf with more entries is split.
   static constexpr std::size_t kMaxLeafSize = 32;
-  /// A node that has come down to as many is a leaf again.
+  /// A node that shrinks to this many entries becomes a leaf again.
   static constexpr std::size_t kMergeSize = 16;
 
   struct Entry {
@@ -37,14 +38,14 @@
 
   void insert(const Entry& entry) { insert(root_, entry, 0); }
 
-  /// Removes the entry with this identity and id, if it is there; its weight is not looked at.
+  /// Removes the entry with this identity and id, if present. The weight of `entry` is ignored.
   void erase(const Entry& entry) { erase(root_, entry, 0); }
 
-  /// Sets the weight of the entry with this identity and id, if it is there.
+  /// Sets the weight of the entry with this identity and id, if present.
   void set_weight(const Entry& entry);
 
-  /// The candidates of a key, ordered by identity. `rank(hash, weight)` is the function by which the caller
-  /// ranks them; the greatest rank wins. The result is valid until the next change.
+  /// The candidates for a key, sorted by identity. `rank(hash, weight)` is the function by which the caller
+  /// ranks the candidates; the greatest rank wins. The reference is valid until the next modification.
   template <typename Rank>
   [[nodiscard]] const std::vector<Entry>& leaf(std::uint64_t key, const Rank& rank) const;
 
@@ -58,7 +59,7 @@
   struct Node {
     std::size_t count = 0;
     double weight = 0;
-    std::vector<Entry> entries;  // of a leaf, by identity
+    std::vector<Entry> entries;  // only in leaves; sorted by identity
     std::unique_ptr<std::array<Node, kFanOut>> children;
   };
 
--- a/src/policy/request_execution.cpp
+++ b/src/policy/request_execution.cpp
@@ -10,12 +10,12 @@
 namespace streampick::policy {
 namespace {
 
-// Longest wait while all endpoints are full, as a share of the latency objective.
+// Maximum wait while all endpoints are full, as a share of the latency objective.
 constexpr double kFullWaitPerObjective = 0.5;
 constexpr Time kLeastFullWait = kMillisecond;
-// Broken answers in a row from which the next endpoint is asked in place of the same one.
+// Number of consecutive broken answers of an endpoint from which a retry goes to the next endpoint instead.
 constexpr int kBrokenAnswersToDoubt = 2;
-// Mean Retry-After of a request that is given up, as a part of the greatest one.
+// The mean Retry-After of a request that is given up is the maximum Retry-After divided by this.
 constexpr Time kGiveUpRetryAfterPart = 8;
 
 }  // namespace
@@ -36,8 +36,8 @@
   parts_.hedging.schedule(request, now);
 }
 
-// No endpoint is known, or all are full: those have room again before long, and what waits for them holds up
-// others.
+// Retries later because no endpoint is known or all are full. Full endpoints soon have room again, and
+// waiting requests hold resources, so the wait for them is short.
 void RequestExecution::wait_for_endpoint(RequestState& request, Time now) {
   const Time objective = parts_.rules.class_of(request).latency_objective;
   const bool none_known = parts_.ready.empty();
@@ -65,7 +65,7 @@
 
 void RequestExecution::on_attempt_failed(RequestState& request, const AttemptState& attempt, Outcome outcome,
                                          Time now) {
-  // A lost attempt was cancelled to be sent again.
+  // This attempt was lost, and OriginReads::check_stalled() cancelled it so that it is sent again.
   if (attempt.to_origin && attempt.stalled && outcome == Outcome::cancelled) {
     parts_.origin_reads.fetch(request, now);
     return;
@@ -92,9 +92,9 @@
   }
 }
 
-// A read whose answer broke goes to the same endpoint again: it has what it read, the plan's next would
-// mostly miss. So does a write with an idempotency key while repeats are discarded: its client would be told
-// that this is harmless.
+// After a broken answer a read is retried at the same endpoint, which has the key cached, while the next
+// endpoint of the plan would mostly miss. A write with an idempotency key is retried at the origin within its
+// window, as the client would otherwise be told to repeat it.
 bool RequestExecution::retry_same_endpoint(RequestState& request, const AttemptState& attempt, Time now) {
   const RequestRules& rules = parts_.rules;
   if (request.is_streaming || !rules.may_resend(request, now) || !rules.has_time_left(request, now)) {
@@ -126,8 +126,8 @@
          parts_.rules.cache_attempts_left(request) > 0;
 }
 
-// An execution ended without an answer: the next endpoint of the plan that was not tried, while others run
-// on.
+// Handles an attempt that ended without an answer: retries at the next endpoint of the plan that has not been
+// tried. Other attempts of the request stay in flight.
 void RequestExecution::retry_elsewhere(RequestState& request, Outcome outcome, Time now) {
   const bool waits_for_origin =
       request.origin_stage == OriginStage::queued || request.origin_stage == OriginStage::following;
@@ -200,7 +200,8 @@
 
 void RequestExecution::finish(RequestState& request, Time now) {
   request.is_over = true;
-  // An origin read that is in flight is left to end: the origin works on and the answer is stored.
+  // Origin reads in flight are not cancelled: the origin would go on processing them, and the answers fill
+  // caches.
   for (std::uint32_t i = 0; i < request.attempt_count && parts_.config.can_cancel; ++i) {
     const AttemptState& attempt = request.attempts[i];
     if (attempt.in_flight && !attempt.to_origin) {
--- a/src/policy/request_execution.h
+++ b/src/policy/request_execution.h
@@ -17,8 +17,8 @@
 
 namespace streampick::policy {
 
-/// The way of one request through its attempts: the first one, what is sent again after an outcome, and how
-/// the request ends. The one place that says what goes out again.
+/// Runs a request from its first attempt to its end: decides about the first attempt, the retries after each
+/// outcome, and the end of the request. All decisions to send a request again are made here.
 class RequestExecution final : public RequestHandler {
  public:
   struct Parts {
@@ -43,15 +43,16 @@
   void fall_back_to_origin(RequestState& request, Time now) override;
   void give_up(RequestState& request, Time now) override;
 
-  /// The retry timer of a request is due.
+  /// Handles the retry timer of a request.
   void on_retry_timer(RequestState& request, Time now);
 
-  /// An attempt of a request that is not over has ended without its answer, and has been accounted for.
+  /// Handles an attempt that ended without an answer. The request must not be over, and the attempt must have
+  /// been passed to AttemptDispatcher::complete().
   void on_attempt_failed(RequestState& request, const AttemptState& attempt, Outcome outcome, Time now);
 
-  /// Ends the request, which has its answer or needs none: cancels what is in flight.
+  /// Ends a request that has its answer or needs none any more. Cancels its cache attempts in flight.
   void finish(RequestState& request, Time now);
-  /// Ends the request with a failure that no retry can mend.
+  /// Ends the request with a failure that must not be retried.
   void fail(RequestState& request, Time now);
 
  private:
--- a/src/policy/request_handler.h
+++ b/src/policy/request_handler.h
@@ -5,8 +5,9 @@
 
 namespace streampick::policy {
 
-/// What queues ask of the execution of the requests that wait in them. Each call may send attempts, put other
-/// requests into queues and end requests, so a queue must be in order when it makes one.
+/// The interface through which queues start and end the requests that wait in them. Each call may send
+/// attempts, add requests to queues and end requests, so a queue must be in a consistent state when it makes
+/// a call.
 class RequestHandler {
  public:
   RequestHandler(const RequestHandler&) = delete;
@@ -14,7 +15,8 @@
 
   /// Sends the first attempt.
   virtual void start(RequestState& request, Time now) = 0;
-  /// The caches have no capacity for the request: reads the origin if that has some, else gives up.
+  /// Handles a request for which the caches have no capacity: reads from the origin if that has capacity,
+  /// otherwise gives up.
   virtual void fall_back_to_origin(RequestState& request, Time now) = 0;
   /// Ends the request without an answer.
   virtual void give_up(RequestState& request, Time now) = 0;
--- a/src/policy/request_rules.cpp
+++ b/src/policy/request_rules.cpp
@@ -7,7 +7,8 @@
 namespace streampick::policy {
 namespace {
 
-// Of the window in which repeats are discarded, the part in which one is sent: the rest is for its way.
+// Requests are sent again only within this many tenths of the idempotency window. The remainder is for the
+// time to the server.
 constexpr Time kResendWindowTenths = 9;
 
 }  // namespace
--- a/src/policy/request_rules.h
+++ b/src/policy/request_rules.h
@@ -7,8 +7,8 @@
 
 namespace streampick::policy {
 
-/// What the settings allow for one request: how many attempts, where, and whether it may be sent again.
-/// Holds no state; refers to the router's current settings.
+/// What the settings allow for one request: the number of attempts, where they may go, and whether the
+/// request may be sent again. Has no state of its own; refers to the router's current settings.
 class RequestRules {
  public:
   explicit RequestRules(const Config& config) : config_(config) {}
@@ -20,24 +20,24 @@
     return class_of(state).effect == Effect::safe;
   }
 
-  /// Most attempts of the request, those at the origin included.
+  /// Maximum number of attempts of the request, including those at the origin.
   [[nodiscard]] std::uint32_t max_attempts(const RequestState& state) const;
 
-  /// Attempts that may still go to caches. In look-aside fleets the last attempt of a read is reserved for
-  /// the origin until that was asked.
+  /// Number of further attempts that may go to caches. In look-aside fleets one attempt of a read is reserved
+  /// for the origin until the origin has been used.
   [[nodiscard]] std::uint32_t cache_attempts_left(const RequestState& state) const;
 
-  /// Whether the request goes to the origin and to no cache: a write of a look-aside fleet.
+  /// Whether the request goes only to the origin, as writes in look-aside fleets do.
   [[nodiscard]] bool bypasses_caches(const RequestState& state) const {
     return config_.cache_aside && state.request.write;
   }
 
-  /// Whether one more attempt is harmless. An unsafe request goes out again only when no attempt can have
-  /// run. One with an idempotency key also while its repeats are still discarded, and only where all servers
-  /// discard them.
+  /// Whether another attempt cannot cause the request to take effect twice. An unsafe request may be sent
+  /// again only if no attempt can have run. A request with an idempotency key may also be sent again within
+  /// its idempotency window, if all servers discard duplicates.
   [[nodiscard]] bool may_resend(const RequestState& state, Time now) const;
 
-  /// Whether an answer to an attempt that is sent now can reach the client in time.
+  /// Whether the answer to an attempt sent at `now` can reach the client before the deadline.
   [[nodiscard]] bool has_time_left(const RequestState& state, Time now) const {
     return state.request.deadline - now > config_.answer_slack;
   }
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -1,5 +1,5 @@
-/// What the module keeps for one open request and for each of its attempts. Plain values: RequestTable
-/// owns them, and the classes that decide write them.
+/// State of one open request and of each of its attempts. RequestTable owns these plain values; the classes
+/// of the decision module modify them.
 #pragma once
 
 #include <array>
@@ -12,14 +12,14 @@
 
 namespace streampick::policy {
 
-/// Attempts kept for one request, whatever the settings allow.
+/// Maximum number of attempts of one request, regardless of the settings.
 inline constexpr std::size_t kMaxAttempts = 8;
 
-/// Place of a request in RequestTable. Slots are used again.
+/// Position of a request in RequestTable. Slots are reused.
 enum class SlotIndex : std::uint32_t {};
 
-/// Names one request for as long as queues and timers may mention it: a slot that is used again has another
-/// generation.
+/// Reference to a request from queues and timers. The generation distinguishes the requests that use the same
+/// slot one after the other.
 struct RequestRef {
   SlotIndex slot{};
   std::uint32_t generation = 0;
@@ -28,19 +28,19 @@
 struct AttemptState {
   ServerId endpoint = kNone;
   Time sent_at = 0;
-  std::uint32_t endpoint_answers = 0;  ///< answers of its endpoint at the time when it was sent
-  Outcome outcome = Outcome::served;   ///< valid once it is no longer in flight
+  std::uint32_t endpoint_answers = 0;  ///< Endpoint::answers when the attempt was sent
+  Outcome outcome = Outcome::served;   ///< valid when the attempt is no longer in flight
   bool in_flight = false;
-  bool silence_recorded = false;  ///< its endpoint's silence was recorded as a failure already
-  bool opens_connection = false;  ///< no open connection to the endpoint was known when it was sent
+  bool silence_recorded = false;  ///< the endpoint's silence has already been recorded as a failure
+  bool opens_connection = false;  ///< no open connection to the endpoint was known when the attempt was sent
   bool to_origin = false;
-  bool stalled = false;  ///< later attempts were answered before it: stuck on its own connection
+  bool stalled = false;  ///< stuck on its own connection: many later attempts have been answered
 };
 
-/// How far a request's read or write at the origin is.
+/// Progress of a request's read or write at the origin.
 enum class OriginStage : std::uint8_t {
   none,
-  queued,     ///< waits for a place at the origin
+  queued,     ///< waits for capacity at the origin
   following,  ///< waits for the origin read of the same key by another request
   in_flight,
   done,
@@ -53,12 +53,12 @@
   std::uint32_t attempt_count = 0;
   std::uint32_t hedge_count = 0;
   std::uint32_t in_flight_count = 0;
-  // What timers look at lies together.
-  RequestRef self;            ///< where this state stands
-  bool is_over = true;        ///< the client has its answer or is gone
-  bool is_streaming = false;  ///< the answer is being passed on: nothing is sent for it again
-  bool is_open = false;       ///< the slot is taken
-  bool is_queued = false;     ///< waits in the admission queue
+  // The fields read by timers are adjacent, for cache locality.
+  RequestRef self;            ///< reference to this state
+  bool is_over = true;        ///< the client has its answer, or the request was ended or cancelled
+  bool is_streaming = false;  ///< the answer is being forwarded to the client; no further attempts are sent
+  bool is_open = false;       ///< the slot is in use
+  bool is_queued = false;     ///< waiting in the admission queue
   OriginStage origin_stage = OriginStage::none;
   std::vector<SlotIndex> single_flight_waiters = {};  ///< requests that follow this one's origin read
 
--- a/src/policy/request_table.h
+++ b/src/policy/request_table.h
@@ -11,17 +11,17 @@
 
 namespace streampick::policy {
 
-/// The requests that are open, in slots that are used again. Owns all RequestState.
+/// The open requests, in reusable slots. Owns all RequestState objects.
 ///
-/// References to a state stay valid until the next open(). A slot stays taken until its request is over and
-/// the last of its attempts has ended.
+/// References to a state stay valid until the next call of open(). A slot stays in use until its request is
+/// over and all of its attempts have ended.
 class RequestTable {
  public:
   RequestTable() = default;
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
 
-  /// Takes a slot for a request that has just arrived.
+  /// Allocates a slot for a request that has just arrived.
   RequestState& open(const Request& request, Time now);
 
   /// The request with this id, or nullptr.
@@ -32,19 +32,20 @@
     return states_[static_cast<std::size_t>(slot)];
   }
 
-  /// Whether `ref` names a request that is not over.
+  /// Whether `ref` refers to a request that is not over.
   [[nodiscard]] bool is_active(RequestRef ref) const {
     const RequestState& state = at(ref.slot);
     return state.self.generation == ref.generation && !state.is_over;
   }
 
-  /// Frees the slot of a request that is over and has no attempt in flight; else does nothing.
+  /// Frees the slot if the request is over and has no attempt in flight; otherwise does nothing.
   void release_if_done(RequestState& state);
 
  private:
   std::vector<RequestState> states_;
   std::vector<SlotIndex> free_slots_;
-  // Pooled: one entry comes and goes with each request. Never iterated, so its order decides nothing.
+  // Uses a memory pool because each request adds and removes an entry. The map is never iterated, so its
+  // order does not affect decisions.
   std::pmr::unsynchronized_pool_resource pool_;
   std::pmr::unordered_map<RequestId, SlotIndex> slots_by_id_{&pool_};
 };
--- a/src/policy/result_recorder.cpp
+++ b/src/policy/result_recorder.cpp
@@ -7,10 +7,10 @@
 namespace streampick::policy {
 namespace {
 
-// Broken answers in a row from which each is a failure of the endpoint: until then it may be what befalls all
-// connections alike.
+// Number of consecutive broken answers from which each counts as a failure of the endpoint. Fewer may be
+// caused by the network, which affects all endpoints alike.
 constexpr int kBrokenAnswersToFail = 5;
-// What is left of an endpoint's latency sums with each answer.
+// Factor on an endpoint's latency sums with each answer.
 constexpr double kLatencySumDecay = 0.97;
 
 }  // namespace
--- a/src/policy/result_recorder.h
+++ b/src/policy/result_recorder.h
@@ -11,8 +11,8 @@
 
 namespace streampick::policy {
 
-/// What this router learns from the result of an attempt: about its endpoint, about congestion, about its
-/// request class. Holds no state of its own; decides nothing about the request.
+/// Updates the statistics after each attempt: those of its endpoint, of congestion and of its request class.
+/// Has no state of its own, and makes no decision about the request.
 class ResultRecorder {
  public:
   ResultRecorder(const Config& config, const RequestRules& rules, EndpointTable& endpoints,
@@ -26,7 +26,7 @@
         congestion_(congestion),
         latencies_(latencies) {}
 
-  /// `attempt` belongs to `request` and has just been completed.
+  /// `attempt` belongs to `request` and must have been passed to AttemptDispatcher::complete().
   void record(const RequestState& request, const AttemptState& attempt, const AttemptResult& result,
               Time now);
 
--- a/src/policy/retry_after.h
+++ b/src/policy/retry_after.h
@@ -8,12 +8,12 @@
 
 namespace streampick::policy {
 
-/// Least factor on a mean Retry-After; the greatest is one more.
+/// Minimum factor on the mean Retry-After; the maximum is one greater.
 inline constexpr double kRetryAfterJitterFrom = 0.5;
 
-/// When a rejected client is told to come back: `mean` with a jitter of half of it either way, which is the
-/// request's own, so that a crowd that is rejected at once doesn't come back at once. At most the settings'
-/// greatest Retry-After. Microseconds.
+/// The Retry-After for a rejected request, in microseconds: `mean` with a jitter of up to half of it in both
+/// directions, limited to the maximum in the settings. The jitter is derived from the request id, so that
+/// clients that are rejected at the same time do not retry at the same time.
 inline Time jittered_retry_after(const Config& config, Time mean, RequestId request) {
   return std::min(config.max_retry_after,
                   scaled(mean, kRetryAfterJitterFrom + to_unit_interval(mix64(request))));
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -6,18 +6,18 @@
 
 namespace streampick::policy {
 
-/// Bounds the retries behind attempts that may have run: such a retry is work done twice, most of it in an
-/// hour when there is too much already. A retry behind an attempt that cost no work is free.
+/// Limits retries after attempts that may have run. Such a retry repeats work, mostly when the servers are
+/// already overloaded. Retries after attempts that certainly did not run are free.
 class RetryBudget {
  public:
   void on_first_attempt() { tokens_.refill(kRetriesPerFirstAttempt); }
 
-  /// Whether a retry behind `outcome` may be sent; takes a token if it costs one.
+  /// Whether a retry after `outcome` may be sent. Takes a token unless the retry is free.
   bool try_retry(Outcome outcome) { return never_ran(outcome) || tokens_.try_take(); }
 
  private:
   static constexpr double kRetriesPerFirstAttempt = 0.5;
-  static constexpr double kBurst = 10;  // retries saved up
+  static constexpr double kBurst = 10;  // maximum number of saved retries
 
   TokenBucket tokens_{kBurst};
 };
--- a/src/policy/router_impl.cpp
+++ b/src/policy/router_impl.cpp
@@ -17,9 +17,10 @@
 
 namespace {
 
-// Mean Retry-After of a request that is rejected for its tenant's quota, as a part of the greatest one.
+// The mean Retry-After of a request rejected by its tenant's quota is the maximum Retry-After divided by
+// this.
 constexpr Time kQuotaRetryAfterPart = 2;
-// Longest pause of a limit below one, as a multiple of the latency objective.
+// Maximum pause of a limit below one, as a multiple of the latency objective.
 constexpr Time kLongestPausePerObjective = 2;
 
 }  // namespace
@@ -172,7 +173,8 @@
     case TimerKind::admission_timeout: admission_queue_.on_timeout(request, now); break;
     case TimerKind::retry: execution_.on_retry_timer(request, now); break;
     case TimerKind::deadline:
-      // Attempts are cut to the deadline and report just after it; what has none in flight ends here.
+      // Attempts in flight time out at the deadline and report their results just after it. A request without
+      // such an attempt ends here.
       if (request.in_flight_count == 0) {
         execution_.give_up(request, now);
       }
@@ -194,7 +196,7 @@
         sink_.poll_discovery();
       }
       break;
-    default: break;  // drain_queues: they are drained behind all timers
+    default: break;  // drain_queues: on_wakeup() drains the queues after all timers
   }
 }
 
--- a/src/policy/router_impl.h
+++ b/src/policy/router_impl.h
@@ -33,10 +33,10 @@
 
 namespace streampick {
 
-/// Owns the settings and one of each class of the decision module, and brings each event to those that it
-/// concerns, in a fixed order. Single-threaded; does no I/O and reads no clock.
+/// Owns the settings and one instance of each class of the decision module, and dispatches each event to the
+/// instances concerned in a fixed order. Single-threaded; does no I/O and reads no clock.
 ///
-/// Events are documented at Router. Every `now` is at or after the one before.
+/// The events are documented in Router. `now` must never decrease from one call to the next.
 class Router::Impl {
  public:
   Impl(Config config, std::uint64_t seed, Time now, ActionSink& sink);
@@ -66,8 +66,8 @@
   void initialize_limits();
   void drain_queues(Time now);
 
-  // A class refers to those above it; where two need each other, to one below. Each is documented in
-  // docs/architecture.md.
+  // Members refer to members declared above them. Where two members need each other, the first one also
+  // refers to a member declared below it. See docs/architecture.md.
   ActionSink& sink_;
   Config config_;
   policy::RandomSource random_;
--- a/src/policy/sample_weight.h
+++ b/src/policy/sample_weight.h
@@ -8,17 +8,17 @@
 
 namespace streampick::policy {
 
-/// How much of a running estimate one more sample replaces, where samples are frequent.
+/// Weight of one sample in a running estimate, if samples are frequent.
 inline constexpr double kSampleWeight = 0.05;
 
-/// Weight of a sample in an exponential running estimate. It has a least value for each sample, and grows
-/// with the time since the last one: in a quiet router samples are few and the old ones are stale.
+/// Weight of a sample in an exponentially weighted moving average. It grows with the time since the last
+/// sample, from a minimum: at a router with little traffic samples are rare, and old ones are outdated.
 class SampleWeight {
  public:
-  /// `minimum` is the weight of a sample that comes at once behind the one before.
+  /// `minimum` is the weight of a sample taken at the same time as the previous one.
   explicit SampleWeight(double minimum) : minimum_(minimum) {}
 
-  /// Weight, in (0, 1], of a sample taken at `now`, which becomes the last one.
+  /// Weight, in (0, 1], of a sample taken at `now`. Stores `now` as the time of the last sample.
   double next(Time now) {
     const Time age = now - std::exchange(last_sample_, now);
     const double ages = static_cast<double>(age) / static_cast<double>(kTimeConstant);
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -9,20 +9,20 @@
 
 namespace streampick::policy {
 
-/// How much work an endpoint gets while it warms up. Inline throughout: it is asked for each candidate of
-/// each pick.
+/// Limits the load on an endpoint while it is warming up. All functions are inline because they run for each
+/// candidate of each pick.
 class SlowStart {
  public:
-  /// What a draw depends on besides the endpoint.
+  /// Inputs of a slow start draw besides the endpoint.
   struct DrawContext {
-    double capacity_share = 1;  ///< of the endpoint, now
+    double capacity_share = 1;  ///< capacity_share() of the endpoint at `now`
     double healthy_weight = 0;  ///< sum over all ready endpoints
     Time now = 0;
   };
 
   SlowStart(const Config& config, const ArrivalInterval& arrivals) : config_(config), arrivals_(arrivals) {}
 
-  /// Share of its full capacity that the endpoint has by now, from the settings' cold share up to 1.
+  /// Share of its full capacity that the endpoint has at `now`: from slow_start_initial_share up to 1.
   [[nodiscard]] double capacity_share(const Endpoint& endpoint, Time now) const {
     if (endpoint.member.started <= 0 || config_.slow_start_duration <= 0) {
       return 1;
@@ -36,10 +36,11 @@
     return capacity_share(endpoint, now) < 1;
   }
 
-  /// The probability with which a first attempt on the endpoint's keys goes to it while it warms up: its
-  /// capacity share, and in sum over all routers at most the settings' multiple of that share of its usual
-  /// load. Each router's part, mostly far below one, grows with the time since the last draw; a draw spends
-  /// it. `healthy_weight` is the sum over all ready endpoints.
+  /// The probability with which a first attempt for one of the endpoint's keys goes to the endpoint while it
+  /// is warming up. It is at most the capacity share. Summed over all routers, the attempts are also limited
+  /// to slow_start_overload_factor times the capacity share of the endpoint's usual load. Each router's part
+  /// of that limit, mostly far below one attempt, grows with the time since the last draw, and each draw
+  /// spends it.
   [[nodiscard]] double first_attempt_share(const Endpoint& endpoint, const DrawContext& context) const {
     if (config_.slow_start_overload_factor <= 0 || context.healthy_weight <= 0) {
       return context.capacity_share;
@@ -50,13 +51,12 @@
   }
 
  private:
-  /// Windows in which an overload is counted whose part a router saves up at most. With more, a key that
-  /// becomes popular at all routers at once would spend what they all had saved up since the endpoint's
-  /// start.
+  /// Maximum time for which a router saves up its part of the limit, in multiples of
+  /// slow_start_overload_window. With a greater value, a key that becomes popular at all routers at once
+  /// would spend what all of them had saved since the start of the endpoint.
   static constexpr double kMaxSavedWindows = 1.25;
 
-  /// Mean intervals between requests since the last draw. The first request, of which no interval is known
-  /// yet, counts as one.
+  /// Time since the last draw, as a number of mean intervals between requests; 1 while no interval is known.
   [[nodiscard]] double saved_intervals(const Endpoint& endpoint, Time now) const {
     const double interval = arrivals_.mean();
     if (interval <= 0) {
--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -7,7 +7,7 @@
 namespace streampick::policy {
 namespace {
 
-// What a tenant can save up: its rate for so many seconds, and so many requests.
+// Capacity of a tenant's bucket: its rate for this many seconds, plus this many requests.
 constexpr double kBurstSeconds = 2;
 constexpr double kBurstRequests = 2;
 
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -7,19 +7,21 @@
 
 namespace streampick::policy {
 
-/// Token buckets of the tenants' quotas. A quota holds over all routers: this one has an even share of it, or
-/// the share that the host gives it.
+/// Token buckets for the quotas of tenants. A quota applies to all routers together. This router uses an even
+/// share of it, or the share that the host sets.
 class TenantQuotas {
  public:
   explicit TenantQuotas(const Config& config) : config_(config) {}
 
-  /// Adopts the tenants of `next`. What they saved up stays if they are those of `previous`.
+  /// Takes the tenants of `next`. The buckets keep their tokens if the tenants are the same as in `previous`.
   void configure(const Config& previous, const Config& next);
 
-  /// Requests a second of this router's share, by tenant; those beyond have an even share.
+  /// Sets this router's share of the quotas, in requests per second, by tenant. Tenants beyond the end of
+  /// `rates` use an even share.
   void set_rates(std::vector<double> rates) { rates_ = std::move(rates); }
 
-  /// Takes a token for the request. Returns whether its tenant is over its quota and had none.
+  /// Takes a token for the request. Returns true if the tenant's bucket has none, which means it is over its
+  /// quota.
   [[nodiscard]] bool is_over_quota(const Request& request, Time now);
 
  private:
--- a/src/policy/timer_queue.h
+++ b/src/policy/timer_queue.h
@@ -12,14 +12,14 @@
 
 namespace streampick::policy {
 
-/// What is to be done when a timer is due.
+/// The action to take when a timer is due.
 enum class TimerKind : std::uint8_t {
-  // Of one request: dropped once it is over or its answer is being passed on.
-  hedge,              ///< look at its attempts; send a hedged request if that is called for
-  deadline,           ///< the client gives up
-  retry,              ///< try again what found no endpoint
-  admission_timeout,  ///< leave the admission queue; dropped too once it has left
-  // Of the router.
+  // Timers of one request, dropped once the request is over or its answer is being forwarded.
+  hedge,              ///< check the attempts in flight; send a hedged request if needed
+  deadline,           ///< the deadline of the request
+  retry,              ///< retry a request for which no endpoint was available
+  admission_timeout,  ///< leave the admission queue; also dropped once the request has left it
+  // Timers of the router.
   poll_discovery,
   tick,
   close_idle,
@@ -37,8 +37,8 @@
   }
 };
 
-/// Pending timers, in the order in which they are due. Timers are never cancelled: those of a request that no
-/// longer needs them are dropped when they come to the front.
+/// Pending timers, in the order in which they are due. Timers are never cancelled; obsolete ones are dropped
+/// when they reach the front.
 class TimerQueue {
  public:
   explicit TimerQueue(const RequestTable& requests) : requests_(requests) {}
@@ -46,10 +46,10 @@
   void add(Time at, TimerKind kind) { add(at, kind, RequestRef{}); }
   void add(Time at, TimerKind kind, RequestRef request) { timers_.push({at, sequence_++, request, kind}); }
 
-  /// When the next timer that is still needed is due; kNever if there is none.
+  /// Time of the next timer that is still needed; kNever if there is none.
   Time next_due();
 
-  /// Takes the next timer that is due at `now` and still needed.
+  /// Removes and returns the next timer that is due at `now` and still needed; nullopt if there is none.
   std::optional<Timer> pop_due(Time now);
 
  private:
--- a/src/policy/token_bucket.h
+++ b/src/policy/token_bucket.h
@@ -4,7 +4,7 @@
 
 namespace streampick::policy {
 
-/// A budget: tokens that come in with refill(), up to a capacity, and go out one at a time.
+/// A token bucket: refill() adds tokens up to a capacity, and try_take() removes one.
 class TokenBucket {
  public:
   TokenBucket() = default;
@@ -15,7 +15,7 @@
 
   void refill(double tokens) { tokens_ = std::min(capacity_, tokens_ + tokens); }
   [[nodiscard]] bool has_token() const { return tokens_ >= 1; }
-  /// Takes one token if there is one. Returns whether there was.
+  /// Removes one token if there is one. Returns whether there was one.
   bool try_take() {
     if (!has_token()) {
       return false;
