--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -27,12 +27,12 @@
 
  private:
   // Divisor for the weights if all classes have priority weight 0.
-  static constexpr double kLeastWeight = 1e-9;
+  static constexpr double kMinPriorityWeight = 1e-9;
 
   const Config& config_;
   const AttemptDispatcher& dispatcher_;
   CacheLimit& limit_;
-  double greatest_weight_ = kLeastWeight;  // among the classes that use caches
+  double max_priority_weight_ = kMinPriorityWeight;  // among the classes that use caches
 };
 
 }  // namespace streampick::policy
--- a/src/policy/admission_queue.cpp
+++ b/src/policy/admission_queue.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Maximum time in the queue, as a share of the latency objective.
-constexpr double kWaitPerObjective = 0.2;
+constexpr double kMaxWaitPerObjective = 0.2;
 
 }  // namespace
 
@@ -14,14 +14,14 @@
   if (queue_.empty()) {
     nonempty_since_ = now;
   }
-  Time longest_wait = scaled(parts_.rules.class_of(request).latency_objective, kWaitPerObjective);
-  if (now - nonempty_since_ > longest_wait) {
-    const auto usual = static_cast<Time>(parts_.latencies.usual(request.request));
-    longest_wait = std::min(longest_wait, usual);
+  Time max_wait = scaled(parts_.rules.class_of(request).latency_objective, kMaxWaitPerObjective);
+  if (now - nonempty_since_ > max_wait) {
+    const auto mean_latency = static_cast<Time>(parts_.latencies.mean(request.request));
+    max_wait = std::min(max_wait, mean_latency);
   }
   request.is_queued = true;
   queue_.push_back(request.self);
-  parts_.timers.add(now + longest_wait, TimerKind::admission_timeout, request.self);
+  parts_.timers.add(now + max_wait, TimerKind::admission_timeout, request.self);
   drain(now);
 }
 
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -17,7 +17,7 @@
 /// overload the newest requests can still be answered in time.
 ///
 /// If the queue has not been empty for the maximum wait, the backlog is a standing queue and not a burst (the
-/// criterion of CoDel). The wait is then limited to the usual latency of an answer: longer waits would rarely
+/// criterion of CoDel). The wait is then limited to the mean latency of an answer: longer waits would rarely
 /// succeed, and each waiting request holds a connection.
 class AdmissionQueue {
  public:
--- a/src/policy/cache_limit.cpp
+++ b/src/policy/cache_limit.cpp
@@ -9,12 +9,12 @@
 // a time where the initial limit allows that.
 constexpr double kInitialLimitPerEndpoint = 3;
 constexpr double kMinLimitPerEndpoint = 0.5;
-constexpr double kOneAtATime = 1;
+constexpr double kMinInitialLimit = 1;
 constexpr double kMaxLimit = 1e9;
 constexpr double kDecrease = 0.9;
 constexpr double kIncrease = 1.2;
 // The limit counts as in use when at least this share of it is in flight.
-constexpr double kInUsePart = 0.7;
+constexpr double kInUseShare = 0.7;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   if (limit_.value() > 0) {
     return false;
   }
-  limit_.set_value(std::max(kOneAtATime, kInitialLimitPerEndpoint * per_router_share));
+  limit_.set_value(std::max(kMinInitialLimit, kInitialLimitPerEndpoint * per_router_share));
   return true;
 }
 
@@ -35,10 +35,11 @@
 void CacheLimit::adjust(Load load) {
   const double limit = limit_.value();
   if (congestion_.is_congested()) {
-    const double least = std::max(kMinLimitPerEndpoint * load.per_router_share,
-                                  std::min(kOneAtATime, kInitialLimitPerEndpoint * load.per_router_share));
+    const double least =
+        std::max(kMinLimitPerEndpoint * load.per_router_share,
+                 std::min(kMinInitialLimit, kInitialLimitPerEndpoint * load.per_router_share));
     limit_.set_value(std::max(least, std::min<double>(limit, load.in_flight + 1) * kDecrease));
-  } else if (shed_since_tick_ || load.in_flight >= limit * kInUsePart) {
+  } else if (shed_since_tick_ || load.in_flight >= limit * kInUseShare) {
     limit_.set_value(std::min(kMaxLimit, limit * kIncrease));
   }
   shed_since_tick_ = false;
--- a/src/policy/cache_limit.h
+++ b/src/policy/cache_limit.h
@@ -33,8 +33,10 @@
   /// attempt.
   [[nodiscard]] bool is_rate() const { return limit_.value() < 1; }
   /// Call when a cache attempt ends that took `duration` microseconds. A limit below one then pauses, at most
-  /// for `longest` microseconds.
-  void pause_after(Time now, double duration, Time longest) { limit_.pause_after(now, duration, longest); }
+  /// for `max_pause` microseconds.
+  void pause_after(Time now, double duration, Time max_pause) {
+    limit_.pause_after(now, duration, max_pause);
+  }
   /// End of the last pause.
   [[nodiscard]] Time resumes_at() const { return limit_.resumes_at(); }
 
--- a/src/policy/class_latencies.cpp
+++ b/src/policy/class_latencies.cpp
@@ -12,25 +12,25 @@
 }  // namespace
 
 void ClassLatencies::configure(const Config& previous, const Config& next) {
-  std::vector<double> usual(next.classes.size(), 0);
-  for (std::size_t i = 0; i < usual.size(); ++i) {
+  std::vector<double> means(next.classes.size(), 0);
+  for (std::size_t i = 0; i < means.size(); ++i) {
     const RequestClass& request_class = next.classes[i];
-    const bool unchanged = i < usual_.size() && request_class == previous.classes[i];
+    const bool unchanged = i < means_.size() && request_class == previous.classes[i];
     const std::size_t source = unchanged ? i : request_class.similar_class;
-    if (source < usual_.size()) {
-      usual[i] = usual_[source];
+    if (source < means_.size()) {
+      means[i] = means_[source];
     }
   }
-  usual_ = std::move(usual);
+  means_ = std::move(means);
 }
 
 double ClassLatencies::record(const Request& request, double latency) {
-  double& usual = usual_[request.request_class];
-  if (usual <= 0) {
-    usual = latency;
+  double& mean = means_[request.request_class];
+  if (mean <= 0) {
+    mean = latency;
   }
-  usual += (latency - usual) * kAnswerWeight;
-  return usual;
+  mean += (latency - mean) * kAnswerWeight;
+  return mean;
 }
 
 }  // namespace streampick::policy
--- a/src/policy/class_latencies.h
+++ b/src/policy/class_latencies.h
@@ -6,7 +6,7 @@
 
 namespace streampick::policy {
 
-/// The usual latency of cache answers for each request class: a running mean.
+/// The mean latency of cache answers for each request class, as an exponentially weighted moving average.
 class ClassLatencies {
  public:
   /// Takes the classes of `next`. A class that is the same as in `previous` keeps its estimate. A new or
@@ -14,18 +14,16 @@
   void configure(const Config& previous, const Config& next);
 
   /// Usual latency in microseconds; 0 before the first answer.
-  [[nodiscard]] double usual(const Request& request) const { return usual_[request.request_class]; }
+  [[nodiscard]] double mean(const Request& request) const { return means_[request.request_class]; }
 
-  /// Half the usual latency, in microseconds: the time for which a full endpoint is expected to stay full.
-  [[nodiscard]] Time half_usual(const Request& request) const {
-    return static_cast<Time>(usual(request) / 2);
-  }
+  /// Half the mean latency, in microseconds: the time for which a full endpoint is expected to stay full.
+  [[nodiscard]] Time half_mean(const Request& request) const { return static_cast<Time>(mean(request) / 2); }
 
-  /// Adds an answer to `request` that took `latency` microseconds. Returns the updated usual latency.
+  /// Adds an answer to `request` that took `latency` microseconds. Returns the updated mean.
   double record(const Request& request, double latency);
 
  private:
-  std::vector<double> usual_;
+  std::vector<double> means_;
 };
 
 }  // namespace streampick::policy
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -18,10 +18,10 @@
   }
 
   /// Call when an operation ends that took `duration` microseconds. If the limit is below one, pauses so that
-  /// operations run for that share of the time. The pause is at most `longest` microseconds.
-  void pause_after(Time now, double duration, Time longest) {
+  /// operations run for that share of the time. The pause is at most `max_pause` microseconds.
+  void pause_after(Time now, double duration, Time max_pause) {
     if (value_ < 1) {
-      resumes_at_ = now + std::min(longest, static_cast<Time>(duration * (1 / value_ - 1)));
+      resumes_at_ = now + std::min(max_pause, static_cast<Time>(duration * (1 / value_ - 1)));
     }
   }
 
--- a/src/policy/discovery_polling.cpp
+++ b/src/policy/discovery_polling.cpp
@@ -8,9 +8,9 @@
 // Mean time between two polls while polls fail. The jitter adds or subtracts up to half of it.
 // roster/watch_times.h relies on the maximum.
 constexpr Time kPollInterval = 300 * kMillisecond;
-constexpr double kPollJitterFrom = 0.5;
+constexpr double kMinPollJitterFactor = 0.5;
 // Maximum time from the receipt of a stale list to the next poll.
-constexpr Time kStaleListInterval = kSecond;
+constexpr Time kMaxStaleListDelay = kSecond;
 
 }  // namespace
 
@@ -20,8 +20,8 @@
   if (is_watching_) {
     return;
   }
-  const Time wait = update == Update::stale ? scaled(kStaleListInterval, random_.next())
-                                            : scaled(kPollInterval, kPollJitterFrom + random_.next());
+  const Time wait = update == Update::stale ? scaled(kMaxStaleListDelay, random_.next())
+                                            : scaled(kPollInterval, kMinPollJitterFactor + random_.next());
   next_poll_ = now + wait;
   timers_.add(next_poll_, TimerKind::poll_discovery);
 }
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -64,20 +64,20 @@
     return;
   }
   const double capacity = slow_start_.capacity_share(endpoint, search.now);
-  const bool warms_up = capacity < 1;
+  const bool warming_up = capacity < 1;
   const double weight = endpoint.placement_weight();
   const double score = rendezvous_score(search.leaf_key ^ candidate.identity, weight);
-  if (warms_up && loses_slow_start_draw(search, endpoint, capacity)) {
+  if (warming_up && loses_slow_start_draw(search, endpoint, capacity)) {
     search.passed_over.offer({id, score});
     return;
   }
-  const double min_bound = warms_up ? kWarmingUpLoadBound : search.min_bound;
+  const double min_bound = warming_up ? kWarmingUpLoadBound : search.min_bound;
   const double bound = std::max(load_bound(search, weight), min_bound);
   // If all endpoints are ejected, ejections are ignored.
   const bool ejected = endpoint.is_ejected && ready_.healthy_weight() > 0;
   if (!ejected && endpoint.in_flight - endpoint.stalled < bound) {
     search.chosen.offer({id, score});
-  } else if (!warms_up) {
+  } else if (!warming_up) {
     const double spare_weight = weight / (endpoint.in_flight + 1) * (ejected ? kEjectedFactor : 1);
     search.fallback.offer({id, spare_weight});
   }
--- a/src/policy/endpoint_weights.cpp
+++ b/src/policy/endpoint_weights.cpp
@@ -19,7 +19,7 @@
 // mean.
 constexpr double kKindPrior = 0.02;
 // Smaller relative changes of a weight are not applied, because each change moves keys.
-constexpr double kLeastChange = 0.1;
+constexpr double kMinWeightChange = 0.1;
 
 }  // namespace
 
@@ -84,7 +84,7 @@
   const double listed = std::max(kMinWeight, endpoint.member.weight) / sums.mean_listed_weight;
   const double weight = std::pow(listed, 1 - kSpeedPower) *
                         std::pow(std::clamp(speed, 1 / kSpeedRange, kSpeedRange), kSpeedPower);
-  if (std::abs(weight / endpoint.weight - 1) > kLeastChange) {
+  if (std::abs(weight / endpoint.weight - 1) > kMinWeightChange) {
     ready_.set_weight(endpoint, weight);
   }
 }
--- a/src/policy/idle_connections.cpp
+++ b/src/policy/idle_connections.cpp
@@ -10,10 +10,10 @@
 
 // Config::connection_cost is the cost of this many connections to a server. With no more routers than this,
 // one connection from each does not load a server noticeably.
-constexpr std::uint32_t kPricedConnections = 100;
+constexpr std::uint32_t kConnectionsPerCost = 100;
 // Timeout of infrequently used idle connections, where connections have a cost.
 constexpr Time kInfrequentTimeout = kSecond / 2;
-constexpr Time kLeastTimeout = 20 * kMillisecond;
+constexpr Time kMinTimeout = 20 * kMillisecond;
 // Factors on the learned timeout: when connections are refused, and after each new connection.
 constexpr double kDecrease = 0.5;
 constexpr double kIncrease = 1.02;
@@ -22,7 +22,7 @@
 // Weight of one new connection in the running share of refused connections.
 constexpr double kConnectionWeight = 0.2;
 // Number of queue entries, beyond two per endpoint, after which stale entries are removed.
-constexpr std::size_t kRememberedSlack = 64;
+constexpr std::size_t kMaxExtraEntries = 64;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
       timers_(timers),
       sink_(sink),
       timeout_(config.keep_alive > 0 ? config.keep_alive : kUnlimited),
-      longest_timeout_(timeout_) {}
+      max_timeout_(timeout_) {}
 
 void IdleConnections::on_attempt_ended(const AttemptState& attempt, const AttemptResult& result, Time now) {
   if (result.outcome == Outcome::not_sent) {
@@ -51,7 +51,7 @@
   if (failed || endpoint.in_flight > 0) {
     return;
   }
-  remember(attempt.endpoint, pattern, now);
+  enqueue(attempt.endpoint, pattern, now);
   close_expired(now);
 }
 
@@ -62,20 +62,20 @@
     refused_share_ += ((refused ? 1 : 0) - refused_share_) * kConnectionWeight;
   }
   if (refused_share_ > kRefusedThreshold) {
-    timeout_ = std::max(kLeastTimeout, scaled(timeout_, kDecrease));
+    timeout_ = std::max(kMinTimeout, scaled(timeout_, kDecrease));
     refused_share_ *= kDecrease;
     close_expired(now);
-  } else if (attempt.opens_connection && !failed && timeout_ < longest_timeout_) {
-    timeout_ = std::min(longest_timeout_, scaled(timeout_, kIncrease));
+  } else if (attempt.opens_connection && !failed && timeout_ < max_timeout_) {
+    timeout_ = std::min(max_timeout_, scaled(timeout_, kIncrease));
   }
 }
 
-void IdleConnections::remember(ServerId id, UsePattern pattern, Time now) {
+void IdleConnections::enqueue(ServerId id, UsePattern pattern, Time now) {
   IdleQueue& idle = queue(pattern);
   idle.push_back({now, id});
   // Most entries are stale because the connection was used again. If connections never expire, stale entries
   // behind one that is not stale are only removed here.
-  if (idle.size() > 2 * endpoints_.size() + kRememberedSlack) {
+  if (idle.size() > 2 * endpoints_.size() + kMaxExtraEntries) {
     std::erase_if(idle, [this](const IdleSince& one) {
       return endpoints_.at(one.endpoint).connection_used_at != one.last_use;
     });
@@ -96,7 +96,7 @@
 void IdleConnections::close_expired(UsePattern pattern, Time now, Time& next_expiry) {
   const Time limit = timeout(pattern);
   // At the longest timeout the endpoint closes the connection itself.
-  const bool is_own_limit = limit < longest_timeout_;
+  const bool is_own_limit = limit < max_timeout_;
   IdleQueue& idle = queue(pattern);
   for (; !idle.empty(); idle.pop_front()) {
     const IdleSince oldest = idle.front();
@@ -122,12 +122,12 @@
 }
 
 Time IdleConnections::break_even_idle_time() const {
-  if (config_.connection_cost <= 0 || config_.routers <= kPricedConnections) {
+  if (config_.connection_cost <= 0 || config_.routers <= kConnectionsPerCost) {
     return kNever;
   }
-  const double priced_time =
-      kPricedConnections * arrivals_.mean() * static_cast<double>(ready_.ids().size()) / config_.routers;
-  const double break_even = priced_time * config_.handshake_cost / config_.connection_cost;
+  const double time_per_cost =
+      kConnectionsPerCost * arrivals_.mean() * static_cast<double>(ready_.ids().size()) / config_.routers;
+  const double break_even = time_per_cost * config_.handshake_cost / config_.connection_cost;
   return static_cast<Time>(std::min<double>(kUnlimited, break_even));
 }
 
@@ -135,6 +135,6 @@
   return std::min(timeout_, pattern == UsePattern::frequent ? break_even_idle_time() : kInfrequentTimeout);
 }
 
-std::size_t IdleConnections::remembered() const { return queues_[0].size() + queues_[1].size(); }
+std::size_t IdleConnections::queued() const { return queues_[0].size() + queues_[1].size(); }
 
 }  // namespace streampick::policy
--- a/src/policy/idle_connections.h
+++ b/src/policy/idle_connections.h
@@ -26,7 +26,7 @@
   /// Whether the endpoint is expected to have an open connection.
   [[nodiscard]] bool has_connection(const Endpoint& endpoint, Time now) const {
     return endpoint.in_flight > 0 ||
-           (endpoint.connection_used_at > 0 && now - endpoint.connection_used_at < longest_timeout_);
+           (endpoint.connection_used_at > 0 && now - endpoint.connection_used_at < max_timeout_);
   }
 
   /// Updates the timeout after an attempt has ended, and closes expired connections.
@@ -37,7 +37,7 @@
   void close_expired(Time now);
 
   /// Number of queue entries, including stale ones whose connection has been used again.
-  [[nodiscard]] std::size_t remembered() const;
+  [[nodiscard]] std::size_t queued() const;
 
  private:
   /// Whether the time between the last two uses was below the break-even idle time, so that keeping the
@@ -50,7 +50,7 @@
   using IdleQueue = std::deque<IdleSince>;
 
   void learn_timeout(const AttemptState& attempt, const AttemptResult& result, Time now);
-  void remember(ServerId id, UsePattern pattern, Time now);
+  void enqueue(ServerId id, UsePattern pattern, Time now);
   void close_expired(UsePattern pattern, Time now, Time& next_expiry);
   [[nodiscard]] bool is_stale(const IdleSince& idle) const;
   [[nodiscard]] IdleQueue& queue(UsePattern pattern) { return queues_[static_cast<std::size_t>(pattern)]; }
@@ -67,8 +67,8 @@
   TimerQueue& timers_;
   ActionSink& sink_;
 
-  Time timeout_;          // learned
-  Time longest_timeout_;  // after which the endpoint closes the connection
+  Time timeout_;      // learned
+  Time max_timeout_;  // after which the endpoint closes the connection
   Time next_timer_ = 0;
   double refused_share_ = 0;         // running share of refused ones among new connections
   std::array<IdleQueue, 2> queues_;  // by use pattern; each in the order of last use
--- a/src/policy/origin_limit.cpp
+++ b/src/policy/origin_limit.cpp
@@ -12,18 +12,18 @@
 constexpr double kMinLimitPerEndpoint = 0.1;
 constexpr double kMaxLimit = 64;
 // Share of the limit that is reserved for reads while writes are in flight.
-constexpr double kReadPart = 0.5;
-// Answers are slow when the usual latency exceeds both this share of the latency objective and this multiple
+constexpr double kReadShare = 0.5;
+// Answers are slow when the mean latency exceeds both this share of the latency objective and this multiple
 // of the best latency.
 constexpr double kSlowShareOfObjective = 0.33;
-constexpr double kSlowMultipleOfBest = 2;
+constexpr double kSlowMultipleOfBaseline = 2;
 // Factor on the best latency with each answer, so that old minima are forgotten.
-constexpr double kBestLatencyGrowth = 1.002;
+constexpr double kBaselineLatencyGrowth = 1.002;
 constexpr double kDecrease = 0.8;
 // The limit counts as in use when at least this share of it is in flight.
-constexpr double kInUsePart = 0.8;
+constexpr double kInUseShare = 0.8;
 // Maximum increase in one step, as a share of the limit.
-constexpr double kMaxIncreasePart = 0.5;
+constexpr double kMaxIncreaseShare = 0.5;
 
 }  // namespace
 
@@ -39,8 +39,8 @@
 
 bool OriginLimit::allows_read_beside_writes(Time now, int in_flight, int writes) const {
   const double reads = in_flight - writes;
-  const bool within_read_part = reads < std::max(1.0, kReadPart * limit_.value());
-  return allows_read(now, within_read_part ? 0 : in_flight);
+  const bool within_read_share = reads < std::max(1.0, kReadShare * limit_.value());
+  return allows_read(now, within_read_share ? 0 : in_flight);
 }
 
 void OriginLimit::record_answer(const AttemptState& attempt, const AttemptResult& result, Time objective,
@@ -62,21 +62,21 @@
 
 bool OriginLimit::record_latency(Time now, const AttemptState& attempt, Time objective) {
   const auto latency = static_cast<double>(now - attempt.sent_at);
-  if (usual_latency_ <= 0) {
-    usual_latency_ = latency;
-    best_latency_ = latency;
+  if (mean_latency_ <= 0) {
+    mean_latency_ = latency;
+    baseline_latency_ = latency;
   }
-  usual_latency_ += (latency - usual_latency_) * sample_weight_.next(now);
-  best_latency_ = std::min(best_latency_ * kBestLatencyGrowth, usual_latency_);
+  mean_latency_ += (latency - mean_latency_) * sample_weight_.next(now);
+  baseline_latency_ = std::min(baseline_latency_ * kBaselineLatencyGrowth, mean_latency_);
   const double slow_by_objective = kSlowShareOfObjective * static_cast<double>(objective);
-  return usual_latency_ > std::max(slow_by_objective, kSlowMultipleOfBest * best_latency_);
+  return mean_latency_ > std::max(slow_by_objective, kSlowMultipleOfBaseline * baseline_latency_);
 }
 
 void OriginLimit::increase(Load load) {
   const double limit = limit_.value();
-  const bool in_use = limit < 1 ? load.has_queued_reads : load.in_flight + 1 >= limit * kInUsePart;
+  const bool in_use = limit < 1 ? load.has_queued_reads : load.in_flight + 1 >= limit * kInUseShare;
   if (in_use) {
-    limit_.set_value(limit + std::min(1 / limit, kMaxIncreasePart * limit));
+    limit_.set_value(limit + std::min(1 / limit, kMaxIncreaseShare * limit));
   }
 }
 
--- a/src/policy/origin_limit.h
+++ b/src/policy/origin_limit.h
@@ -50,16 +50,16 @@
   /// Clamps the limit to its minimum and maximum. Call after each answer.
   void clamp(double per_router_share);
   /// Call when a read ends that took `duration` microseconds. A limit below one then pauses, at most for
-  /// `longest` microseconds.
-  void pause_after_read(Time now, double duration, Time longest) {
-    limit_.pause_after(now, duration, longest);
+  /// `max_pause` microseconds.
+  void pause_after_read(Time now, double duration, Time max_pause) {
+    limit_.pause_after(now, duration, max_pause);
   }
   /// End of the last pause.
   [[nodiscard]] Time resumes_at() const { return limit_.resumes_at(); }
 
   [[nodiscard]] double value() const { return limit_.value(); }
   /// Running mean of the answer latency in microseconds; 0 before the first answer.
-  [[nodiscard]] double usual_latency() const { return usual_latency_; }
+  [[nodiscard]] double mean_latency() const { return mean_latency_; }
 
  private:
   /// Adds an answer to the latency estimates. Returns whether they show that the origin is congested.
@@ -67,8 +67,8 @@
   void increase(Load load);
 
   ConcurrencyLimit limit_;
-  double usual_latency_ = 0;
-  double best_latency_ = 0;  // minimum of the usual latency, which decays slowly
+  double mean_latency_ = 0;
+  double baseline_latency_ = 0;  // minimum of the mean latency, which decays slowly
   SampleWeight sample_weight_{2 * kSampleWeight};
   Time last_decrease_ = 0;
   // Unlimited until the host sets a lease.
--- a/src/policy/origin_reads.cpp
+++ b/src/policy/origin_reads.cpp
@@ -7,7 +7,7 @@
 namespace streampick::policy {
 namespace {
 
-// An origin attempt is stalled once it has taken this multiple of the usual latency and this many other
+// An origin attempt is stalled once it has taken this multiple of the mean latency and this many other
 // attempts have been answered since it was sent. It is lost, and sent again, from the second pair of
 // thresholds on. See docs/overload.md.
 constexpr double kStalledLatencies = 3;
@@ -54,12 +54,12 @@
       continue;
     }
     RequestState& request = parts_.requests.at(ref.slot);
-    const bool hopeless = is_hopeless(request, kind, now);
-    if (!hopeless && !has_place(kind, now)) {
+    const bool misses = misses_objective(request, kind, now);
+    if (!misses && !has_room(kind, now)) {
       return;
     }
     queue.pop_front();
-    if (hopeless || request.attempt_count >= parts_.rules.max_attempts(request) ||
+    if (misses || request.attempt_count >= parts_.rules.max_attempts(request) ||
         !parts_.rules.may_resend(request, now)) {
       parts_.handler.give_up(request, now);
       continue;
@@ -75,16 +75,16 @@
 
 // If the read queue is longer than the limit, reads that can no longer meet their latency objective are
 // dropped in favour of those that still can.
-bool OriginReads::is_hopeless(const RequestState& request, Kind kind, Time now) const {
+bool OriginReads::misses_objective(const RequestState& request, Kind kind, Time now) const {
   if (kind == Kind::write || request.in_flight_count > 0) {
     return false;
   }
-  const Time answered_at = now + static_cast<Time>(parts_.limit.usual_latency());
+  const Time answered_at = now + static_cast<Time>(parts_.limit.mean_latency());
   return answered_at > request.arrived_at + parts_.rules.class_of(request).latency_objective &&
          static_cast<double>(reads_.size()) > parts_.limit.value();
 }
 
-bool OriginReads::has_place(Kind kind, Time now) const {
+bool OriginReads::has_room(Kind kind, Time now) const {
   if (!origin_is_ready() || !lease_allows(now)) {
     return false;
   }
@@ -126,7 +126,7 @@
     return;
   }
   const double latencies =
-      static_cast<double>(now - attempt.sent_at) / std::max(parts_.limit.usual_latency(), 1.0);
+      static_cast<double>(now - attempt.sent_at) / std::max(parts_.limit.mean_latency(), 1.0);
   const std::uint32_t answers = parts_.endpoints.at(attempt.endpoint).answers - attempt.endpoint_answers;
   if (latencies < kStalledLatencies || answers < kStalledAnswers) {
     return;
@@ -179,8 +179,8 @@
   if (filled_cache && may_send && parts_.ready.is_eligible(parts_.endpoints.at(*filled_cache))) {
     // An endpoint that is warming up may receive only its share of attempts. The next endpoint has the value
     // as well, or will be filled.
-    const bool warms_up = parts_.slow_start.is_warming_up(parts_.endpoints.at(*filled_cache), now);
-    target = warms_up ? parts_.picker.pick(follower, PickPurpose::attempt, now) : filled_cache;
+    const bool warming_up = parts_.slow_start.is_warming_up(parts_.endpoints.at(*filled_cache), now);
+    target = warming_up ? parts_.picker.pick(follower, PickPurpose::attempt, now) : filled_cache;
   }
   if (target) {
     parts_.dispatcher.send(follower, *target, now);
--- a/src/policy/origin_reads.h
+++ b/src/policy/origin_reads.h
@@ -78,8 +78,8 @@
 
   void drain(Kind kind, Time now);
   [[nodiscard]] bool is_queued(RequestRef ref) const;
-  [[nodiscard]] bool is_hopeless(const RequestState& request, Kind kind, Time now) const;
-  [[nodiscard]] bool has_place(Kind kind, Time now) const;
+  [[nodiscard]] bool misses_objective(const RequestState& request, Kind kind, Time now) const;
+  [[nodiscard]] bool has_room(Kind kind, Time now) const;
   [[nodiscard]] bool origin_is_ready() const;
   [[nodiscard]] bool lease_allows(Time now) const;
   void release_follower(RequestState& follower, std::optional<ServerId> filled_cache, Time now);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,9 +5,9 @@
 namespace streampick::policy {
 namespace {
 
-// Each ejection is multiplied by a random factor of at least kJitterFrom and less than kJitterFrom +
-// kJitterRange, so that routers that saw the same failure do not all return to the endpoint at once.
-constexpr double kJitterFrom = 0.75;
+// Each ejection is multiplied by a random factor of at least kMinJitterFactor and less than kMinJitterFactor
+// + kJitterRange, so that routers that saw the same failure do not all return to the endpoint at once.
+constexpr double kMinJitterFactor = 0.75;
 constexpr double kJitterRange = 0.5;
 
 }  // namespace
@@ -25,8 +25,8 @@
   if (state.consecutive_failures < kFailuresToEject || state.ejected_until > now) {
     return;
   }
-  state.ejected_until = now + scaled(state.next_ejection, kJitterFrom + kJitterRange * random_.next());
-  state.next_ejection = std::min(kLongestEjection, state.next_ejection * 2);
+  state.ejected_until = now + scaled(state.next_ejection, kMinJitterFactor + kJitterRange * random_.next());
+  state.next_ejection = std::min(kMaxEjection, state.next_ejection * 2);
 }
 
 void OutlierDetector::record_success(Endpoint& endpoint, Time now) {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -44,7 +44,7 @@
 
  private:
   static constexpr int kFailuresToEject = 3;
-  static constexpr Time kLongestEjection = 8 * kSecond;
+  static constexpr Time kMaxEjection = 8 * kSecond;
 
   void record_failure(OutlierState& state, Time now);
 
--- a/src/policy/request_execution.cpp
+++ b/src/policy/request_execution.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 // Maximum wait while all endpoints are full, as a share of the latency objective.
-constexpr double kFullWaitPerObjective = 0.5;
-constexpr Time kLeastFullWait = kMillisecond;
+constexpr double kMaxFullWaitPerObjective = 0.5;
+constexpr Time kMinFullWait = kMillisecond;
 // Number of consecutive broken answers of an endpoint from which a retry goes to the next endpoint instead.
-constexpr int kBrokenAnswersToDoubt = 2;
+constexpr int kBrokenAnswersToSwitchEndpoint = 2;
 // The mean Retry-After of a request that is given up is the maximum Retry-After divided by this.
-constexpr Time kGiveUpRetryAfterPart = 8;
+constexpr Time kGiveUpRetryAfterDivisor = 8;
 
 }  // namespace
 
@@ -41,12 +41,12 @@
 void RequestExecution::wait_for_endpoint(RequestState& request, Time now) {
   const Time objective = parts_.rules.class_of(request).latency_objective;
   const bool none_known = parts_.ready.empty();
-  if (!none_known && now - request.arrived_at >= scaled(objective, kFullWaitPerObjective)) {
+  if (!none_known && now - request.arrived_at >= scaled(objective, kMaxFullWaitPerObjective)) {
     fall_back_to_origin(request, now);
     return;
   }
-  const Time until_room = parts_.latencies.half_usual(request.request);
-  const Time wait = none_known ? kTickPeriod : std::clamp(until_room, kLeastFullWait, kTickPeriod);
+  const Time until_room = parts_.latencies.half_mean(request.request);
+  const Time wait = none_known ? kTickPeriod : std::clamp(until_room, kMinFullWait, kTickPeriod);
   parts_.timers.add(now + wait, TimerKind::retry, request.self);
 }
 
@@ -120,8 +120,8 @@
   if (parts_.slow_start.is_warming_up(endpoint, now)) {
     return false;
   }
-  const bool is_healthy = endpoint.broken_answers < kBrokenAnswersToDoubt && endpoint.full_until <= now &&
-                          !OutlierDetector::is_ejected(endpoint.outlier, now);
+  const bool is_healthy = endpoint.broken_answers < kBrokenAnswersToSwitchEndpoint &&
+                          endpoint.full_until <= now && !OutlierDetector::is_ejected(endpoint.outlier, now);
   return is_healthy && parts_.ready.is_eligible(endpoint) && request.origin_stage == OriginStage::none &&
          parts_.rules.cache_attempts_left(request) > 0;
 }
@@ -131,17 +131,17 @@
 void RequestExecution::retry_elsewhere(RequestState& request, Outcome outcome, Time now) {
   const bool waits_for_origin =
       request.origin_stage == OriginStage::queued || request.origin_stage == OriginStage::following;
-  const bool runs_on = request.in_flight_count > 0;
-  if (waits_for_origin || (runs_on && !parts_.rules.is_safe(request))) {
+  const bool others_in_flight = request.in_flight_count > 0;
+  if (waits_for_origin || (others_in_flight && !parts_.rules.is_safe(request))) {
     return;
   }
   if (!parts_.retry_budget.try_retry(outcome)) {
-    if (!runs_on) {
+    if (!others_in_flight) {
       give_up(request, now);
     }
     return;
   }
-  if (!try_retry(request, now) && !runs_on) {
+  if (!try_retry(request, now) && !others_in_flight) {
     fall_back_to_origin(request, now);
   }
 }
@@ -188,7 +188,7 @@
     return;
   }
   const RequestId id = request.request.id;
-  const Time mean = parts_.config.max_retry_after / kGiveUpRetryAfterPart;
+  const Time mean = parts_.config.max_retry_after / kGiveUpRetryAfterDivisor;
   parts_.sink.reject(id, jittered_retry_after(parts_.config, mean, id));
   finish(request, now);
 }
--- a/src/policy/result_recorder.cpp
+++ b/src/policy/result_recorder.cpp
@@ -26,7 +26,7 @@
     record_congestion(request, attempt, result, now);
   }
   if (result.outcome == Outcome::overloaded) {
-    endpoint.full_until = now + latencies_.half_usual(request.request);
+    endpoint.full_until = now + latencies_.half_mean(request.request);
   }
   record_outcome(endpoint, attempt, result, now);
   if (result.outcome == Outcome::served && ready_.is_eligible(endpoint)) {
@@ -78,9 +78,9 @@
 void ResultRecorder::record_latency(Endpoint& endpoint, const RequestState& request,
                                     const AttemptResult& result) {
   const auto latency = static_cast<double>(result.duration);
-  const double usual = latencies_.record(request.request, latency);
+  const double mean_latency = latencies_.record(request.request, latency);
   const Time hint = request.request.cost_hint;
-  const double expected = hint > 0 ? static_cast<double>(hint) : usual;
+  const double expected = hint > 0 ? static_cast<double>(hint) : mean_latency;
   endpoint.latency_sum = endpoint.latency_sum * kLatencySumDecay + latency;
   endpoint.expected_latency_sum = endpoint.expected_latency_sum * kLatencySumDecay + expected;
 }
--- a/src/policy/router_impl.cpp
+++ b/src/policy/router_impl.cpp
@@ -19,9 +19,9 @@
 
 // The mean Retry-After of a request rejected by its tenant's quota is the maximum Retry-After divided by
 // this.
-constexpr Time kQuotaRetryAfterPart = 2;
+constexpr Time kQuotaRetryAfterDivisor = 2;
 // Maximum pause of a limit below one, as a multiple of the latency objective.
-constexpr Time kLongestPausePerObjective = 2;
+constexpr Time kMaxPausePerObjective = 2;
 
 }  // namespace
 
@@ -75,7 +75,7 @@
   const QuotaState quota = quotas_.is_over_quota(request, now) ? QuotaState::over : QuotaState::within;
   const bool admitted = admission_.admits(request, quota, now);
   if (!admitted && quota == QuotaState::over) {
-    const Time mean = config_.max_retry_after / kQuotaRetryAfterPart;
+    const Time mean = config_.max_retry_after / kQuotaRetryAfterDivisor;
     sink_.reject(request.id, policy::jittered_retry_after(config_, mean, request.id));
     return;
   }
@@ -127,10 +127,10 @@
 }
 
 void Router::Impl::pause_cache_limit(const RequestState& request, const AttemptResult& result, Time now) {
-  const double usual = latencies_.usual(request.request);
-  const double duration = std::max(usual, static_cast<double>(result.duration));
-  const Time longest = kLongestPausePerObjective * rules_.class_of(request).latency_objective;
-  cache_limit_.pause_after(now, duration, longest);
+  const double mean_latency = latencies_.mean(request.request);
+  const double duration = std::max(mean_latency, static_cast<double>(result.duration));
+  const Time max_pause = kMaxPausePerObjective * rules_.class_of(request).latency_objective;
+  cache_limit_.pause_after(now, duration, max_pause);
   timers_.add(cache_limit_.resumes_at(), TimerKind::drain_queues);
 }
 
--- a/tests/policy/idle_connections_test.cpp
+++ b/tests/policy/idle_connections_test.cpp
@@ -38,10 +38,10 @@
     AttemptState attempt;
     attempt.endpoint = use == 0 ? 0 : static_cast<ServerId>(1 + use % 2);
     connections.on_attempt_ended(attempt, result, now);
-    most = std::max(most, connections.remembered());
+    most = std::max(most, connections.queued());
   }
   EXPECT_LE(most, 2 * 3 + 64 + 1U);
-  EXPECT_GE(connections.remembered(), 3U);  // each endpoint's last use is there
+  EXPECT_GE(connections.queued(), 3U);  // each endpoint's last use is there
 }
 
 }  // namespace
--- a/tests/policy/limits_test.cpp
+++ b/tests/policy/limits_test.cpp
@@ -82,7 +82,7 @@
   result.outcome = Outcome::served;
   limit.record_answer(attempt, result, kObjective, {.in_flight = 3, .has_queued_reads = false}, 2'000);
   EXPECT_EQ(limit.value(), 4.25);
-  EXPECT_EQ(limit.usual_latency(), 1'000);
+  EXPECT_EQ(limit.mean_latency(), 1'000);
   limit.record_answer(attempt, result, kObjective, {.in_flight = 1, .has_queued_reads = false}, 2'000);
   EXPECT_EQ(limit.value(), 4.25);  // not in use
   result.outcome = Outcome::overloaded;
