--- a/bench/policy/policy.cpp
+++ b/bench/policy/policy.cpp
@@ -1,5 +1,6 @@
-// What a decision costs as the fleet grows, and how well it places: through the library's own interface.
-//   bench_policy            a line for each size of fleet
+// Measures the time per routing decision and the quality of key placement for fleets of several sizes,
+// through the public interface of the library.
+//   bench_policy            prints one line per fleet size
 #include <algorithm>
 #include <chrono>
 #include <cstdint>
@@ -13,13 +14,14 @@
 using namespace streampick;
 using SteadyClock = std::chrono::steady_clock;
 
+// Times of the simulated clock, in microseconds.
 constexpr Time kStart = 1'000'000;
 constexpr Time kAnswerLatency = 1'000;
 constexpr Time kRequestDeadline = 4'000'000;
 constexpr std::uint64_t kWarmUpRequests = 2'000;
 constexpr std::uint64_t kTimedKeys = 5'000;
 
-// Remembers where the last request was sent.
+// Records the server of the last attempt.
 class LastServerSink final : public ActionSink {
  public:
   void send(RequestId, ServerId server, Time) override { last_server_ = server; }
@@ -63,7 +65,7 @@
   return member;
 }
 
-// One router and a fleet whose servers answer each read after a millisecond.
+// One router and a simulated fleet. Each server answers each read after kAnswerLatency.
 class Fleet {
  public:
   explicit Fleet(std::size_t servers) : router_(one_class_config(), 7, kStart, sink_) {
@@ -74,7 +76,7 @@
     router_.on_members(now_, Update::full, members);
   }
 
-  // Reads a key; returns the server that it went to.
+  // Reads a key. Returns the server that received the request.
   ServerId read(std::uint64_t key) {
     Request request;
     request.id = ++last_request_;
@@ -126,7 +128,8 @@
   return microseconds_each(begin, requests);
 }
 
-// Where keys are, before and after one server leaves: only its own should move, 1 of `servers`.
+// Compares the placement of keys before and after one server leaves. Only the keys of that server, about one
+// in `servers`, should move.
 void measure_fleet(std::size_t servers) {
   Fleet fleet(servers);
   const double request_us = measure_requests(fleet, servers > 2'000 ? 20'000 : 50'000);
@@ -156,8 +159,8 @@
 }  // namespace
 
 int main() {
-  std::printf("%8s %14s %16s %18s %18s\n", "servers", "us a request", "us a departure", "keys that moved",
-              "most over mean");
+  std::printf("%8s %14s %16s %18s %18s\n", "servers", "us/request", "us/departure", "keys moved",
+              "max/mean keys");
   for (const std::size_t servers : {14UL, 140UL, 1'400UL, 14'000UL}) {
     measure_fleet(servers);
   }
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,4 +1,5 @@
-// Hosts one Router for each instance named on the wire: maps ids and timers, decides nothing.
+// Adapter process: runs one Router per instance of the text protocol on standard input and output. Translates
+// server names, ids and timers; all decisions are made by the Routers.
 #include <unistd.h>
 
 #include <algorithm>
@@ -20,7 +21,7 @@
 
 using namespace streampick;
 
-// Reads standard input by lines; a line stays valid until the next call.
+// Reads standard input line by line. The line returned by next() is valid until the next call.
 class LineReader {
  public:
   bool next(std::string_view& line) {
@@ -36,22 +37,23 @@
       begin_ = 0;
       scanned_ = buffer_.size();
       buffer_.resize(scanned_ + kChunk);
-      const ssize_t got = ::read(STDIN_FILENO, buffer_.data() + scanned_, kChunk);
-      buffer_.resize(scanned_ + static_cast<std::size_t>(std::max<ssize_t>(got, 0)));
-      if (got <= 0) return false;
+      const ssize_t bytes_read = ::read(STDIN_FILENO, buffer_.data() + scanned_, kChunk);
+      buffer_.resize(scanned_ + static_cast<std::size_t>(std::max<ssize_t>(bytes_read, 0)));
+      if (bytes_read <= 0) return false;
     }
   }
+  // Number of the current line, from 1.
   std::size_t number() const { return number_; }
 
  private:
-  static constexpr std::size_t kChunk = 1 << 16;
+  static constexpr std::size_t kChunk = 1 << 16;  // bytes per read
   std::string buffer_;
   std::size_t begin_ = 0, scanned_ = 0, number_ = 0;
 };
 
 struct Output {
   std::string text;
-  std::int64_t instance = -1;  // whom the lines now written belong to
+  std::int64_t instance = -1;  // the instance that the last lines of `text` belong to; -1: none
 };
 
 struct NameHash {
@@ -59,6 +61,7 @@
   std::size_t operator()(std::string_view name) const { return wire::hash_name(name); }
 };
 
+// One Router, and the mapping between its server ids and the server names of the protocol.
 class Instance final : public ActionSink {
  public:
   Instance(std::int64_t number, Output& output) : number_(number), output_(output) {}
@@ -70,11 +73,12 @@
   }
 
   Router& router(const wire::Fields& fields) {
-    if (!router_) fields.reject("message", "event before init");
+    if (!router_) fields.reject("message", "event received before init");
     return *router_;
   }
   const wire::Names& names() const { return names_; }
 
+  // The id for a server name, which is assigned at its first use.
   ServerId intern(std::string_view server) {
     const auto found = ids_.find(server);
     if (found != ids_.end()) return found->second;
@@ -83,26 +87,28 @@
     ids_.emplace(servers_.back(), id);
     return id;
   }
-  ServerId known(const wire::Fields& fields, std::string_view server) const {
+  // The id for a server name; rejects the line if the name has not occurred in a member list.
+  ServerId lookup(const wire::Fields& fields, std::string_view server) const {
     const auto found = ids_.find(server);
     if (found == ids_.end()) fields.reject("Server", server);
     return found->second;
   }
 
   void timer_fired(Time now) {
-    if (now >= armed_) armed_ = kNever;
+    if (now >= timer_at_) timer_at_ = kNever;
   }
-  // One outstanding timer that matters; earlier ones that were replaced fire as idle wake-ups.
-  void arm(Time now) {
+  // Requests a timer if the Router's next wake-up is earlier than the pending timer. A timer that has been
+  // replaced is not cancelled and causes a wake-up without effect.
+  void request_timer(Time now) {
     if (!router_) return;
     const Time next = router_->next_wakeup();
-    if (next >= armed_) return;
-    armed_ = std::max(next, now + 1);
-    wire::write_defer(lines(), std::min<Time>(armed_ - now, kLongestTimer), "wake");
+    if (next >= timer_at_) return;
+    timer_at_ = std::max(next, now + 1);
+    wire::write_defer(lines(), std::min<Time>(timer_at_ - now, kMaxTimer), "wake");
   }
 
-  void send(RequestId request, ServerId server, Time time_out) override {
-    wire::write_hand_off(lines(), request, servers_[server], time_out);
+  void send(RequestId request, ServerId server, Time timeout) override {
+    wire::write_hand_off(lines(), request, servers_[server], timeout);
   }
   void cancel(RequestId request, std::uint32_t attempt) override {
     wire::write_recall(lines(), request, attempt);
@@ -115,8 +121,9 @@
   void poll_discovery() override { wire::write_follow(lines()); }
 
  private:
-  static constexpr Time kLongestTimer = Time{3600} * 1'000'000;
+  static constexpr Time kMaxTimer = Time{3600} * 1'000'000;  // one hour, in microseconds
 
+  // The output, to which the lines of this instance may be appended.
   std::string& lines() {
     if (output_.instance != number_) {
       wire::write_for(output_.text, number_);
@@ -131,9 +138,10 @@
   wire::Names names_;
   std::vector<std::string> servers_;
   std::unordered_map<std::string, ServerId, NameHash, std::equal_to<>> ids_;
-  Time armed_ = kNever;
+  Time timer_at_ = kNever;
 };
 
+// Dispatches the events on standard input to the instances.
 class Host {
  public:
   void run() {
@@ -145,6 +153,7 @@
   }
 
  private:
+  // The instance that the last `on` event named.
   Instance& current(const wire::Fields& fields) {
     const auto found = instances_.find(number_);
     if (found == instances_.end()) fields.reject("RouterId", std::to_string(number_));
@@ -156,7 +165,8 @@
       case wire::Event::turn: now_ = fields.integer("clock"); return;
       case wire::Event::on:
         number_ = fields.integer("RouterId");
-        if (touched_.empty() || touched_.back() != number_) touched_.push_back(number_);
+        if (batch_instances_.empty() || batch_instances_.back() != number_)
+          batch_instances_.push_back(number_);
         return;
       case wire::Event::init:
         instances_[number_] = std::make_unique<Instance>(number_, output_);
@@ -178,7 +188,7 @@
       case wire::Event::report_back: {
         Instance& self = current(fields);
         wire::ResultLine line = wire::parse_report_back(fields);
-        line.result.server = self.known(fields, line.server);
+        line.result.server = self.lookup(fields, line.server);
         self.router(fields).on_result(now_, line.result);
         return;
       }
@@ -191,9 +201,9 @@
         self.router(fields).on_wakeup(now_);
         return;
       }
-      case wire::Event::check_result:  // no probes are sent and no peers are told anything
+      case wire::Event::check_result:  // ignored: the adapter sends no probes and no data to peers
       case wire::Event::peer_data: return;
-      case wire::Event::over_to_you: reply(); return;
+      case wire::Event::over_to_you: end_batch(); return;
     }
   }
 
@@ -203,7 +213,7 @@
     members_.clear();
     for (std::int64_t i = 0; i < head.entries; ++i) {
       std::string_view line;
-      if (!reader_.next(line)) fields.reject("Entries", "input ends within the list");
+      if (!reader_.next(line)) fields.reject("Entries", "input ended inside the member list");
       wire::Fields entry(line, reader_.number());
       wire::MemberLine parsed = wire::parse_member(entry, self.names());
       parsed.member.id = self.intern(parsed.server);
@@ -212,15 +222,17 @@
     self.router(fields).on_members(now_, head.update, members_);
   }
 
-  void reply() {
-    for (const std::int64_t number : touched_)
-      if (const auto found = instances_.find(number); found != instances_.end()) found->second->arm(now_);
-    touched_.clear();
+  // Ends the batch: writes the timers, the actions and the acknowledgement to standard output.
+  void end_batch() {
+    for (const std::int64_t number : batch_instances_)
+      if (const auto found = instances_.find(number); found != instances_.end())
+        found->second->request_timer(now_);
+    batch_instances_.clear();
     wire::write_ack(output_.text);
     for (std::string_view rest = output_.text; !rest.empty();) {
-      const ssize_t wrote = ::write(STDOUT_FILENO, rest.data(), rest.size());
-      if (wrote <= 0) throw std::runtime_error("standard output is closed");
-      rest.remove_prefix(static_cast<std::size_t>(wrote));
+      const ssize_t bytes_written = ::write(STDOUT_FILENO, rest.data(), rest.size());
+      if (bytes_written <= 0) throw std::runtime_error("cannot write to standard output");
+      rest.remove_prefix(static_cast<std::size_t>(bytes_written));
     }
     output_.text.clear();
     output_.instance = -1;
@@ -229,9 +241,9 @@
   LineReader reader_;
   Output output_;
   std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
-  std::vector<std::int64_t> touched_;
+  std::vector<std::int64_t> batch_instances_;  // instances that the current batch named
   std::vector<Member> members_;
-  std::int64_t number_ = -1;
+  std::int64_t number_ = -1;  // of the current instance
   Time now_ = 0;
 };
 
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -34,7 +34,8 @@
   append_hex(out, request);
 }
 
-// Load reports are checked for form only: no decision uses them (docs/design.md says why).
+// Validates the format of a load report. Its values are not used for decisions; docs/design.md gives the
+// reason.
 void check_load(const Fields& fields, std::string_view text) {
   while (!text.empty()) {
     const std::string_view pair = text.substr(0, text.find(','));
@@ -49,7 +50,7 @@
 }  // namespace
 
 ParseError::ParseError(std::size_t line, std::string_view field, std::string_view text)
-    : std::runtime_error("line " + std::to_string(line) + ": bad " + std::string(field) + ": '" +
+    : std::runtime_error("line " + std::to_string(line) + ": invalid " + std::string(field) + ": '" +
                          std::string(text.substr(0, 80)) + "'") {}
 
 void Fields::reject(std::string_view field, std::string_view text) const {
@@ -229,12 +230,12 @@
   out += '\n';
 }
 
-void write_hand_off(std::string& out, RequestId request, std::string_view server, Time allow_for) {
+void write_hand_off(std::string& out, RequestId request, std::string_view server, Time timeout) {
   append_call(out, "hand_off", request);
   out += ' ';
   out += server;
   out += ' ';
-  append_integer(out, allow_for);
+  append_integer(out, timeout);
   out += '\n';
 }
 
@@ -245,10 +246,10 @@
   out += '\n';
 }
 
-void write_refuse(std::string& out, RequestId request, Time pause) {
+void write_refuse(std::string& out, RequestId request, Time retry_after) {
   append_call(out, "refuse", request);
   out += ' ';
-  append_integer(out, pause);
+  append_integer(out, retry_after);
   out += '\n';
 }
 
@@ -257,9 +258,9 @@
   out += '\n';
 }
 
-void write_defer(std::string& out, Time sleep_for, std::string_view tag) {
+void write_defer(std::string& out, Time delay, std::string_view tag) {
   out += "defer ";
-  append_integer(out, sleep_for);
+  append_integer(out, delay);
   out += ' ';
   out += tag;
   out += '\n';
--- a/src/adapter/wire.h
+++ b/src/adapter/wire.h
@@ -1,5 +1,5 @@
-// The wire between a host process and its routers: text lines in, text lines out.
-// Parsing is strict about what it uses and names the line and the field it rejects.
+// Parser and writer for the text protocol between a host process and its routers. Each message is a line of
+// text. The parser is strict about the fields that it uses; an error names the line and the rejected field.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,27 @@
 
 namespace streampick::wire {
 
+// Invalid input. The message names the line, the field and the rejected text.
 class ParseError : public std::runtime_error {
  public:
   ParseError(std::size_t line, std::string_view field, std::string_view text);
 };
 
-// The space-separated parts of one line, taken from the left.
+// The space-separated fields of one line. Each call removes the leftmost field; its argument is the name of
+// the field in error messages.
 class Fields {
  public:
   Fields(std::string_view line, std::size_t number) : rest_(line), line_(number) {}
 
   std::string_view word(std::string_view field);
-  std::string_view word_or_absent(std::string_view field);  // empty for '-' or at the line's end
+  std::string_view word_or_absent(std::string_view field);  // empty for '-' or at the end of the line
   std::int64_t integer(std::string_view field);
   std::int64_t integer_or(std::string_view field, std::int64_t absent);
   double number_or(std::string_view field, double absent);
-  std::uint64_t hex(std::string_view field);
+  std::uint64_t hex(std::string_view field);  // exactly 16 hexadecimal digits
   bool flag_or_false(std::string_view field);
   std::string_view rest() { return rest_; }
+  // Throws ParseError for this line.
   [[noreturn]] void reject(std::string_view field, std::string_view text) const;
 
  private:
@@ -38,6 +41,7 @@
   std::size_t line_;
 };
 
+// The messages from the host, in the order of the names in parse_event().
 enum class Event : std::uint8_t {
   turn,
   on,
@@ -61,6 +65,7 @@
 
 Settings parse_init(Fields& fields);
 
+// The first line of a member list; `entries` further lines follow.
 struct MembersHead {
   Update update = Update::full;
   std::int64_t entries = 0;
@@ -69,7 +74,7 @@
 
 struct MemberLine {
   std::string_view server;
-  Member member;  // its id is the host's to fill in
+  Member member;  // the caller sets the id
 };
 MemberLine parse_member(Fields& fields, const Names& names);
 
@@ -77,16 +82,16 @@
 
 struct ResultLine {
   std::string_view server;
-  AttemptResult result;  // its server is the host's to fill in
+  AttemptResult result;  // the caller sets the server
 };
 ResultLine parse_report_back(Fields& fields);
 
 void write_for(std::string& out, std::int64_t instance);
-void write_hand_off(std::string& out, RequestId request, std::string_view server, Time allow_for);
+void write_hand_off(std::string& out, RequestId request, std::string_view server, Time timeout);
 void write_recall(std::string& out, RequestId request, std::uint32_t attempt);
-void write_refuse(std::string& out, RequestId request, Time pause);
+void write_refuse(std::string& out, RequestId request, Time retry_after);
 void write_end_failed(std::string& out, RequestId request);
-void write_defer(std::string& out, Time sleep_for, std::string_view tag);
+void write_defer(std::string& out, Time delay, std::string_view tag);
 void write_disconnect(std::string& out, std::string_view server);
 void write_follow(std::string& out);
 void write_ack(std::string& out);
--- a/tests/adapter/adapter_test.cpp
+++ b/tests/adapter/adapter_test.cpp
@@ -1,4 +1,4 @@
-// One scripted session with the adapter as a process.
+// A scripted session with the adapter process.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -19,7 +19,7 @@
     "members C 1 2\nm s_1 a box 0 healthy 1 -\nm s_o a origin 0 healthy 1 -\n";
 
 int run(const std::string& input, std::string& output) {
-  // A file of its own for each process: tests run beside one another must not read each other's.
+  // The file name contains the process id, because tests that run in parallel must not share the file.
   const auto path = std::filesystem::path(::testing::TempDir()) /
                     ("streampick_session_" + std::to_string(::getpid()) + ".txt");
   std::ofstream(path) << input;
@@ -33,7 +33,7 @@
   return pclose(pipe);
 }
 
-TEST(Adapter, AnswersABatchASession) {
+TEST(Adapter, BatchesOfASession_AreEachAcknowledged) {
   std::string output;
   const int status = run("turn 1000\nover_to_you\nturn 2000\n" + kInit +
                              "over_to_you\nturn 3000\non 1\n"
@@ -52,7 +52,7 @@
   EXPECT_EQ(acks, 5U);
 }
 
-TEST(Adapter, StopsAtMalformedInput) {
+TEST(Adapter, MalformedInput_EndsTheProcessWithAnErrorAndNoOutput) {
   std::string output;
   EXPECT_NE(run("turn 1000\n" + kInit + "report_back nonsense\nover_to_you\n", output), 0);
   EXPECT_EQ(output, "");
--- a/tests/adapter/wire_test.cpp
+++ b/tests/adapter/wire_test.cpp
@@ -10,7 +10,7 @@
 
 const Names kNames = {{"read", "write"}, {"acme"}, {"east", "west"}, {"small", "store"}};
 
-TEST(Wire, ReadsARequest) {
+TEST(Wire, RequestLine_IsParsed) {
   Fields fields("0ad570aa5d3a91c4 write acme 91f03b7c55d20a64 8652250 12000 - 5", 3);
   const Request request = parse_inbound(fields, kNames);
   EXPECT_EQ(request.id, 0x0ad570aa5d3a91c4U);
@@ -22,7 +22,7 @@
   EXPECT_TRUE(request.write);
 }
 
-TEST(Wire, ARequestMayLackKeyTenantAndHint) {
+TEST(Wire, RequestWithoutKeyTenantAndHint_IsParsed) {
   Fields fields("0ad570aa5d3a91c4 read - - 8652250 - - 0", 3);
   const Request request = parse_inbound(fields, kNames);
   EXPECT_FALSE(request.has_key);
@@ -30,7 +30,7 @@
   EXPECT_EQ(request.cost_hint, 0);
 }
 
-TEST(Wire, ReadsAnOutcomeWithItsLoadReport) {
+TEST(Wire, ResultLineWithALoadReport_IsParsed) {
   Fields fields("0ad570aa5d3a91c4 1 s_1 2 18500 0 3 errors_per_s:0.5,outstanding:7,later:1.25", 4);
   const ResultLine line = parse_report_back(fields);
   EXPECT_EQ(line.server, "s_1");
@@ -39,7 +39,7 @@
   EXPECT_FALSE(line.result.request_over);
 }
 
-TEST(Wire, ReadsAMember) {
+TEST(Wire, MemberLine_IsParsed) {
   Fields fields("m s_1 west store 2 cordoned 1.5 6100000", 5);
   const MemberLine line = parse_member(fields, kNames);
   EXPECT_EQ(line.member.zone, 1U);
@@ -49,7 +49,7 @@
   EXPECT_EQ(line.member.started, 6100000);
 }
 
-TEST(Wire, ReadsSettingsAndSkipsUnknownOnes) {
+TEST(Wire, SettingsLineWithAnUnknownSetting_IsParsedWithoutIt) {
   Fields fields(
       "42 Az=west Balancers=3 FamilyInfo.Mode=aside FamilyInfo.OriginKind=1 New.Thing=x "
       "PolicyLimits.MaxAttempts=3 PolicyLimits.SecondCopies=true Profiles.count=1 "
@@ -80,14 +80,14 @@
   }
 }
 
-TEST(Wire, RejectsMalformedInputByLineAndField) {
+TEST(Wire, MalformedInput_IsRejectedWithItsLineAndField) {
   const auto inbound = [](Fields& fields) { parse_inbound(fields, kNames); };
   expect_rejected(inbound, "0ad570 read - - 1 - - 0", "RequestId");
   expect_rejected(inbound, "0ad570aa5d3a91c4 song - - 1 - - 0", "Priority");
   expect_rejected(inbound, "0ad570aa5d3a91c4 read - - soon - - 0", "NotAfterUs");
-  const auto outcome = [](Fields& fields) { parse_report_back(fields); };
-  expect_rejected(outcome, "0ad570aa5d3a91c4 0 s 77 1 0 - -", "Result");
-  expect_rejected(outcome, "0ad570aa5d3a91c4 0 s 0 1 0 - qps", "Usage");
+  const auto result = [](Fields& fields) { parse_report_back(fields); };
+  expect_rejected(result, "0ad570aa5d3a91c4 0 s 77 1 0 - -", "Result");
+  expect_rejected(result, "0ad570aa5d3a91c4 0 s 0 1 0 - qps", "Usage");
   const auto member = [](Fields& fields) { parse_member(fields, kNames); };
   expect_rejected(member, "m s_1 west store 2 tired 1 -", "Phase");
   const auto event = [](Fields& fields) { parse_event(fields); };
@@ -96,7 +96,7 @@
   expect_rejected(init, "1 Profiles.count=1 Profiles.0.Effect=maybe", "Profiles.0.Effect");
 }
 
-TEST(Wire, WritesActions) {
+TEST(Wire, Actions_AreWrittenAsLines) {
   std::string out;
   write_for(out, 3);
   write_hand_off(out, 0x0ad570aa5d3a91c4U, "s_1", 80000);
