--- a/tests/policy/admission_queue_test.cpp
+++ b/tests/policy/admission_queue_test.cpp
@@ -1,4 +1,4 @@
-// The queue of reads that wait for capacity at the caches, by itself.
+// Unit tests of AdmissionQueue, the queue of requests that wait for capacity at the caches.
 #include "policy/admission_queue.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   void poll_discovery() override {}
 };
 
-// Ends what falls back, as an execution without an origin does.
+// Ends requests that fall back to the origin, like a request execution without an origin.
 class RejectingHandler final : public RequestHandler {
  public:
   explicit RejectingHandler(RequestTable& requests) : requests_(requests) {}
@@ -50,7 +50,7 @@
   return config;
 }
 
-// Caches whose limit is one, with one attempt in flight that never ends.
+// Admission control with a limit of one cache attempt, which is used up by an attempt that never ends.
 class BusyCaches {
  public:
   explicit BusyCaches(const Config& config)
@@ -81,8 +81,9 @@
   AdmissionControl admission_;
 };
 
-// Overload that lasts: the queue is never empty, and what has left it from its old end must not stay behind.
-TEST(AdmissionQueue, HoldsNoMoreThanThoseWhoWaitHoweverLongItStands) {
+// Guards against a memory leak under sustained overload: the queue is never empty, and entries of requests
+// that timed out at its old end must be removed.
+TEST(AdmissionQueue, SustainedOverload_QueueHoldsOnlyWaitingRequests) {
   const Config config = one_class();
   BusyCaches caches(config);
   const RequestRules rules(config);
--- a/tests/policy/endpoint_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -1,4 +1,4 @@
-// Where attempts go: placement of keys, load bounds, stalled attempts.
+// Which endpoint an attempt goes to: placement of keys, load bounds and stalled attempts.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 namespace streampick::test {
 namespace {
 
-TEST(EndpointPicker, EqualKeysGoToOneEndpointAtEveryRouter) {
+TEST(EndpointPicker, SameKeyAtTwoRouters_GoesToTheSameEndpoint) {
   FakeHost one(FakeHost::hedging_config(), 6, 1), other(FakeHost::hedging_config(), 6, 2);
   for (std::uint64_t key = 1; key < 200; ++key) {
     one.request(key, 0, key);
@@ -20,7 +20,7 @@
   }
 }
 
-TEST(EndpointPicker, LosingAnEndpointMovesOnlyItsKeys) {
+TEST(EndpointPicker, EndpointThatLeaves_MovesOnlyItsOwnKeys) {
   FakeHost before, after;
   after.list[2].phase = Phase::gone;
   after.router.on_members(after.now, Update::changes, std::span(&after.list[2], 1));
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(EndpointPicker, AHotKeySpreadsOverEndpointsByTheLoadBound) {
+TEST(EndpointPicker, PopularKey_IsSpreadOverEndpointsByTheLoadBound) {
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 24; ++id) host.request(id, 0, 42);
   std::map<ServerId, int> count;
@@ -46,9 +46,9 @@
   for (const auto& [server, sent] : count) EXPECT_LE(sent, 4);
 }
 
-// By chance a few come to one server at a time. Where answers take next to nothing of the aim, to skip it
-// then would only scatter its keys over servers that lack them.
-TEST(EndpointPicker, AFewAtATimeScatterAKeyOnlyWhereAnswersTakeLong) {
+// A few attempts may coincide at one server by chance. Where answers are much faster than the latency
+// objective, skipping the server would only send its keys to servers that do not have them cached.
+TEST(EndpointPicker, FewConcurrentReadsOfAKey_AreSpreadOnlyWhereAnswersAreSlow) {
   for (const bool quick : {true, false}) {
     FakeHost host;
     host.answer_reads(quick ? 10 * kMs : 200 * kMs);
@@ -60,8 +60,9 @@
   }
 }
 
-// An attempt that others overtook, four at its own server, waits for something else than that server's work.
-TEST(EndpointPicker, AStalledAttemptDoesNotMoveItsEndpointsKeys) {
+// An attempt is stalled when its server has answered four later attempts: it does not wait for work of that
+// server.
+TEST(EndpointPicker, StalledAttempt_DoesNotMoveTheKeysOfItsEndpoint) {
   FakeHost host(FakeHost::hedging_config());
   host.answer_reads(200 * kMs);
   host.request(1, 0, 42);
@@ -71,21 +72,21 @@
     ASSERT_EQ(host.sends.back().server, server);
     host.result(host.sends.size() - 1, Outcome::served);
   }
-  host.advance(450 * kMs);  // its copy goes out
+  host.advance(450 * kMs);  // the hedged request is sent
   ASSERT_EQ(host.sends_of(1), 2U);
   for (RequestId id = 6; id <= 7; ++id) {
     host.request(id, 0, 42);
     EXPECT_EQ(host.sends.back().server, server);
   }
   host.request(8, 0, 42);
-  EXPECT_NE(host.sends.back().server, server);  // the two others count
+  EXPECT_NE(host.sends.back().server, server);  // the two attempts that are not stalled count
 }
 
-TEST(EndpointPicker, NothingNewGoesToADrainingOrMissingEndpoint) {
+TEST(EndpointPicker, DrainingOrUnlistedEndpoint_GetsNoAttempts) {
   FakeHost host(FakeHost::hedging_config());
   host.list[0].phase = Phase::draining;
   host.router.on_members(host.now, Update::changes, std::span(host.list.data(), 1));
-  std::vector<Member> full(host.list.begin() + 2, host.list.end());  // 0 drains, 1 is gone
+  std::vector<Member> full(host.list.begin() + 2, host.list.end());  // 0 is draining, 1 is not in the list
   full.push_back(host.list[0]);
   host.router.on_members(host.now, Update::full, full);
   for (RequestId id = 1; id <= 100; ++id) host.request(id, 0, id);
--- a/tests/policy/fake_host.h
+++ b/tests/policy/fake_host.h
@@ -1,4 +1,4 @@
-// A small host for one Router: a hand-moved clock, a list of servers, a record of the actions.
+// A test host for one Router: a clock that the test advances, a list of servers, and a record of all actions.
 #pragma once
 
 #include <map>
@@ -17,13 +17,14 @@
   RequestId request;
   ServerId server;
   std::uint32_t attempt;
-  Time at;
-  bool live;
+  Time at;  // when it was sent
+  bool in_flight;
 };
 
 class FakeHost final : public ActionSink {
  public:
-  // Classes: 0 safe read, 1 keyed write, 2 unsafe write, 3 unsafe and not a write.
+  // A look-aside fleet. Request classes: 0 safe read, 1 write with an idempotency key, 2 unsafe write, 3
+  // unsafe request that is not a write.
   static Config aside_config() {
     Config config;
     config.zone = 0;
@@ -44,7 +45,7 @@
     return config;
   }
 
-  // The same, where attempts can be cancelled and hedged.
+  // aside_config() with cancellation and hedging.
   static Config hedging_config() {
     Config config = aside_config();
     config.can_hedge = true;
@@ -52,7 +53,7 @@
     return config;
   }
 
-  // The same, where connections have their price.
+  // hedging_config() with a cost of connections.
   static Config connection_cost_config(std::uint32_t routers) {
     Config config = hedging_config();
     config.routers = routers;
@@ -92,10 +93,10 @@
     router.on_request(now, out);
   }
 
-  // Ends one attempt; a served one ends the request, as the wire has it.
+  // Reports the result of an attempt. Outcome::served also ends the request.
   void result(std::size_t send, Outcome outcome) {
     Send& sent = sends.at(send);
-    sent.live = false;
+    sent.in_flight = false;
     if (outcome == Outcome::served) ended[sent.request] = "served";
     AttemptResult out;
     out.request = sent.request;
@@ -107,7 +108,7 @@
     router.on_result(now, out);
   }
 
-  // Twenty reads of as many keys, each answered after `latency` before the next one comes.
+  // Twenty reads of different keys, one after the other. Each is answered after `latency` microseconds.
   void answer_reads(Time latency) {
     for (RequestId id = 1'001; id <= 1'020; ++id) {
       request(id, 0, id);
@@ -116,7 +117,7 @@
     }
   }
 
-  // Moves the clock, waking the router whenever it asked to be.
+  // Advances the clock by `by` microseconds and calls the router at each wake-up that it asked for.
   void advance(Time by) {
     const Time until = now + by;
     while (router.next_wakeup() <= until) {
@@ -131,10 +132,10 @@
     if (ended.contains(request)) sent_after_end = true;
   }
   void cancel(RequestId request, std::uint32_t attempt) override { cancels.emplace_back(request, attempt); }
-  void reject(RequestId request, Time) override { end(request, "refused"); }
+  void reject(RequestId request, Time) override { end(request, "rejected"); }
   void fail(RequestId request) override { end(request, "failed"); }
   void close_idle(ServerId server) override { closes.emplace_back(server, now); }
-  void poll_discovery() override { watches.push_back(now); }
+  void poll_discovery() override { polls.push_back(now); }
 
   std::size_t sends_of(RequestId request) const {
     std::size_t count = 0;
@@ -148,7 +149,7 @@
   std::vector<std::pair<RequestId, std::uint32_t>> cancels;
   std::map<RequestId, std::string> ended;
   std::map<RequestId, std::uint32_t> attempts;
-  std::vector<Time> watches;
+  std::vector<Time> polls;
   std::vector<std::pair<ServerId, Time>> closes;
   bool sent_after_end = false, ended_twice = false;
   Router router;
--- a/tests/policy/idle_connections_test.cpp
+++ b/tests/policy/idle_connections_test.cpp
@@ -1,4 +1,4 @@
-// The idle connections that the module remembers, by themselves.
+// Unit tests of IdleConnections.
 #include "policy/idle_connections.h"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,9 @@
   void poll_discovery() override {}
 };
 
-// Where connections are kept for good one that is never used again stands first in its queue for good.
-TEST(IdleConnections, HoldNoMoreThanAFewForEachEndpointHoweverOftenTheyAreUsed) {
+// Guards against unbounded growth of the queues: if connections never expire, an entry that is never used
+// again stays at the front, and stale entries behind it must be removed.
+TEST(IdleConnections, ConnectionsUsedOften_QueuesStayBounded) {
   Config config;
   config.classes = {{200'000, 1'000'000, 1, Effect::safe, Group::all, 0}};
   NullSink sink;
@@ -41,7 +42,7 @@
     most = std::max(most, connections.queued());
   }
   EXPECT_LE(most, 2 * 3 + 64 + 1U);
-  EXPECT_GE(connections.queued(), 3U);  // each endpoint's last use is there
+  EXPECT_GE(connections.queued(), 3U);  // at least the last use of each endpoint
 }
 
 }  // namespace
--- a/tests/policy/limits_test.cpp
+++ b/tests/policy/limits_test.cpp
@@ -1,4 +1,4 @@
-// Budgets, concurrency limits and quotas, each by itself.
+// Unit tests of budgets, concurrency limits and quotas.
 #include <gtest/gtest.h>
 
 #include "policy/cache_limit.h"
@@ -11,7 +11,7 @@
 namespace streampick::policy::test {
 namespace {
 
-TEST(TokenBucket, RefillsToItsCapacityAndGivesWholeTokensOnly) {
+TEST(TokenBucket, Refill_AddsTokensUpToTheCapacityAndOnlyWholeTokensAreTaken) {
   TokenBucket bucket(2);
   bucket.refill(5);
   EXPECT_TRUE(bucket.try_take());
@@ -23,15 +23,15 @@
   EXPECT_TRUE(bucket.try_take());
 }
 
-TEST(RetryBudgetAlone, OnlyRetriesBehindWhatMayHaveRunCost) {
+TEST(RetryBudgetUnit, RetryAfterAnAttemptThatMayHaveRun_TakesAToken) {
   RetryBudget budget;
   for (int i = 0; i < 10; ++i) {
     EXPECT_TRUE(budget.try_retry(Outcome::error));
   }
   EXPECT_FALSE(budget.try_retry(Outcome::timeout));
-  for (const Outcome free :
+  for (const Outcome outcome :
        {Outcome::overloaded, Outcome::connect_failed, Outcome::not_sent, Outcome::miss}) {
-    EXPECT_TRUE(budget.try_retry(free));
+    EXPECT_TRUE(budget.try_retry(outcome));
   }
   budget.on_first_attempt();
   budget.on_first_attempt();
@@ -39,7 +39,7 @@
   EXPECT_FALSE(budget.try_retry(Outcome::reset));
 }
 
-TEST(ConcurrencyLimitAlone, BelowOneItPausesForItsShareOfTheWork) {
+TEST(ConcurrencyLimitUnit, LimitBelowOne_PausesInProportionToTheDuration) {
   ConcurrencyLimit limit;
   limit.set_value(0.25);
   EXPECT_TRUE(limit.has_capacity(0, 0));
@@ -54,24 +54,25 @@
   EXPECT_EQ(limit.resumes_at(), 350);
 }
 
-TEST(CacheLimitAlone, IsCutWhileCongestedAndRaisedWhileInUse) {
+TEST(CacheLimitUnit, LimitInUse_IsIncreasedAndUnderCongestionDecreased) {
   CongestionEstimate congestion;
   CacheLimit limit(congestion);
   EXPECT_TRUE(limit.initialize(1));
   EXPECT_FALSE(limit.initialize(5));
   EXPECT_TRUE(limit.try_admit(0, 2.9));
   EXPECT_FALSE(limit.try_admit(0, 3));
-  limit.adjust({.in_flight = 0, .per_router_share = 1});  // it shed one: 3.6
+  limit.adjust({.in_flight = 0, .per_router_share = 1});  // in use, because it shed a request: 3.6
   EXPECT_TRUE(limit.try_admit(0, 3.5));
   limit.adjust({.in_flight = 0, .per_router_share = 1});  // not in use
   EXPECT_FALSE(limit.try_admit(0, 3.6));
   congestion.record_latency_share(10 * kSecond, 1);
-  limit.adjust({.in_flight = 0, .per_router_share = 1});  // nine tenths of one, but one at a time at least
+  limit.adjust(
+      {.in_flight = 0, .per_router_share = 1});  // nine tenths of one, but at least one attempt at a time
   EXPECT_TRUE(limit.try_admit(0, 0.9));
   EXPECT_FALSE(limit.try_admit(0, 1));
 }
 
-TEST(OriginLimitAlone, GrowsInUseAndIsCutOnceARoundTrip) {
+TEST(OriginLimitUnit, LimitInUse_GrowsAndIsDecreasedOncePerRoundTrip) {
   constexpr Time kObjective = 1'000'000;
   OriginLimit limit;
   limit.initialize(1);
@@ -91,7 +92,7 @@
   EXPECT_DOUBLE_EQ(limit.value(), 4.25 * 0.8);
 }
 
-TEST(OriginLimitAlone, ReadsHaveAPartOfThePlacesBesideWrites) {
+TEST(OriginLimitUnit, WritesInFlight_LeaveAShareOfTheLimitToReads) {
   OriginLimit limit;
   limit.initialize(1);
   EXPECT_TRUE(limit.allows_read_beside_writes(0, 9, 8));
@@ -100,7 +101,7 @@
   EXPECT_FALSE(limit.allows_write(5));
 }
 
-TEST(OriginLimitAlone, ALeaseEndsAtItsTime) {
+TEST(OriginLimitUnit, LeaseThatHasEnded_AllowsOnlyTheReservedAttempts) {
   OriginLimit limit;
   EXPECT_TRUE(limit.lease_allows(0, 1'000'000));
   Shares shares;
@@ -113,7 +114,7 @@
   EXPECT_FALSE(limit.lease_allows(100, 1));
 }
 
-TEST(TenantQuotasAlone, AnEvenShareUntilTheHostGivesAnother) {
+TEST(TenantQuotasUnit, WithoutASharedRate_TheShareIsEven) {
   Config config;
   config.routers = 10;
   config.tenants = {{100}, {0}};
@@ -128,7 +129,7 @@
     }
     return count;
   };
-  EXPECT_EQ(admitted(0, 100 * kSecond), 22);  // 10 a second: two seconds' worth and two
+  EXPECT_EQ(admitted(0, 100 * kSecond), 22);  // 10 per second: the tokens of two seconds, plus two
   EXPECT_EQ(admitted(0, 101 * kSecond), 10);
   EXPECT_EQ(admitted(1, 101 * kSecond), 200);      // has no quota
   EXPECT_EQ(admitted(kNone, 101 * kSecond), 200);  // no tenant
--- a/tests/policy/many_routers_test.cpp
+++ b/tests/policy/many_routers_test.cpp
@@ -1,4 +1,4 @@
-// Many routers on one fleet: what they send is summed, as the endpoints feel it.
+// Many routers that share a fleet: the tests check the total load on the endpoints.
 #include <gtest/gtest.h>
 
 #include "fake_host.h"
@@ -6,26 +6,26 @@
 namespace streampick::test {
 namespace {
 
-// One popular key must not send a starting server more than its warm-up share of the key's reads.
-TEST(ManyRouters, APopularKeyDoesNotBuryAWarmingUpEndpoint) {
+// With one popular key, a server in slow start must not get more than its share of the reads of that key.
+TEST(ManyRouters, PopularKey_DoesNotOverloadAnEndpointInSlowStart) {
   FakeHost warm;
   warm.request(1, 0, 42);
-  const ServerId home = warm.sends[0].server;
-  int cold = 0;
+  const ServerId endpoint = warm.sends[0].server;
+  int sent_to_cold = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Config config = FakeHost::hedging_config();
     config.routers = 200;
     FakeHost host(config, 6, seed);
-    host.list[home].started = host.now;
-    host.router.on_members(host.now, Update::changes, std::span(&host.list[home], 1));
+    host.list[endpoint].started = host.now;
+    host.router.on_members(host.now, Update::changes, std::span(&host.list[endpoint], 1));
     host.request(1, 0, 42);
-    cold += host.sends[0].server == home ? 1 : 0;
+    sent_to_cold += host.sends[0].server == endpoint ? 1 : 0;
   }
-  EXPECT_GT(cold, 0);
-  EXPECT_LT(cold, 80);  // a fifth of the capacity is there: 40 expected of 200
+  EXPECT_GT(sent_to_cold, 0);
+  EXPECT_LT(sent_to_cold, 80);  // the capacity share is a fifth: 40 of 200 are expected
 }
 
-TEST(ManyRouters, AWarmingUpEndpointGetsNoRetriesAndNoHedges) {
+TEST(ManyRouters, EndpointInSlowStart_GetsNoRetriesAndNoHedgedRequests) {
   FakeHost host(FakeHost::hedging_config());
   for (ServerId id = 0; id < 5; ++id) host.list[id].started = host.now;
   host.router.on_members(host.now, Update::changes, host.list);
@@ -38,8 +38,8 @@
   for (const Send& sent : host.sends) EXPECT_TRUE(sent.server >= 5 || sent.attempt == 0);
 }
 
-// A floor of one read at each of hundreds of routers is above what the origin can do.
-TEST(ManyRouters, OriginReadsOfAllRoutersStayAShareOfTheWhole) {
+// With a minimum limit of one read for each of hundreds of routers, the origin would be overloaded.
+TEST(ManyRouters, SlowOrigin_ReadsOfAllRoutersTogetherStayLimited) {
   constexpr int kRouters = 60;
   int at_origin = 0;
   for (std::uint64_t seed = 1; seed <= kRouters; ++seed) {
@@ -47,36 +47,38 @@
     config.routers = kRouters;
     FakeHost host(config, 6, seed);
     RequestId id = 0;
-    for (int step = 0; step < 300; ++step) {  // misses; the origin answers fast for two seconds, then slowly
+    for (int step = 0; step < 300;
+         ++step) {  // each read misses; the origin answers fast for two seconds, then slowly
       ++id;
       host.request(id, 0, id);
-      const bool cached = !host.sends.empty() && host.sends.back().request == id;
-      if (cached && host.sends.back().server != kOrigin) host.result(host.sends.size() - 1, Outcome::miss);
+      const bool sent_to_cache = !host.sends.empty() && host.sends.back().request == id;
+      if (sent_to_cache && host.sends.back().server != kOrigin)
+        host.result(host.sends.size() - 1, Outcome::miss);
       host.advance(100 * kMs);
       for (std::size_t i = 0; i < host.sends.size(); ++i)
-        if (host.sends[i].live && host.sends[i].server == kOrigin &&
+        if (host.sends[i].in_flight && host.sends[i].server == kOrigin &&
             host.now - host.sends[i].at >= (step < 20 ? 1 : 700) * kMs)
           host.result(i, Outcome::served);
     }
     for (const Send& sent : host.sends)
       at_origin += sent.server == kOrigin && host.now - sent.at < 3'000 * kMs ? 1 : 0;
   }
-  // One at a time each would be 4 in these three seconds, 240 together.
+  // One read at a time would be 4 per router in these three seconds, 240 in total.
   EXPECT_GT(at_origin, 0);
   EXPECT_LT(at_origin, 160);
 }
 
-TEST(ManyRouters, TheFirstHedgesOfAllRoutersStayAShareOfTheWhole) {
-  int copies = 0;
+TEST(ManyRouters, FirstHedgedRequestsOfAllRouters_StayWithinTheSharedBudget) {
+  int hedges = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Config config = FakeHost::hedging_config();
     config.routers = 200;
     FakeHost host(config, 6, seed);
     host.request(1, 0, seed);
     host.advance(900 * kMs);
-    copies += static_cast<int>(host.sends.size()) - 1;
+    hedges += static_cast<int>(host.sends.size()) - 1;
   }
-  EXPECT_LT(copies, 20);
+  EXPECT_LT(hedges, 20);
 }
 
 }  // namespace
--- a/tests/policy/origin_reads_test.cpp
+++ b/tests/policy/origin_reads_test.cpp
@@ -1,4 +1,4 @@
-// Reads and writes at the origin: single flight, the limit, stalled reads.
+// Reads and writes at the origin: single flight, the concurrency limit and stalled reads.
 #include <gtest/gtest.h>
 
 #include "fake_host.h"
@@ -6,7 +6,7 @@
 namespace streampick::test {
 namespace {
 
-TEST(OriginReads, EqualKeysShareOneRead) {
+TEST(OriginReads, SameKey_IsReadOnceFromTheOrigin) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 5);
   host.request(2, 0, 5);
@@ -20,7 +20,7 @@
   EXPECT_EQ(host.sends[3].server, filled);
 }
 
-TEST(OriginReads, ReadsInFlightAreLimitedAndWritesAreNotStarved) {
+TEST(OriginReads, ManyMisses_ReadsInFlightAreLimitedAndWritesStillSent) {
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 40; ++id) {
     host.request(id, 0, id);
@@ -34,7 +34,7 @@
   EXPECT_EQ(host.sends_of(99), 1U);
 }
 
-// A read that the origin answers at once, after `took`.
+// A read that misses and is answered by the origin after `took` microseconds.
 void read_through(FakeHost& host, RequestId id, Time took) {
   host.request(id, 0, id * 7919);
   host.result(host.sends.size() - 1, Outcome::miss);
@@ -43,7 +43,7 @@
   host.result(host.sends.size() - 1, Outcome::served);
 }
 
-TEST(StalledOriginReads, AReadThatManyOvertookIsRetriedOnce) {
+TEST(StalledOriginReads, ReadOvertakenByManyOthers_IsSentAgainOnce) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 1);
   host.result(0, Outcome::miss);
@@ -60,21 +60,21 @@
   EXPECT_EQ(host.ended[1], "served");
 }
 
-TEST(StalledOriginReads, ASlowOriginIsNotAskedTwice) {
+TEST(StalledOriginReads, SlowOrigin_ReadsAreNotSentAgain) {
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 4; ++id) {
     host.request(id, 0, id * 7919);
     host.result(host.sends.size() - 1, Outcome::miss);
   }
   const std::size_t before = host.sends.size();
-  host.advance(3'000 * kMs);  // nobody overtakes anybody
+  host.advance(3'000 * kMs);  // no read is answered, so none is overtaken
   EXPECT_TRUE(host.cancels.empty());
   EXPECT_EQ(host.sends.size(), before);
 }
 
-TEST(StalledOriginReads, AStalledReadLeavesItsPlaceToOthers) {
+TEST(StalledOriginReads, StalledReads_DoNotCountAgainstTheLimit) {
   FakeHost host(FakeHost::hedging_config());
-  // As many as may be out at first, on connections that say nothing, and one that goes on.
+  // Three reads, on connections that never answer, use all but one of the initial limit.
   for (RequestId id = 1; id <= 3; ++id) {
     host.request(id, 0, id * 104'729);
     host.result(host.sends.size() - 1, Outcome::miss);
@@ -82,7 +82,7 @@
   for (RequestId id = 10; id <= 60; ++id) read_through(host, id, 5 * kMs);
   host.advance(400 * kMs);
   EXPECT_EQ(host.cancels.size(), 3U);
-  // Four more at once, where one place was left before.
+  // Four more reads are sent at once, where the limit had room for one before.
   const std::size_t before = host.sends.size();
   for (RequestId id = 100; id < 104; ++id) {
     host.request(id, 0, id * 7919);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Outlier ejection of one endpoint and of its failure domains.
+// Unit tests of outlier ejection, for a single endpoint and for its failure domains.
 #include "policy/outlier_detector.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
     detector_.record_failure(endpoint(), scope, now);
   }
   Endpoint& endpoint() { return endpoints_.at(0); }
-  Endpoint& neighbour() { return endpoints_.at(1); }  // of the same zone and cell
+  Endpoint& neighbour() { return endpoints_.at(1); }  // in the same zone and cell
 
  private:
   EndpointTable endpoints_;
@@ -30,7 +30,7 @@
   OutlierDetector detector_{random_};
 };
 
-TEST_F(OutlierDetection, TheThirdFailureInARowEjectsForAboutASecond) {
+TEST_F(OutlierDetection, ThirdConsecutiveFailure_EjectsForAboutOneSecond) {
   fail(0);
   fail(0);
   EXPECT_FALSE(OutlierDetector::is_ejected(endpoint(), 0));
@@ -40,7 +40,7 @@
   EXPECT_FALSE(OutlierDetector::is_ejected(neighbour(), 0));
 }
 
-TEST_F(OutlierDetection, EjectionsGrowToEightSecondsAndAnAnswerEndsThem) {
+TEST_F(OutlierDetection, RepeatedEjections_GrowToEightSecondsAndEndWithAnAnswer) {
   Time now = 0;
   for (int i = 0; i < 20; ++i) {
     fail(now);
@@ -54,7 +54,7 @@
   EXPECT_FALSE(OutlierDetector::is_ejected(endpoint(), now));
 }
 
-TEST_F(OutlierDetection, BehindAnEjectionOneTrialIsOutAtATime) {
+TEST_F(OutlierDetection, AfterAnEjection_OneTrialAttemptAtATimeIsAllowed) {
   for (int i = 0; i < 3; ++i) {
     fail(0);
   }
@@ -64,14 +64,14 @@
   EXPECT_TRUE(OutlierDetector::is_ejected(endpoint(), later));
 }
 
-TEST_F(OutlierDetection, FailuresOfTheDomainEjectItsOtherEndpointsToo) {
+TEST_F(OutlierDetection, FailuresOfADomain_EjectItsOtherEndpoints) {
   for (int i = 0; i < 3; ++i) {
     fail(0, FailureScope::failure_domain);
   }
   EXPECT_TRUE(OutlierDetector::is_ejected(neighbour(), 0));
   OutlierDetector::record_success(neighbour(), 0);
   EXPECT_FALSE(OutlierDetector::is_ejected(neighbour(), 0));
-  EXPECT_TRUE(OutlierDetector::is_ejected(endpoint(), 0));  // by itself
+  EXPECT_TRUE(OutlierDetector::is_ejected(endpoint(), 0));  // still ejected by its own state
 }
 
 }  // namespace
--- a/tests/policy/rendezvous_tree_test.cpp
+++ b/tests/policy/rendezvous_tree_test.cpp
@@ -1,4 +1,4 @@
-// The tree of a large fleet: it finds what a walk over all would, and a change moves only what it must.
+// Unit tests of RendezvousTree: keys are placed by weight, and a change moves only the keys that it has to.
 #include "policy/rendezvous_tree.h"
 
 #include <gtest/gtest.h>
@@ -30,14 +30,14 @@
     }
   return best;
 }
-RendezvousTree of(std::size_t servers) {
+RendezvousTree tree_of(std::size_t servers) {
   RendezvousTree tree;
   for (ServerId id = 0; id < servers; ++id) tree.insert({hash(id + 1), id, 1});
   return tree;
 }
 
-TEST(RendezvousTree, AFewServersAreOneLeafInTheOrderOfTheirIdentities) {
-  RendezvousTree tree = of(RendezvousTree::kMaxLeafSize);
+TEST(RendezvousTree, FewServers_AreOneLeafSortedByIdentity) {
+  RendezvousTree tree = tree_of(RendezvousTree::kMaxLeafSize);
   EXPECT_FALSE(tree.is_split());
   const auto& all = tree.leaf(3, rank);
   ASSERT_EQ(all.size(), RendezvousTree::kMaxLeafSize);
@@ -47,11 +47,11 @@
   EXPECT_LT(tree.leaf(3, rank).size(), RendezvousTree::kMaxLeafSize);
 }
 
-TEST(RendezvousTree, KeysComeToServersByTheirWeights) {
-  RendezvousTree tree = of(300);
+TEST(RendezvousTree, Keys_AreDistributedByWeight) {
+  RendezvousTree tree = tree_of(300);
   tree.set_weight({hash(8), 7, 4});
   std::map<ServerId, int> held;
-  constexpr int kKeys = 303'000;  // 1,000 to each unit of weight
+  constexpr int kKeys = 303'000;  // 1,000 per unit of weight
   for (int key = 0; key < kKeys; ++key) ++held[place(tree, hash(static_cast<std::uint64_t>(key) + 77))];
   EXPECT_EQ(held.size(), 300U);
   EXPECT_NEAR(held[7], 4'000, 300);
@@ -59,8 +59,8 @@
     if (id != 7) EXPECT_NEAR(count, 1'000, 200) << id;
 }
 
-TEST(RendezvousTree, AServerThatLeavesTakesOnlyItsOwnKeysWithIt) {
-  RendezvousTree tree = of(2'000);
+TEST(RendezvousTree, ServerThatLeaves_MovesItsOwnKeysAndFewOthers) {
+  RendezvousTree tree = tree_of(2'000);
   std::vector<ServerId> at;
   for (std::uint64_t key = 0; key < 40'000; ++key) at.push_back(place(tree, hash(key)));
   tree.erase({hash(500), 499, 0});
@@ -73,14 +73,15 @@
     others += now != at[key] && at[key] != 499 ? 1 : 0;
   }
   EXPECT_GT(own, 0);
-  // A lighter part gives up keys to the others: those of one server's weight at each of its levels.
+  // A subtree that loses weight also loses keys to other subtrees: at each level about as many as one server
+  // has.
   EXPECT_LE(others, 4 * own + 20);
   EXPECT_GE(moved, own);
   tree.insert({hash(500), 499, 1});
   for (std::uint64_t key = 0; key < at.size(); ++key) ASSERT_EQ(place(tree, hash(key)), at[key]);
 }
 
-TEST(RendezvousTree, WhatComesAndGoesLeavesItAsIfMadeAnew) {
+TEST(RendezvousTree, ManyInsertionsAndRemovals_KeepKeysOnPresentServersAndLeaveNoResidue) {
   std::mt19937_64 random(11);
   RendezvousTree tree;
   std::map<ServerId, Entry> held;
@@ -98,12 +99,12 @@
   for (const auto& [id, entry] : held) tree.erase(entry);
   EXPECT_FALSE(tree.is_split());
   EXPECT_TRUE(tree.leaf(1, rank).empty());
-  tree.erase({hash(1), 0, 0});  // one that is not there
+  tree.erase({hash(1), 0, 0});  // an entry that is not present
   EXPECT_TRUE(tree.leaf(1, rank).empty());
 }
 
-// Without the last level that splits, identities that are alike would be split for ever.
-TEST(RendezvousTree, IdentitiesThatAreAllAlikeAreOneLeaf) {
+// Guards against unbounded recursion: equal identities cannot be separated by further splits.
+TEST(RendezvousTree, EqualIdentities_AreOneLeaf) {
   RendezvousTree tree;
   for (ServerId id = 0; id < 100; ++id) tree.insert({42, id, 1});
   EXPECT_EQ(tree.leaf(1, rank).size(), 100U);
--- a/tests/policy/replay_test.cpp
+++ b/tests/policy/replay_test.cpp
@@ -1,6 +1,6 @@
-// The module's actions on event streams that are the same every time: a world drawn from a seed, with servers
-// that answer, miss, stall, break and leave. A change of the text alone must leave every digest as it is; a
-// change of what is decided changes them, and whoever makes it puts the new ones here on purpose.
+// Regression tests of the module's actions on reproducible event streams, from a simulation with a fixed seed
+// and with servers that answer, miss, stall, fail and leave. Refactoring must not change the digests. A
+// change that modifies decisions on purpose also updates the digests here.
 #include <gtest/gtest.h>
 
 #include "world.h"
@@ -11,96 +11,101 @@
 constexpr Time kMs = kWorldMs;
 
 struct Recorded {
-  Shape shape;
-  std::uint64_t sends, cancels, refused, failed, digest;
+  Scenario scenario;
+  std::uint64_t sends, cancels, rejected, failed, digest;
 };
 
-void PrintTo(const Recorded& recorded, std::ostream* out) { *out << recorded.shape.name; }
+void PrintTo(const Recorded& recorded, std::ostream* out) { *out << recorded.scenario.name; }
 
 class Replay : public ::testing::TestWithParam<Recorded> {};
 
-TEST_P(Replay, TheSameEventsHaveTheSameActions) {
+TEST_P(Replay, SameEvents_GiveTheRecordedActions) {
   const Recorded& recorded = GetParam();
-  World world(recorded.shape);
+  Simulation simulation(recorded.scenario);
   constexpr int kRequests = 6'000;
-  const Tally& tally = world.run(kRequests);
-  EXPECT_EQ(world.unanswered(), 0U);
-  EXPECT_EQ(tally.sends, recorded.sends);
-  EXPECT_EQ(tally.cancels, recorded.cancels);
-  EXPECT_EQ(tally.refused, recorded.refused);
-  EXPECT_EQ(tally.failed, recorded.failed);
-  EXPECT_EQ(tally.digest, recorded.digest) << std::hex << tally.digest;
+  const ActionCounts& counts = simulation.run(kRequests);
+  EXPECT_EQ(simulation.unanswered(), 0U);
+  EXPECT_EQ(counts.sends, recorded.sends);
+  EXPECT_EQ(counts.cancels, recorded.cancels);
+  EXPECT_EQ(counts.rejected, recorded.rejected);
+  EXPECT_EQ(counts.failed, recorded.failed);
+  EXPECT_EQ(counts.digest, recorded.digest) << std::hex << counts.digest;
 }
 
-// All that was learned stays: the decisions are the very same.
-TEST_P(Replay, SettingsGivenAnewChangeNothing) {
-  World world(GetParam().shape);
-  world.give_settings_each(50);
-  EXPECT_EQ(world.run(6'000).digest, GetParam().digest);
+// Equal settings that are applied again must not reset any statistics, so all decisions stay the same.
+TEST_P(Replay, EqualSettingsAppliedAgain_ChangeNoAction) {
+  Simulation simulation(GetParam().scenario);
+  simulation.reapply_settings_every(50);
+  EXPECT_EQ(simulation.run(6'000).digest, GetParam().digest);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Worlds, Replay,
+    Scenarios, Replay,
     ::testing::Values(
         Recorded{{"calm", 1, 12, 4 * kMs, 5 * kMs, 2, false}, 6751, 1, 0, 1, 858496981135532026U},
         Recorded{{"crowded", 2, 8, 400, 40 * kMs, 20, false}, 2427, 52, 3909, 5, 11098090637783249614U},
         Recorded{{"broken", 3, 12, 3 * kMs, 20 * kMs, 250, false}, 7825, 204, 484, 335, 7187445829489056272U},
         Recorded{{"changing", 4, 12, 2 * kMs, 15 * kMs, 30, true}, 6949, 66, 11, 29, 4243912813175842721U},
         Recorded{{"large", 5, 200, 500, 10 * kMs, 30, true}, 6913, 27, 10, 35, 12015519027665592372U}),
-    [](const auto& info) { return info.param.shape.name; });
+    [](const auto& info) { return info.param.scenario.name; });
 
-// All caches stand still for 2 s while requests go on, and then answer all that waited at once.
-TEST(AfterAStall, NothingComesAsAWave) {
-  constexpr Time kEvery = 5 * kMs;
-  World world({"stalled", 9, 12, kEvery, 10 * kMs, 0, false, 2'000 * kMs, 4'000 * kMs, true});
-  world.run(1'600);
-  std::map<Time, int> sends;  // by tenths of a second
-  for (const Time at : world.sent_at()) ++sends[at / (100 * kMs)];
+// All caches stop answering for 2 s while requests continue to arrive, and then answer all waiting requests
+// at once.
+TEST(AfterAStall, WaitingRequests_CauseNoBurstOfAttempts) {
+  constexpr Time kMeanInterval = 5 * kMs;
+  Simulation simulation(
+      {"stalled", 9, 12, kMeanInterval, 10 * kMs, 0, false, 2'000 * kMs, 4'000 * kMs, true});
+  simulation.run(1'600);
+  std::map<Time, int> sends;  // by tenth of a second, in simulated time
+  for (const Time at : simulation.sent_at()) ++sends[at / (100 * kMs)];
   int most = 0, before = 0;
   for (const auto& [tenth, count] : sends) {
     if (tenth < 20) before = std::max(before, count);
     if (tenth >= 40 && tenth < 60) most = std::max(most, count);
   }
-  EXPECT_EQ(world.unanswered(), 0U);
+  EXPECT_EQ(simulation.unanswered(), 0U);
   EXPECT_LE(most, 2 * before);
 }
 
-// Five caches that can do 625 requests a second together, asked 500; an eighth are writes, for the origin.
-Shape bounded(const char* name) {
-  Shape out{name, 21, 5, 2'000, 16 * kMs, 0, false};
-  out.come_back = true;
+// Five caches with a total capacity of 625 requests per second and a load of 500 per second, of which an
+// eighth are writes, which go to the origin.
+Scenario limited_capacity(const char* name) {
+  Scenario out{name, 21, 5, 2'000, 16 * kMs, 0, false};
+  out.clients_retry = true;
   out.slots = 2;
-  out.line = 8;
-  out.origin_slots = 7;  // 109 a second where 64 are asked: 1.7 times that
+  out.queue_length = 8;
+  out.origin_slots = 7;  // a capacity of 109 per second for a load of 64 per second
   return out;
 }
 
-TEST(Burst, FourTimesTheLoadForTenSecondsAndBackCostsOnlyWhatIsTooMuch) {
-  Shape shape = bounded("burst");
-  shape.burst_from = 5'000 * kMs;
-  shape.burst_to = 15'000 * kMs;
-  shape.burst = 4;
-  World world(shape);
-  world.run(26'000);
-  EXPECT_EQ(world.unanswered(), 0U);
-  for (const auto& [second, is] : world.seconds()) {
+TEST(Burst, FourTimesTheLoadForTenSeconds_OnlyTheExcessIsRejected) {
+  Scenario scenario = limited_capacity("burst");
+  scenario.burst_from = 5'000 * kMs;
+  scenario.burst_to = 15'000 * kMs;
+  scenario.burst_factor = 4;
+  Simulation simulation(scenario);
+  simulation.run(26'000);
+  EXPECT_EQ(simulation.unanswered(), 0U);
+  for (const auto& [second, counts] : simulation.seconds()) {
     const bool burst = second >= 6 && second < 15, after = second >= 18 && second < 23;
-    EXPECT_TRUE(!burst || is.good >= 560) << second << ": " << is.good;  // nine tenths of what can be done
-    EXPECT_TRUE(!after || is.good >= is.asked * 95 / 100) << second << ": " << is.good;
+    EXPECT_TRUE(!burst || counts.in_time >= 560)
+        << second << ": " << counts.in_time;  // nine tenths of the capacity
+    EXPECT_TRUE(!after || counts.in_time >= counts.requests * 95 / 100) << second << ": " << counts.in_time;
   }
 }
 
-// With the refused who come back more is written than the origin can do, for as long as the caches are empty:
-// were writes always first, no read would ever fill them again.
-TEST(Flush, NineInTenCopiesVoidAtOnceDoNotPushTheOriginOver) {
-  Shape shape = bounded("flush");
-  shape.flush_at = 5'000 * kMs;
-  World world(shape);
-  world.run(15'000);
-  EXPECT_EQ(world.unanswered(), 0U);
-  EXPECT_LE(world.most_at_origin(), 3 * shape.origin_slots);
-  for (const auto& [second, is] : world.seconds())
-    EXPECT_TRUE(second < 25 || second >= 30 || is.good >= is.asked * 85 / 100) << second << ": " << is.good;
+// While the caches are empty, writes including the retries of rejected clients exceed the capacity of the
+// origin. If writes always had priority, no read would fill the caches again.
+TEST(Flush, NineInTenCachedValuesLostAtOnce_DoNotOverloadTheOrigin) {
+  Scenario scenario = limited_capacity("flush");
+  scenario.flush_at = 5'000 * kMs;
+  Simulation simulation(scenario);
+  simulation.run(15'000);
+  EXPECT_EQ(simulation.unanswered(), 0U);
+  EXPECT_LE(simulation.max_at_origin(), 3 * scenario.origin_slots);
+  for (const auto& [second, counts] : simulation.seconds())
+    EXPECT_TRUE(second < 25 || second >= 30 || counts.in_time >= counts.requests * 85 / 100)
+        << second << ": " << counts.in_time;
 }
 
 }  // namespace
--- a/tests/policy/request_execution_test.cpp
+++ b/tests/policy/request_execution_test.cpp
@@ -1,4 +1,4 @@
-// The way of one request: hedges, retries after each outcome, the retry budget.
+// The execution of one request: hedged requests, retries after each outcome, and the retry budget.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 namespace streampick::test {
 namespace {
 
-TEST(RequestExecution, HedgesFollowAConstantDelayAndLosersAreCancelled) {
+TEST(RequestExecution, SlowRead_IsHedgedAtAConstantIntervalAndTheLosersAreCancelled) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 5);
   host.advance(4'000 * kMs - 1);
@@ -21,7 +21,7 @@
   EXPECT_EQ(host.cancels, losers);
 }
 
-TEST(RequestExecution, NoHedgesWhereASecondAttemptIsNotAllowed) {
+TEST(RequestExecution, HedgingDisabled_NoHedgedRequests) {
   Config config = FakeHost::hedging_config();
   config.can_hedge = false;
   FakeHost host(config);
@@ -30,7 +30,7 @@
   EXPECT_EQ(host.sends.size(), 1U);
 }
 
-TEST(RequestExecution, UnsafeRequestsAreNeverHedged) {
+TEST(RequestExecution, UnsafeRequest_IsNeverHedged) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 2, 5);
   host.request(2, 3, 6);
@@ -39,17 +39,18 @@
   EXPECT_EQ(host.sends_of(2), 1U);
 }
 
-TEST(RequestExecution, UnsafeRequestsAreRetriedOnlyWhenNothingRan) {
+TEST(RequestExecution, UnsafeRequest_IsRetriedOnlyIfNoAttemptRan) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 3, 5);
   host.result(0, Outcome::overloaded);
   EXPECT_EQ(host.sends_of(1), 2U);
   host.result(1, Outcome::reset);
   EXPECT_EQ(host.sends_of(1), 2U);
-  EXPECT_EQ(host.ended[1], "failed");  // it may have run: a refusal would invite a repeat
+  EXPECT_EQ(host.ended[1],
+            "failed");  // it may have run, so it is not rejected: a rejection invites the client to repeat it
 }
 
-TEST(RequestExecution, AMissIsReadFromTheOriginOnce) {
+TEST(RequestExecution, CacheMiss_IsReadFromTheOriginOnce) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 5);
   host.result(0, Outcome::miss);
@@ -59,13 +60,13 @@
   EXPECT_EQ(host.sends.size(), 2U);
 }
 
-TEST(RequestExecution, WritesGoToTheOrigin) {
+TEST(RequestExecution, Write_GoesToTheOrigin) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 1, 5);
   EXPECT_EQ(host.sends.back().server, kOrigin);
 }
 
-TEST(RequestExecution, AWriteWithAnIdempotencyKeyIsNotRejectedAfterItsWindow) {
+TEST(RequestExecution, WriteAfterItsIdempotencyWindow_FailsAndIsNotRejected) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 1, 5);
   host.advance(2'500 * kMs);
@@ -74,7 +75,7 @@
   EXPECT_EQ(host.ended[1], "failed");
 }
 
-TEST(RequestExecution, AQueuedRequestEndsAtTheDeadline) {
+TEST(RequestExecution, QueuedRequest_EndsAtItsDeadline) {
   FakeHost host(FakeHost::hedging_config(), 0);
   host.router.on_members(host.now, Update::full, {});
   host.request(1, 0, 5);
@@ -83,7 +84,7 @@
   EXPECT_EQ(host.ended.size(), 2U);
 }
 
-TEST(RequestExecution, ACancelledRequestIsLeftAlone) {
+TEST(RequestExecution, CancelledRequest_CausesNoFurtherActions) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 5);
   host.router.on_cancelled(host.now, 1);
@@ -93,7 +94,7 @@
   EXPECT_TRUE(host.ended.empty());
 }
 
-TEST(BrokenAnswers, EndpointsThatAllBreakSomeAnswersAreNotEjected) {
+TEST(BrokenAnswers, SomeBrokenAnswersOfEachEndpoint_CauseNoEjection) {
   FakeHost host(FakeHost::hedging_config());
   RequestId id = 0;
   std::map<ServerId, int> asked;
@@ -110,7 +111,7 @@
   EXPECT_EQ(asked.size(), 1U);
 }
 
-TEST(BrokenAnswers, AConnectionThatBreaksIsNoFailureOfItsEndpoint) {
+TEST(BrokenAnswers, SingleConnectionResets_CauseNoEjection) {
   FakeHost host(FakeHost::hedging_config());
   std::map<ServerId, int> asked;
   for (RequestId id = 1; id <= 40; ++id) {
@@ -126,42 +127,42 @@
   EXPECT_EQ(asked.size(), 1U);
 }
 
-TEST(BrokenAnswers, AnEndpointThatBreaksAllAnswersIsPassedOver) {
+TEST(BrokenAnswers, EndpointWithOnlyBrokenAnswers_IsEjected) {
   FakeHost host(FakeHost::hedging_config());
   host.request(1, 0, 42);
   const ServerId bad = host.sends[0].server;
   RequestId id = 1;
   for (int i = 0; i < 30; ++i) {
     for (std::size_t send = 0; send < host.sends.size(); ++send)
-      if (host.sends[send].live)
+      if (host.sends[send].in_flight)
         host.result(send, host.sends[send].server == bad ? Outcome::malformed : Outcome::served);
     host.request(++id, 0, 42);
   }
   EXPECT_NE(host.sends.back().server, bad);
 }
 
-TEST(BrokenAnswers, AnUnsafeRequestIsNotRetriedAndOneWithAnIdempotencyKeyOnlyWithinItsWindow) {
-  for (const Outcome how : {Outcome::malformed, Outcome::reset}) {
+TEST(BrokenAnswers, UnsafeRequest_FailsAndOneWithAnIdempotencyKeyIsRetriedWithinItsWindow) {
+  for (const Outcome outcome : {Outcome::malformed, Outcome::reset}) {
     FakeHost host(FakeHost::hedging_config());
     for (const std::uint32_t request_class : {2U, 3U}) {
       host.request(request_class, request_class, 42);
-      host.result(host.sends.size() - 1, how);
+      host.result(host.sends.size() - 1, outcome);
       EXPECT_EQ(host.sends_of(request_class), 1U);
       EXPECT_EQ(host.ended[request_class], "failed");
     }
     host.request(1, 1, 42);
-    host.result(host.sends.size() - 1, how);
+    host.result(host.sends.size() - 1, outcome);
     EXPECT_EQ(host.sends_of(1), 2U);
     host.request(4, 1, 43);
     const std::size_t late = host.sends.size() - 1;
     host.advance(1'900 * kMs);
-    host.result(late, how);
+    host.result(late, outcome);
     EXPECT_EQ(host.sends_of(4), 1U);
     EXPECT_EQ(host.ended[4], "failed");
   }
 }
 
-TEST(BrokenAnswers, ARejectedRequestFailsAndIsNoFailureOfItsEndpoint) {
+TEST(BrokenAnswers, InvalidRequest_FailsWithoutAFailureOfItsEndpoint) {
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 10; ++id) {
     host.request(id, 0, 42);
@@ -172,12 +173,12 @@
   EXPECT_EQ(host.sends.size(), 10U);
 }
 
-TEST(RetryBudget, WhereAllFailsRetriesStayWithinTheBudget) {
+TEST(RetryBudget, AllAttemptsFail_RetriesStayWithinTheBudget) {
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 100; ++id) {
     host.request(id, 0, id * 7919);
     for (std::size_t i = 0; i < host.sends.size(); ++i)
-      if (host.sends[i].live) host.result(i, Outcome::error);
+      if (host.sends[i].in_flight) host.result(i, Outcome::error);
     host.advance(5 * kMs);
   }
   std::size_t sends = 0;
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -1,4 +1,4 @@
-// The whole module: discovery, settings, and the rules under a random but repeatable drive.
+// Tests of the whole module: discovery, settings, and invariants under reproducible random events.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,27 +11,28 @@
 namespace streampick::test {
 namespace {
 
-// News counts as told 6 s after discovery had it, whatever calls failed: the waits between them must not
-// grow. They are spread, so that a fleet does not come back as one.
-TEST(Discovery, PollsAgainAfterFailuresWithIntervalsThatStayShortAndDiffer) {
+// A change of the endpoint list must reach the routers within 6 s even if polls of discovery fail, so the
+// intervals between polls must not grow. Jitter keeps the routers of a fleet from polling at the same time.
+TEST(Discovery, FailedPolls_AreRepeatedAtShortIntervalsWithJitter) {
   Config config = FakeHost::hedging_config();
   config.polls_discovery = true;
   FakeHost host(config);
   host.router.on_members(host.now, Update::stale, host.list);
-  std::vector<Time> gaps;
+  std::vector<Time> intervals;
   for (int i = 0; i < 40; ++i) {
-    const std::size_t asked = host.watches.size();
-    while (host.watches.size() == asked) host.advance(10 * kMs);
-    if (i > 0) gaps.push_back(host.watches[asked] - host.watches[asked - 1]);
+    const std::size_t polls_before = host.polls.size();
+    while (host.polls.size() == polls_before) host.advance(10 * kMs);
+    if (i > 0) intervals.push_back(host.polls[polls_before] - host.polls[polls_before - 1]);
     host.router.on_members(host.now, Update::failed, {});
   }
-  const auto [least, most] = std::minmax_element(gaps.begin(), gaps.end());
+  const auto [least, most] = std::minmax_element(intervals.begin(), intervals.end());
   EXPECT_GE(*least, 150 * kMs);
-  EXPECT_LE(*most, 450 * kMs + 10 * kMs);  // roster::kAsked counts with 450, the test looks every 10
+  EXPECT_LE(*most,
+            450 * kMs + 10 * kMs);  // at most 450 ms by roster/watch_times.h; the test polls every 10 ms
   EXPECT_GT(*most - *least, 150 * kMs);
 }
 
-TEST(Discovery, AnEmptyListAnOriginAloneAndNoRoutersAreHandled) {
+TEST(Discovery, EmptyListOnlyAnOriginOrNoRouters_EachRequestEnds) {
   for (const std::uint32_t routers : {0U, 1U, 500U}) {
     Config config = FakeHost::hedging_config();
     config.routers = routers;
@@ -42,13 +43,13 @@
     host.request(3, 0, 6);
     host.advance(5'000 * kMs);
     for (std::size_t i = 0; i < host.sends.size(); ++i)
-      if (host.sends[i].live) host.result(i, Outcome::timeout);
+      if (host.sends[i].in_flight) host.result(i, Outcome::timeout);
     host.advance(100 * kMs);
     EXPECT_EQ(host.ended.size(), 3U);
   }
 }
 
-TEST(Configuration, InvalidSettingsAreRejectedWithAMessage) {
+TEST(Configuration, InvalidSettings_AreRejectedWithAMessage) {
   const auto reason = [](auto change) -> std::string {
     Config config = FakeHost::hedging_config();
     change(config);
@@ -73,7 +74,7 @@
   EXPECT_THROW(FakeHost host(none), std::invalid_argument);
 }
 
-TEST(Rules, HoldUnderRandomOutcomes) {
+TEST(Invariants, RandomOutcomes_EachRequestEndsOnceWithinItsAttempts) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     Config config = FakeHost::hedging_config();
     config.routers = seed % 2 == 0 ? 2 : 300;
@@ -82,26 +83,27 @@
     RequestId next = 0;
     for (int step = 0; step < 3'000; ++step) {
       if (random() % 2 == 0) host.request(++next, random() % 4, random() % 30);
-      std::vector<std::size_t> live;
+      std::vector<std::size_t> in_flight;
       for (std::size_t i = host.sends.size() > 60 ? host.sends.size() - 60 : 0; i < host.sends.size(); ++i)
-        if (host.sends[i].live) live.push_back(i);
-      if (!live.empty()) {
-        const std::size_t which = live[random() % live.size()];
-        const bool cached = host.sends[which].server != kOrigin;
-        const auto outcome = static_cast<Outcome>(random() % (cached ? 9 : 8));
+        if (host.sends[i].in_flight) in_flight.push_back(i);
+      if (!in_flight.empty()) {
+        const std::size_t index = in_flight[random() % in_flight.size()];
+        const bool sent_to_cache = host.sends[index].server != kOrigin;
+        const auto outcome = static_cast<Outcome>(random() % (sent_to_cache ? 9 : 8));
         if (random() % 3 != 0)
-          host.result(which, outcome);
+          host.result(index, outcome);
         else
-          host.result(which, Outcome::served);
+          host.result(index, Outcome::served);
       }
       host.advance(static_cast<Time>(random() % 20) * kMs);
     }
     host.advance(2'000 * kMs);
     for (std::size_t i = 0; i < host.sends.size(); ++i)
-      if (host.sends[i].live && !host.ended.contains(host.sends[i].request)) host.result(i, Outcome::timeout);
+      if (host.sends[i].in_flight && !host.ended.contains(host.sends[i].request))
+        host.result(i, Outcome::timeout);
     host.advance(6'000 * kMs);
     for (std::size_t i = 0; i < host.sends.size(); ++i)
-      if (host.sends[i].live) host.result(i, Outcome::timeout);
+      if (host.sends[i].in_flight) host.result(i, Outcome::timeout);
     EXPECT_EQ(host.ended.size(), next) << "a request was lost";
     EXPECT_FALSE(host.ended_twice);
     EXPECT_FALSE(host.sent_after_end);
@@ -109,8 +111,8 @@
   }
 }
 
-TEST(Rules, SameEventsSameActions) {
-  auto drive = [] {
+TEST(Invariants, SameEvents_GiveTheSameActions) {
+  auto run = [] {
     FakeHost host(FakeHost::hedging_config(), 6, 3);
     std::mt19937_64 random(5);
     for (RequestId id = 1; id < 800; ++id) {
@@ -122,7 +124,7 @@
     for (const Send& sent : host.sends) servers.push_back(sent.server);
     return servers;
   };
-  EXPECT_EQ(drive(), drive());
+  EXPECT_EQ(run(), run());
 }
 
 }  // namespace
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -1,5 +1,5 @@
-/// The slow-start budget in fleets of one to nine hundred routers: in no window do they send a starting
-/// server more than its budget and what chance adds, whatever the trouble around it.
+/// The slow start budget in fleets of 1 to 900 routers: in each window of time, all routers together send a
+/// starting server at most its budget plus an allowance for chance, in all failure scenarios.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -15,10 +15,10 @@
 struct FleetSize {
   std::size_t routers;
   ServerId servers;
-  double capacity;  // requests a second of one warm server
+  double capacity;  // requests per second of one warm server
   std::uint64_t seeds;
 
-  /// For the names of tests: without it they hold the object's bytes.
+  /// Used by GoogleTest to print the parameter; the default output is the bytes of the object.
   friend std::ostream& operator<<(std::ostream& out, const FleetSize& size) {
     return out << size.routers << " routers, " << size.servers << " servers";
   }
@@ -29,19 +29,19 @@
   SlowStartScenario scenario;
 };
 
-// Over all seeds: how many broke the bound, and the window with the least slack.
-struct Verdict {
-  std::uint64_t broken = 0;
-  SlowStartWorld::Window worst;
+// Result over all seeds: the number of runs that exceeded the bound, and the worst window.
+struct BudgetResult {
+  std::uint64_t exceeded = 0;
+  SlowStartSimulation::Window worst;
 };
 
-Verdict play(SlowStartScenario scenario, std::uint64_t seeds) {
-  Verdict out;
+BudgetResult simulate(SlowStartScenario scenario, std::uint64_t seeds) {
+  BudgetResult out;
   for (scenario.seed = 1; scenario.seed <= seeds; ++scenario.seed) {
-    SlowStartWorld world(scenario);
-    world.run();
-    const SlowStartWorld::Window window = world.worst_window();
-    if (window.over > 0) ++out.broken;
+    SlowStartSimulation simulation(scenario);
+    simulation.run();
+    const SlowStartSimulation::Window window = simulation.worst_window();
+    if (window.over > 0) ++out.exceeded;
     if (window.over > out.worst.over) out.worst = window;
   }
   return out;
@@ -69,7 +69,8 @@
 std::vector<NamedScenario> scenarios_of_recovery() {
   return {
       {"crashed", {.hot_share = 0.25, .start = StartKind::crashed}},
-      {"crashed, told late", {.hot_share = 0.25, .start = StartKind::crashed, .told_within = kWorldSecond}},
+      {"crashed, late notification",
+       {.hot_share = 0.25, .start = StartKind::crashed, .max_notice_delay = kWorldSecond}},
       {"unhealthy", {.hot_share = 0.25, .start = StartKind::unhealthy}},
       {"flapping", {.hot_share = 0.25, .start = StartKind::flapping}},
       {"routers restart", {.hot_share = 0.25, .routers_restart = true}},
@@ -84,20 +85,20 @@
       one.scenario.routers = size.routers;
       one.scenario.servers = size.servers;
       one.scenario.capacity = size.capacity;
-      const auto [broken, worst] = play(one.scenario, size.seeds);
-      EXPECT_EQ(broken, 0U) << one.name << ": " << worst.attempts << " attempts, at most " << worst.bound;
+      const auto [exceeded, worst] = simulate(one.scenario, size.seeds);
+      EXPECT_EQ(exceeded, 0U) << one.name << ": " << worst.attempts << " attempts, at most " << worst.bound;
       std::printf("%zu routers, %s: %zu of %.1f in the worst window\n", size.routers, one.name,
                   worst.attempts, worst.bound);
     }
   }
 };
 
-TEST_P(SlowStartBudget, HoldsUnderAPopularKey) { expect_within_budget(scenarios_of_load()); }
-TEST_P(SlowStartBudget, HoldsWithRetriesAndCacheFills) { expect_within_budget(scenarios_of_retries()); }
-TEST_P(SlowStartBudget, HoldsForRecoveredServers) { expect_within_budget(scenarios_of_recovery()); }
+TEST_P(SlowStartBudget, PopularKey_BudgetIsKept) { expect_within_budget(scenarios_of_load()); }
+TEST_P(SlowStartBudget, RetriesAndCacheFills_BudgetIsKept) { expect_within_budget(scenarios_of_retries()); }
+TEST_P(SlowStartBudget, RecoveredServer_BudgetIsKept) { expect_within_budget(scenarios_of_recovery()); }
 
-// A router gets 40 requests a second alone, 20 beside one other, 13.5 in fleets of 5 and 30; in the large
-// fleets it gets less, or the servers are larger.
+// Each router gets 40 requests per second in a fleet of one, 20 in a fleet of two, and 13.5 in fleets of 5
+// and 30. In the large fleets it gets less, or the servers have more capacity.
 INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartBudget,
                          ::testing::Values(FleetSize{1, 6, 15, 10}, FleetSize{2, 6, 15, 10},
                                            FleetSize{5, 10, 15, 10}, FleetSize{30, 60, 15, 4},
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,5 +1,6 @@
-/// What all routers of a fleet send to one starting server, each deciding alone: thirty and more modules in
-/// one world on virtual time, held to the budget without the wider allowance for small ones.
+/// The total load of all routers of a fleet on one starting server, where each router decides independently.
+/// The simulation runs thirty or more modules in virtual time, and applies the strict bound for small budgets
+/// as well.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -18,54 +19,54 @@
   std::size_t sent = 0;
 };
 
-BudgetTally play(SlowStartScenario fleet, std::uint64_t seeds) {
+BudgetTally simulate(SlowStartScenario fleet, std::uint64_t seeds) {
   BudgetTally out;
   for (fleet.seed = 1; fleet.seed <= seeds; ++fleet.seed) {
-    SlowStartWorld world(fleet);
-    out.sent += world.run();
-    const double over = world.worst_window(strict_slow_start_bound).over;
+    SlowStartSimulation simulation(fleet);
+    out.sent += simulation.run();
+    const double over = simulation.worst_window(strict_slow_start_bound).over;
     out.worst = std::max(out.worst, over);
     out.over += over > 0 ? 1 : 0;
   }
   return out;
 }
 
-TEST(ColdFleet, ThirtyRoutersStayWithinTheServersBudgetWhateverTheyAskFor) {
-  const std::vector<std::pair<const char*, SlowStartScenario>> worlds = {
+TEST(SlowStartFleet, ThirtyRouters_StayWithinTheBudgetOfTheServer) {
+  const std::vector<std::pair<const char*, SlowStartScenario>> scenarios = {
       {"usual", {}},
-      {"a key of a quarter of all reads", {.hot_share = 0.25, .hot_after = 2 * kWorldSecond}},
-      {"a key of half of all reads from the start", {.hot_share = 0.5}},
-      {"attempts that break",
+      {"one key with a quarter of all reads", {.hot_share = 0.25, .hot_after = 2 * kWorldSecond}},
+      {"one key with half of all reads from the start", {.hot_share = 0.5}},
+      {"connection resets",
        {.hot_share = 0.25, .hot_after = kWorldSecond, .failed_share = 0.3, .failures = {Outcome::reset}}},
       {"all routers restarted with the server", {.hot_share = 0.25, .routers_restart = true}},
   };
-  for (const auto& [name, fleet] : worlds) {
-    const BudgetTally tally = play(fleet, 20);
+  for (const auto& [name, fleet] : scenarios) {
+    const BudgetTally tally = simulate(fleet, 20);
     EXPECT_EQ(tally.over, 0) << name << ": worst by " << tally.worst;
     RecordProperty(name, std::to_string(tally.worst));
     std::printf("%s: %zu sent, worst %.1f\n", name, tally.sent, tally.worst);
   }
 }
 
-TEST(ColdFleet, SoDoAHundredAndTwentyThinOnes) {
-  const SlowStartScenario thin{
+TEST(SlowStartFleet, RoutersWithLittleTraffic_StayWithinTheBudgetOfTheServer) {
+  const SlowStartScenario little_traffic{
       .routers = 120, .servers = 80, .hot_share = 0.25, .hot_after = 2 * kWorldSecond};
-  const BudgetTally tally = play(thin, 3);
+  const BudgetTally tally = simulate(little_traffic, 3);
   EXPECT_EQ(tally.over, 0) << "worst by " << tally.worst;
 }
 
-// What the settings allow is not left unused: without it nothing would warm up.
-TEST(ColdFleet, AStartingServerGetsItsPartOfTheUsualLoad) {
-  const SlowStartScenario usual;
-  const BudgetTally bounded = play(usual, 5);
-  SlowStartScenario unbounded = usual;
+// The routers must also use the budget: a server without load would not warm up.
+TEST(SlowStartFleet, StartingServer_GetsMostOfTheLoadWithoutABudget) {
+  const SlowStartScenario scenario;
+  const BudgetTally bounded = simulate(scenario, 5);
+  SlowStartScenario unbounded = scenario;
   unbounded.overload_factor = 0;
-  EXPECT_GT(bounded.sent, play(unbounded, 5).sent * 6 / 10);
+  EXPECT_GT(bounded.sent, simulate(unbounded, 5).sent * 6 / 10);
 }
 
-// The same worlds where the settings tell no multiple: they break the budget, so these tests can fail.
-TEST(ColdFleet, WithoutABudgetAPopularKeyIsTooMuch) {
-  const BudgetTally tally = play({.overload_factor = 0, .hot_share = 0.25}, 10);
+// Checks that the simulation can detect a violation: without an overload factor the budget is exceeded.
+TEST(SlowStartFleet, WithoutABudget_APopularKeyOverloadsTheServer) {
+  const BudgetTally tally = simulate({.overload_factor = 0, .hot_share = 0.25}, 10);
   EXPECT_EQ(tally.over, 10) << "worst by " << tally.worst;
 }
 
--- a/tests/policy/slow_start_world.h
+++ b/tests/policy/slow_start_world.h
@@ -1,5 +1,5 @@
-/// A fleet of decision modules in one world on virtual time, and one server that starts among them. Each
-/// router decides alone; what all of them send to the starting server is counted at that server.
+/// A simulation of a fleet of routers in virtual time, with one server that starts. Each router decides
+/// independently; the simulation counts the attempts of all routers at the starting server.
 #pragma once
 
 #include <algorithm>
@@ -25,68 +25,70 @@
 inline constexpr Time kWorldMillisecond = 1'000;
 inline constexpr Time kWorldSecond = 1'000'000;
 
-/// What the settings say of a starting server: its capacity begins at this share and grows to the whole
-/// within this time, and its load is counted in windows of this length.
-inline constexpr double kColdShare = 0.2;
+/// Slow start settings: the initial share of the capacity, the overload factor, the time until full capacity,
+/// and the length of the windows in which load is counted.
+inline constexpr double kInitialShare = 0.2;
 inline constexpr double kOverloadFactor = 3;
-inline constexpr Time kColdTime = 10 * kWorldSecond;
+inline constexpr Time kSlowStartDuration = 10 * kWorldSecond;
 inline constexpr Time kLoadWindow = kWorldSecond;
 
-/// The most requests of one window: the settings' multiple of what the server can do, and what chance adds.
+/// Maximum number of attempts in one window: the budget, which is the overload factor times the capacity,
+/// plus an allowance for chance.
 inline double strict_slow_start_bound(double budget) { return budget + 2 * std::sqrt(budget) + 2; }
 
-/// The same, with a wider allowance under this many requests.
+/// Budgets below this many attempts get a wider allowance in slow_start_bound().
 inline constexpr double kSmallBudget = 30;
 inline double slow_start_bound(double budget) {
   if (budget < kSmallBudget) return budget + 3 * std::sqrt(budget) + 3;
   return strict_slow_start_bound(budget);
 }
 
-/// How the starting server came to start.
+/// The circumstances of the server's start.
 enum class StartKind : std::uint8_t {
-  replaced,   ///< it was well until it was replaced under its id
-  crashed,    ///< connections to it had failed for a while, so that routers have ejected it
-  unhealthy,  ///< its first answers are errors, so that routers eject it while it warms up
-  flapping,   ///< it starts anew several times
+  replaced,   ///< it was healthy until it was replaced under the same id
+  crashed,    ///< connections to it failed before the start, so that routers have ejected it
+  unhealthy,  ///< its first answers are errors, so that routers eject it during slow start
+  flapping,   ///< it restarts several times
 };
 
-/// One world; a member that is not set leaves that kind of trouble out.
+/// One simulated scenario. The defaults cause no failures.
 struct SlowStartScenario {
   std::size_t routers = 30;
   ServerId servers = 60;
-  double capacity = 15;  ///< requests a second that a warm server can do
-  double load = 0.45;    ///< requests that come, as a share of the capacity of all servers
-  double overload_factor = kOverloadFactor;  ///< 0: the settings tell none
-  double hot_share = 0;                      ///< of all requests: one key whose server is the starting one
-  Time hot_after = 0;                        ///< from this time after the start on
-  double failed_share = 0;                   ///< of attempts, so that they are retried
-  std::vector<Outcome> failures = {Outcome::reset, Outcome::error, Outcome::overloaded};  ///< how those end
-  bool fills = false;            ///< look-aside caches with an origin; the starting one is empty
-  bool uneven = false;           ///< one router in ten gets five times the traffic of the others
-  bool routers_restart = false;  ///< all routers start with the server
+  double capacity = 15;                      ///< requests per second of a warm server
+  double load = 0.45;                        ///< request rate, as a share of the capacity of all servers
+  double overload_factor = kOverloadFactor;  ///< 0: no limit in the settings
+  double hot_share = 0;     ///< share of all requests for one key, which is placed on the starting server
+  Time hot_after = 0;       ///< time from the start until requests for the hot key begin
+  double failed_share = 0;  ///< share of attempts that fail and are retried
+  std::vector<Outcome> failures = {Outcome::reset, Outcome::error, Outcome::overloaded};  ///< their outcomes
+  bool fills = false;            ///< look-aside fleet with an origin; the starting cache is empty
+  bool uneven = false;           ///< one router in ten gets five times the traffic of each other one
+  bool routers_restart = false;  ///< all routers restart together with the server
   StartKind start = StartKind::replaced;
-  double burst = 1;      ///< so many times the traffic from two seconds after the start on
-  Time told_within = 0;  ///< routers are told of the start within this time, each at its own
+  double burst = 1;           ///< factor on the request rate from two seconds after the start on
+  Time max_notice_delay = 0;  ///< each router is notified of the start after a random delay up to this
   std::uint64_t seed = 1;
 };
 
 /// Runs one scenario and counts the attempts at the starting server.
-class SlowStartWorld {
+class SlowStartSimulation {
  public:
-  explicit SlowStartWorld(const SlowStartScenario& scenario) : scenario_(scenario), random_(scenario.seed) {
+  explicit SlowStartSimulation(const SlowStartScenario& scenario)
+      : scenario_(scenario), random_(scenario.seed) {
     for (ServerId id = 0; id < scenario_.servers; ++id) members_.push_back(cache_member(id));
     if (scenario_.fills) members_.push_back(origin_member());
     hot_key_ = find_key_of_starting_server();
     start_routers();
   }
 
-  /// Plays the world to its end. Returns how many attempts came to the starting server.
+  /// Runs the simulation to its end. Returns the number of attempts at the starting server.
   std::size_t run() {
     plan_starts();
     const double per_second = scenario_.capacity * scenario_.load * scenario_.servers;
     for (Time next = kBegin; next < kEnd;) {
       run_until(next);
-      arrive();
+      on_arrival();
       const bool burst = next >= kRestart + kBurstAfter;
       std::exponential_distribution<double> gap(per_second * (burst ? scenario_.burst : 1) / kWorldSecond);
       next += 1 + static_cast<Time>(gap(random_));
@@ -94,14 +96,15 @@
     return arrivals_.size();
   }
 
-  /// How far the fullest window is over its bound, and the figures of that window.
+  /// The excess of one window over its bound, the bound, and the number of attempts.
   struct Window {
     double over = std::numeric_limits<double>::lowest();
     double bound = 0;
     std::size_t attempts = 0;
   };
 
-  /// Looks at all windows of which over two thirds came from routers that had been told of the start.
+  /// The window with the greatest excess. Ignores windows in which a third or more of the attempts came from
+  /// routers that had not been notified of the start.
   Window worst_window(double (*bound_of)(double) = slow_start_bound) const {
     Window worst;
     for (std::size_t first = 0; first < arrivals_.size(); ++first) {
@@ -114,13 +117,13 @@
  private:
   static constexpr Time kBegin = 1'000'000 * kWorldSecond;
   static constexpr Time kRestart = kBegin + 3 * kWorldSecond;
-  static constexpr Time kEnd = kRestart + kColdTime;
+  static constexpr Time kEnd = kRestart + kSlowStartDuration;
   static constexpr Time kBurstAfter = 2 * kWorldSecond;
   static constexpr Time kCrashedFor = 1'500 * kWorldMillisecond;
   static constexpr Time kUnhealthyFor = 2 * kWorldSecond;
   static constexpr Time kFlapEvery = 2'500 * kWorldMillisecond;
   static constexpr int kFlaps = 3;
-  static constexpr Time kPatience = 4 * kWorldSecond;
+  static constexpr Time kRequestTimeout = 4 * kWorldSecond;
   static constexpr Time kOriginTime = 300 * kWorldMillisecond;
   static constexpr std::uint64_t kKeys = 2'000;
   static constexpr std::uint64_t kMissPercent = 9;
@@ -128,20 +131,22 @@
   static constexpr std::uint32_t kOriginKind = 9;
 
   struct Host final : ActionSink {
-    Host(SlowStartWorld& owner, std::size_t index) : world(owner), number(index) {}
-    void send(RequestId request, ServerId server, Time) override { world.on_send(*this, request, server); }
+    Host(SlowStartSimulation& owner, std::size_t index) : simulation(owner), number(index) {}
+    void send(RequestId request, ServerId server, Time) override {
+      simulation.on_send(*this, request, server);
+    }
     void cancel(RequestId request, std::uint32_t attempt) override {
-      world.finish_at(world.now_, *this, request, attempt, kNone, Outcome::cancelled);
+      simulation.finish_at(simulation.now_, *this, request, attempt, kNone, Outcome::cancelled);
     }
     void reject(RequestId request, Time) override { attempts.erase(request); }
     void fail(RequestId request) override { attempts.erase(request); }
     void poll_discovery() override {}
-    SlowStartWorld& world;
+    SlowStartSimulation& simulation;
     std::size_t number;
-    Time told_of = 0;  // the last start that this router has been told of
+    Time notified_start = 0;  // the last start of which this router was notified
     Time wakes_at = kNever;
     std::unique_ptr<Router> router;
-    std::map<RequestId, std::uint32_t> attempts;  // open requests, and how many each has
+    std::map<RequestId, std::uint32_t> attempts;  // number of attempts of each open request
     std::set<std::pair<RequestId, std::uint32_t>> in_flight;
   };
   struct OpenRequest {
@@ -163,7 +168,7 @@
   };
   struct Arrival {
     Time at, started;
-    bool told;  // its router had been told of this start
+    bool notified;  // its router had been notified of this start
   };
   struct Notice {
     Time at;
@@ -201,15 +206,15 @@
     out.max_retry_after = 2 * kWorldSecond;
     out.connect_timeout = 250 * kWorldMillisecond;
     out.keep_alive = 60 * kWorldSecond;
-    out.slow_start_initial_share = kColdShare;
-    out.slow_start_duration = kColdTime;
+    out.slow_start_initial_share = kInitialShare;
+    out.slow_start_duration = kSlowStartDuration;
     out.slow_start_overload_factor = scenario_.overload_factor;
     out.slow_start_overload_window = kLoadWindow;
-    out.classes = {{800 * kWorldMillisecond, kPatience, 5, Effect::safe, Group::all, 0}};
+    out.classes = {{800 * kWorldMillisecond, kRequestTimeout, 5, Effect::safe, Group::all, 0}};
     return out;
   }
 
-  // A key whose first server, with all of them warm, is the one that starts later.
+  // Finds a key that is placed on the starting server when all servers are warm.
   std::uint64_t find_key_of_starting_server() {
     struct FirstServer final : ActionSink {
       void send(RequestId, ServerId server, Time) override { first = server; }
@@ -241,7 +246,7 @@
     out.id = id;
     out.key = key;
     out.has_key = true;
-    out.deadline = now + kPatience;
+    out.deadline = now + kRequestTimeout;
     return out;
   }
 
@@ -252,14 +257,14 @@
     for (std::size_t i = 0; i < scenario_.routers; ++i) {
       hosts_.push_back(std::make_unique<Host>(*this, i));
       Host& host = *hosts_.back();
-      host.told_of = members_[kStarting].started;
+      host.notified_start = members_[kStarting].started;
       host.router = std::make_unique<Router>(config(), random_(), now_, host);
       host.router->on_members(now_, Update::full, members_);
       schedule_wakeup(host);
     }
   }
 
-  // The starts of the server, in order.
+  // Schedules the starts of the server, in order of time.
   void plan_starts() {
     const int starts = scenario_.start == StartKind::flapping ? kFlaps : 1;
     for (int i = 0; i < starts; ++i) starts_.push_back(kRestart + i * kFlapEvery);
@@ -271,20 +276,20 @@
     members_[kStarting].started = at;
     stored_.clear();
     if (scenario_.routers_restart) return start_routers();
-    std::uniform_int_distribution<Time> delay(0, scenario_.told_within);
+    std::uniform_int_distribution<Time> delay(0, scenario_.max_notice_delay);
     for (const auto& host : hosts_) notices_.push({at + delay(random_), host->number, at});
   }
 
-  void tell(const Notice& notice) {
+  void notify(const Notice& notice) {
     now_ = notice.at;
-    if (notice.started != started_) return;  // a later start has its own
+    if (notice.started != started_) return;  // superseded by the notice of a later start
     Host& host = *hosts_[notice.router];
-    host.told_of = notice.started;
+    host.notified_start = notice.started;
     host.router->on_members(now_, Update::changes, {&members_[kStarting], 1});
     schedule_wakeup(host);
   }
 
-  void arrive() {
+  void on_arrival() {
     std::uniform_real_distribution<double> unit;
     const bool hot = now_ >= kRestart + scenario_.hot_after && unit(random_) < scenario_.hot_share;
     const std::uint64_t key = hot ? hot_key_ : (random_() % kKeys) * 0x9e3779b97f4a7c15U + 1;
@@ -298,19 +303,21 @@
 
   std::size_t draw_router() {
     constexpr std::size_t kBusyOneIn = 10;
-    constexpr double kBusyPart = 0.357;  // one in ten with five times the traffic of each other one
-    const std::size_t busy = (hosts_.size() + kBusyOneIn - 1) / kBusyOneIn;
+    // One router in ten with five times the traffic of each other one gets 5 / (5 + 9) of all traffic.
+    constexpr double kBusyShare = 0.357;
+    const std::size_t busy_routers = (hosts_.size() + kBusyOneIn - 1) / kBusyOneIn;
     std::uniform_real_distribution<double> unit;
-    if (scenario_.uneven && unit(random_) < kBusyPart) return random_() % busy;
+    if (scenario_.uneven && unit(random_) < kBusyShare) return random_() % busy_routers;
     return random_() % hosts_.size();
   }
 
   void on_send(Host& host, RequestId request, ServerId server) {
     const std::uint32_t attempt = host.attempts[request]++;
     host.in_flight.insert({request, attempt});
-    if (server == kStarting && started_ > 0) arrivals_.push_back({now_, started_, host.told_of == started_});
-    const auto [takes, outcome] = serve(request, server);
-    finish_at(now_ + takes, host, request, attempt, server, outcome);
+    if (server == kStarting && started_ > 0)
+      arrivals_.push_back({now_, started_, host.notified_start == started_});
+    const auto [duration, outcome] = serve(request, server);
+    finish_at(now_ + duration, host, request, attempt, server, outcome);
   }
 
   std::pair<Time, Outcome> serve(RequestId request, ServerId server) {
@@ -328,16 +335,17 @@
     if (unit(random_) < scenario_.failed_share) {
       return {kFailsAfter, scenario_.failures[random_() % scenario_.failures.size()]};
     }
-    if (scenario_.fills && lacks(server, open_[request].key)) {
+    if (scenario_.fills && misses(server, open_[request].key)) {
       open_[request].missed.push_back(server);
       return {kFailsAfter, Outcome::miss};
     }
     std::exponential_distribution<double> work(scenario_.capacity / 4 / kWorldSecond);
-    return {kFailsAfter + std::min(kPatience, static_cast<Time>(work(random_))), Outcome::served};
+    return {kFailsAfter + std::min(kRequestTimeout, static_cast<Time>(work(random_))), Outcome::served};
   }
 
-  // The starting server and, for the hot key, all of them hold nothing but what was stored since the start.
-  bool lacks(ServerId server, std::uint64_t key) const {
+  // Since the start, the starting server has only values that were stored afterwards. The same holds for the
+  // hot key at all servers.
+  bool misses(ServerId server, std::uint64_t key) const {
     if (stored_.contains({server, key})) return false;
     if (started_ > 0 && (server == kStarting || key == hot_key_)) return true;
     return (key ^ (server * 0x9e3779b9U)) % 100 < kMissPercent;
@@ -380,7 +388,7 @@
     if (next < kNever) wakeups_.insert({next, host.number});
   }
 
-  // All that happens up to then, in the order of time.
+  // Handles all events up to `until`, in order of time.
   void run_until(Time until) {
     for (;;) {
       const Time start = starts_.empty() ? kNever : starts_.front();
@@ -396,7 +404,7 @@
       } else if (next == notice) {
         const Notice first = notices_.top();
         notices_.pop();
-        tell(first);
+        notify(first);
       } else if (next == result) {
         const Result first = results_.top();
         results_.pop();
@@ -410,20 +418,20 @@
     now_ = until;
   }
 
-  // A window is one process's: it ends where the server starts anew.
+  // A window belongs to one process of the server: it ends when the server restarts.
   Window window_from(std::size_t first, double (*bound_of)(double)) const {
     const auto [begin, started, ignored] = arrivals_[first];
     Window out;
-    std::size_t told = 0;
+    std::size_t notified = 0;
     for (std::size_t i = first; i < arrivals_.size(); ++i) {
       if (arrivals_[i].at >= begin + kLoadWindow || arrivals_[i].started != started) break;
       ++out.attempts;
-      told += arrivals_[i].told ? 1 : 0;
+      notified += arrivals_[i].notified ? 1 : 0;
     }
-    const double warm = std::min(1.0, static_cast<double>(begin - started) / kColdTime);
-    const double share = kColdShare + (1 - kColdShare) * warm;
+    const double warm = std::min(1.0, static_cast<double>(begin - started) / kSlowStartDuration);
+    const double share = kInitialShare + (1 - kInitialShare) * warm;
     out.bound = bound_of(kOverloadFactor * scenario_.capacity * share * kLoadWindow / kWorldSecond);
-    if (3 * told > 2 * out.attempts) out.over = static_cast<double>(out.attempts) - out.bound;
+    if (3 * notified > 2 * out.attempts) out.over = static_cast<double>(out.attempts) - out.bound;
     return out;
   }
 
--- a/tests/policy/timer_queue_test.cpp
+++ b/tests/policy/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// Timers and the request table that they look at: order, obsolete timers, slots that are used again.
+// Unit tests of TimerQueue and RequestTable: the order of timers, obsolete timers and reuse of slots.
 #include "policy/timer_queue.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   return request;
 }
 
-TEST(TimerQueue, TimersOfOneTimeComeInTheOrderInWhichTheyWereAdded) {
+TEST(TimerQueue, TimersDueAtTheSameTime_FireInTheOrderOfAddition) {
   RequestTable requests;
   TimerQueue timers(requests);
   timers.add(20, TimerKind::close_idle);
@@ -27,7 +27,7 @@
   EXPECT_EQ(timers.next_due(), kNever);
 }
 
-TEST(TimerQueue, ATimerOfARequestThatIsOverIsDroppedAlsoOnceItsSlotIsUsedAgain) {
+TEST(TimerQueue, TimerOfAnEndedRequest_IsDroppedEvenAfterReuseOfItsSlot) {
   RequestTable requests;
   TimerQueue timers(requests);
   RequestState& first = requests.open(request_with_id(1), 0);
@@ -41,7 +41,7 @@
   EXPECT_EQ(timers.next_due(), 6);
 }
 
-TEST(TimerQueue, ARequestThatStreamsOrHasLeftTheQueueNeedsNoTimers) {
+TEST(TimerQueue, RequestThatStreamsOrLeftTheQueue_HasNoTimers) {
   RequestTable requests;
   TimerQueue timers(requests);
   RequestState& request = requests.open(request_with_id(1), 0);
@@ -55,7 +55,7 @@
   EXPECT_EQ(timers.next_due(), kNever);
 }
 
-TEST(RequestTable, ASlotIsKeptUntilTheLastAttemptHasEnded) {
+TEST(RequestTable, RequestOverWithAnAttemptInFlight_KeepsItsSlot) {
   RequestTable requests;
   RequestState& request = requests.open(request_with_id(1), 0);
   request.in_flight_count = 1;
--- a/tests/policy/world.h
+++ b/tests/policy/world.h
@@ -1,5 +1,5 @@
-// A world round the decision module, the same every time it is drawn from the same seed: servers that answer,
-// miss, stall, break and leave, clients that come, go and come back. Time is the world's own.
+// A simulation around one Router, reproducible by its seed. Servers answer, miss, stall, fail and leave the
+// list; clients send requests, cancel them and retry. Time is simulated, in microseconds.
 #pragma once
 
 #include <algorithm>
@@ -17,34 +17,34 @@
 inline constexpr Time kWorldMs = 1'000;
 inline constexpr ServerId kWorldOrigin = 0;
 
-struct Shape {
+struct Scenario {
   const char* name;
   std::uint64_t seed;
   ServerId caches;
-  Time every;    // between requests, us, on average
-  Time work;     // of an answer, us, on average
-  int trouble;   // of 1,000 attempts, how many meet some
-  bool changes;  // servers come, drain and go
-  // From one time after the start until the other no cache answers, and all that waited is answered then.
+  Time mean_interval;      // between two requests
+  Time mean_service_time;  // of an answer of a cache; four times as long at the origin
+  int failures_per_mille;  // of all attempts
+  bool changes_list;       // servers join, drain and leave
+  // No cache answers between these times after the start. All waiting attempts are answered at the end.
   Time stall_from = 0, stall_to = 0;
-  bool come_back = false;  // the refused come back once, when they were told to
-  // Servers of bounded strength, where `slots` is set: so many at work, and a line of `line` behind them that
-  // turns away what comes beyond. An origin's work takes four times as long.
-  int slots = 0, line = 0, origin_slots = 0;
-  // Between these times after the start, so many times as many requests.
+  bool clients_retry = false;  // clients retry a rejected request once, after its Retry-After
+  // Servers of limited capacity, if `slots` is not 0: the number of requests that a cache or the origin
+  // processes at once, and the length of its queue. Requests beyond it are rejected as overloaded.
+  int slots = 0, queue_length = 0, origin_slots = 0;
+  // Between these times after the start, the request rate is multiplied by this factor.
   Time burst_from = 0, burst_to = 0;
-  int burst = 1;
-  Time flush_at = 0;  // when 91% of what caches of bounded strength keep goes void; 0: never
+  int burst_factor = 1;
+  Time flush_at = 0;  // when caches of limited capacity lose 91% of their values; 0: never
 };
 
-// What came in each second after the start, and what of that was answered within its aim.
+// Requests that arrived in one second, and how many of them were answered within their latency objective.
 struct Second {
-  int asked = 0, good = 0;
+  int requests = 0, in_time = 0;
 };
 
-struct Tally {
-  std::uint64_t digest = 0xcbf29ce484222325U, sends = 0, cancels = 0, refused = 0, failed = 0, served = 0;
-  void add(std::uint64_t value) {  // FNV-1a, by bytes
+struct ActionCounts {
+  std::uint64_t digest = 0xcbf29ce484222325U, sends = 0, cancels = 0, rejected = 0, failed = 0, served = 0;
+  void add(std::uint64_t value) {  // FNV-1a over the bytes
     for (int i = 0; i < 8; ++i) {
       digest ^= (value >> (8 * i)) & 0xffU;
       digest *= 0x100000001b3U;
@@ -52,19 +52,19 @@
   }
 };
 
-class World final : public ActionSink {
+class Simulation final : public ActionSink {
  public:
-  explicit World(const Shape& shape)
-      : shape_(shape), random_(shape.seed), router_(config(), shape.seed, now_, *this) {
-    for (ServerId id = 0; id <= shape_.caches; ++id) list_.push_back(member(id));
+  explicit Simulation(const Scenario& scenario)
+      : scenario_(scenario), random_(scenario.seed), router_(config(), scenario.seed, now_, *this) {
+    for (ServerId id = 0; id <= scenario_.caches; ++id) list_.push_back(member(id));
     router_.on_members(now_, Update::full, list_);
   }
 
-  const Tally& run(int requests) {
-    at(now_ + kWorldMs, Kind::arrival, 0, 0);
-    if (shape_.changes) at(now_ + 300 * kWorldMs, Kind::change, 0, 0);
-    left_ = requests;
-    // A quiet world ends; the module's own ticks go on for good.
+  const ActionCounts& run(int requests) {
+    schedule(now_ + kWorldMs, Kind::arrival, 0, 0);
+    if (scenario_.changes_list) schedule(now_ + 300 * kWorldMs, Kind::change, 0, 0);
+    requests_left_ = requests;
+    // The loop ends without events or open requests; the module's ticks alone would never end.
     while (!events_.empty() || !open_.empty()) {
       const Time wake = router_.next_wakeup();
       if (events_.empty() || wake < events_.top().time) {
@@ -75,72 +75,73 @@
       const Event event = events_.top();
       events_.pop();
       now_ = event.time;
-      play(event);
-      if (new_settings_ > 0 && ++played_ % new_settings_ == 0) router_.on_config(now_, config());
+      handle(event);
+      if (reapply_period_ > 0 && ++handled_events_ % reapply_period_ == 0) router_.on_config(now_, config());
     }
-    return tally_;
+    return counts_;
   }
-  // The settings are given anew, the same, after each so many events.
-  void give_settings_each(int events) { new_settings_ = events; }
+  // Applies equal settings again after every `events` events.
+  void reapply_settings_every(int events) { reapply_period_ = events; }
   std::size_t unanswered() const { return open_.size(); }
   const std::map<Time, Second>& seconds() const { return seconds_; }
-  int most_at_origin() const { return most_at_origin_; }
+  int max_at_origin() const { return max_at_origin_; }
   int origin_reads() const { return origin_reads_; }
-  // Of all attempts, since the start.
+  // The times of all attempts, in microseconds since the start.
   const std::vector<Time>& sent_at() const { return sent_at_; }
 
   void send(RequestId request, ServerId server, Time time_out) override {
     const std::uint32_t number = attempts_[request]++;
-    ++tally_.sends;
-    act(1, request, server, time_out);
-    Open& open = open_.at(request);
-    const std::uint64_t luck = random_() % 1000;
-    Outcome outcome = server == kWorldOrigin || luck % 7 != 0 ? Outcome::served : Outcome::miss;
-    Time takes = 1 + static_cast<Time>(random_() % static_cast<std::uint64_t>(2 * shape_.work));
-    if (server == kWorldOrigin) takes *= 4;
-    if (luck < static_cast<std::uint64_t>(shape_.trouble)) {
+    ++counts_.sends;
+    record_action(1, request, server, time_out);
+    OpenRequest& open = open_.at(request);
+    const std::uint64_t failure_draw = random_() % 1000;
+    Outcome outcome = server == kWorldOrigin || failure_draw % 7 != 0 ? Outcome::served : Outcome::miss;
+    Time duration =
+        1 + static_cast<Time>(random_() % static_cast<std::uint64_t>(2 * scenario_.mean_service_time));
+    if (server == kWorldOrigin) duration *= 4;
+    if (failure_draw < static_cast<std::uint64_t>(scenario_.failures_per_mille)) {
       constexpr Outcome kinds[] = {Outcome::error,          Outcome::overloaded, Outcome::reset,
                                    Outcome::connect_failed, Outcome::malformed,  Outcome::timeout,
                                    Outcome::invalid_request};
       outcome = kinds[random_() % 7];
     }
     const Time since = now_ - kStart;
-    if (server != kWorldOrigin && since >= shape_.stall_from && since < shape_.stall_to)
-      takes += kStart + shape_.stall_to - now_;
+    if (server != kWorldOrigin && since >= scenario_.stall_from && since < scenario_.stall_to)
+      duration += kStart + scenario_.stall_to - now_;
     sent_at_.push_back(since);
-    if (shape_.slots > 0) work(server, open, outcome, takes);
-    if (outcome == Outcome::timeout || now_ + takes >= open.deadline) {
+    if (scenario_.slots > 0) serve(server, open, outcome, duration);
+    if (outcome == Outcome::timeout || now_ + duration >= open.deadline) {
       outcome = Outcome::timeout;
-      takes = std::max<Time>(1, open.deadline - now_);
+      duration = std::max<Time>(1, open.deadline - now_);
     }
-    out_[{request, number}] = {server, now_, outcome};
-    at(now_ + takes, Kind::result, request, number);
+    in_flight_[{request, number}] = {server, now_, outcome};
+    schedule(now_ + duration, Kind::result, request, number);
   }
   void cancel(RequestId request, std::uint32_t attempt) override {
-    ++tally_.cancels;
-    act(2, request, attempt, 0);
-    const auto found = out_.find({request, attempt});
-    if (found == out_.end()) return;
+    ++counts_.cancels;
+    record_action(2, request, attempt, 0);
+    const auto found = in_flight_.find({request, attempt});
+    if (found == in_flight_.end()) return;
     found->second.outcome = Outcome::cancelled;
-    at(now_, Kind::result, request, attempt);
+    schedule(now_, Kind::result, request, attempt);
   }
   void reject(RequestId request, Time retry_after) override {
-    ++tally_.refused;
-    act(3, request, 0, retry_after);
-    if (shape_.come_back && retry_after > 0 && again_.insert(request).second)
-      at(now_ + retry_after, Kind::again, request, 0);
+    ++counts_.rejected;
+    record_action(3, request, 0, retry_after);
+    if (scenario_.clients_retry && retry_after > 0 && retried_.insert(request).second)
+      schedule(now_ + retry_after, Kind::client_retry, request, 0);
     end(request);
   }
   void fail(RequestId request) override {
-    ++tally_.failed;
-    act(4, request, 0, 0);
+    ++counts_.failed;
+    record_action(4, request, 0, 0);
     end(request);
   }
-  void close_idle(ServerId server) override { act(5, 0, server, 0); }
-  void poll_discovery() override { act(6, 0, 0, 0); }
+  void close_idle(ServerId server) override { record_action(5, 0, server, 0); }
+  void poll_discovery() override { record_action(6, 0, 0, 0); }
 
  private:
-  enum class Kind : std::uint8_t { arrival, result, leave, change, again };
+  enum class Kind : std::uint8_t { arrival, result, client_cancel, change, client_retry };
   struct Event {
     Time time;
     std::uint64_t order;
@@ -151,12 +152,12 @@
       return std::tie(time, order) > std::tie(other.time, other.order);
     }
   };
-  struct Open {
-    Time deadline = 0, came = 0, aim = 0;
+  struct OpenRequest {
+    Time deadline = 0, arrived_at = 0, latency_objective = 0;
     std::uint64_t key = 0;
     std::vector<ServerId> missed = {};
   };
-  struct Out {
+  struct Attempt {
     ServerId server;
     Time sent;
     Outcome outcome;
@@ -195,107 +196,109 @@
     out.started = started;
     return out;
   }
-  void at(Time time, Kind kind, RequestId request, std::uint32_t attempt) {
+  void schedule(Time time, Kind kind, RequestId request, std::uint32_t attempt) {
     events_.push({time, order_++, kind, request, attempt});
   }
-  void act(std::uint64_t kind, RequestId request, std::uint64_t which, Time time) {
-    tally_.add(kind);
-    tally_.add(static_cast<std::uint64_t>(now_));
-    tally_.add(request);
-    tally_.add(which);
-    tally_.add(static_cast<std::uint64_t>(time));
+  void record_action(std::uint64_t kind, RequestId request, std::uint64_t which, Time time) {
+    counts_.add(kind);
+    counts_.add(static_cast<std::uint64_t>(now_));
+    counts_.add(request);
+    counts_.add(which);
+    counts_.add(static_cast<std::uint64_t>(time));
   }
   void end(RequestId request) { open_.erase(request); }
 
-  // A server of bounded strength: how long it takes with what it has to do already, and what comes of it.
-  void work(ServerId server, Open& open, Outcome& outcome, Time& takes) {
+  // Computes the duration and the outcome of an attempt at a server of limited capacity, from its current
+  // load.
+  void serve(ServerId server, OpenRequest& open, Outcome& outcome, Time& duration) {
     const bool origin = server == kWorldOrigin;
-    const Time length = origin ? 4 * shape_.work : shape_.work;
-    const int slots = origin ? shape_.origin_slots : shape_.slots;
-    std::vector<Time>& free = busy_[server];
+    const Time service_time = origin ? 4 * scenario_.mean_service_time : scenario_.mean_service_time;
+    const int slots = origin ? scenario_.origin_slots : scenario_.slots;
+    std::vector<Time>& free = slots_free_at_[server];
     free.resize(static_cast<std::size_t>(slots));
     Time& next = *std::min_element(free.begin(), free.end());
-    const Time waits = std::max<Time>(0, next - now_);
-    if (waits > length * shape_.line / slots) {
+    const Time queue_time = std::max<Time>(0, next - now_);
+    if (queue_time > service_time * scenario_.queue_length / slots) {
       outcome = Outcome::overloaded;
-      takes = kWorldMs;
+      duration = kWorldMs;
       return;
     }
-    next = now_ + waits + length;
-    takes = waits + length;
+    next = now_ + queue_time + service_time;
+    duration = queue_time + service_time;
     outcome = Outcome::served;
     if (origin) {
-      most_at_origin_ = std::max(most_at_origin_, ++at_origin_);
+      max_at_origin_ = std::max(max_at_origin_, ++at_origin_);
       ++origin_reads_;
       for (const ServerId missed : open.missed) stored_.insert({missed, open.key});
       return;
     }
-    const bool flushed = shape_.flush_at > 0 && now_ - kStart >= shape_.flush_at;
+    const bool flushed = scenario_.flush_at > 0 && now_ - kStart >= scenario_.flush_at;
     if (!flushed || (open.key ^ (server * 0x9e3779b9U)) % 100 >= 91 || stored_.contains({server, open.key}))
       return;
     outcome = Outcome::miss;
-    takes = waits + kWorldMs;
+    duration = queue_time + kWorldMs;
     open.missed.push_back(server);
   }
 
-  void play(const Event& event) {
+  void handle(const Event& event) {
     switch (event.kind) {
-      case Kind::arrival: return arrive();
-      case Kind::change: return change();
-      case Kind::again: return ask(false);
-      case Kind::leave:
+      case Kind::arrival: return on_arrival();
+      case Kind::change: return change_list();
+      case Kind::client_retry: return send_request(false);
+      case Kind::client_cancel:
         if (open_.erase(event.request) > 0) router_.on_cancelled(now_, event.request);
         return;
       case Kind::result: break;
     }
-    const auto found = out_.find({event.request, event.attempt});
-    if (found == out_.end()) return;
-    const Out out = found->second;
-    out_.erase(found);
+    const auto found = in_flight_.find({event.request, event.attempt});
+    if (found == in_flight_.end()) return;
+    const Attempt out = found->second;
+    in_flight_.erase(found);
     AttemptResult result;
     result.request = event.request;
     result.attempt = event.attempt;
     result.server = out.server;
     result.outcome = out.outcome;
     result.duration = now_ - out.sent;
-    if (out.server == kWorldOrigin && shape_.slots > 0 && out.outcome != Outcome::overloaded) --at_origin_;
+    if (out.server == kWorldOrigin && scenario_.slots > 0 && out.outcome != Outcome::overloaded) --at_origin_;
     if (const auto open = open_.find(event.request); out.outcome == Outcome::served && open != open_.end()) {
-      ++tally_.served;
-      if (now_ - open->second.came <= open->second.aim)
-        ++seconds_[(open->second.came - kStart) / (1'000 * kWorldMs)].good;
+      ++counts_.served;
+      if (now_ - open->second.arrived_at <= open->second.latency_objective)
+        ++seconds_[(open->second.arrived_at - kStart) / (1'000 * kWorldMs)].in_time;
       open_.erase(open);
     }
     result.request_over = !open_.contains(event.request);
     router_.on_result(now_, result);
   }
-  void arrive() {
-    ask(true);
-    if (--left_ <= 0) return;
+  void on_arrival() {
+    send_request(true);
+    if (--requests_left_ <= 0) return;
     const Time since = now_ - kStart;
-    const bool more = since >= shape_.burst_from && since < shape_.burst_to;
-    const Time every = more ? shape_.every / shape_.burst : shape_.every;
-    at(now_ + 1 + static_cast<Time>(random_() % static_cast<std::uint64_t>(2 * every)), Kind::arrival, 0, 0);
+    const bool more = since >= scenario_.burst_from && since < scenario_.burst_to;
+    const Time every = more ? scenario_.mean_interval / scenario_.burst_factor : scenario_.mean_interval;
+    schedule(now_ + 1 + static_cast<Time>(random_() % static_cast<std::uint64_t>(2 * every)), Kind::arrival,
+             0, 0);
   }
-  void ask(bool first) {
+  void send_request(bool first) {
     Request request;
-    request.id = ++last_;
+    request.id = ++last_request_;
     const std::uint64_t draw = random_() % 100;
     request.request_class = draw < 88 ? 0 : draw < 96 ? 1 : 2;
     request.write = request.request_class > 0;
     request.tenant = random_() % 4 == 0 ? 1 : 0;
-    // Few keys are asked for often.
-    const std::uint64_t popular = random_() % 500, seldom = random_() % 500;
-    request.key = std::min(popular, seldom) * 0x9e3779b97f4a7c15U;
+    // The minimum of two draws makes a few keys popular.
+    const std::uint64_t first_draw = random_() % 500, second_draw = random_() % 500;
+    request.key = std::min(first_draw, second_draw) * 0x9e3779b97f4a7c15U;
     request.has_key = true;
     request.deadline = now_ + 900 * kWorldMs;
     open_[request.id] = {request.deadline, now_, (request.write ? 400 : 200) * kWorldMs, request.key};
-    ++seconds_[(now_ - kStart) / (1'000 * kWorldMs)].asked;
-    if (random_() % 50 == 0) at(now_ + 20 * kWorldMs, Kind::leave, request.id, 0);
+    ++seconds_[(now_ - kStart) / (1'000 * kWorldMs)].requests;
+    if (random_() % 50 == 0) schedule(now_ + 20 * kWorldMs, Kind::client_cancel, request.id, 0);
     router_.on_request(now_, request);
-    if (!first) again_.insert(request.id);  // nobody comes back twice
+    if (!first) retried_.insert(request.id);  // each client retries at most once
   }
-  void change() {
-    const auto which = static_cast<ServerId>(1 + random_() % shape_.caches);
+  void change_list() {
+    const auto which = static_cast<ServerId>(1 + random_() % scenario_.caches);
     const std::uint64_t what = random_() % 4;
     Member changed = member(which,
                             what == 0   ? Phase::draining
@@ -304,36 +307,36 @@
                             what == 2 ? now_ : 0);
     list_[which] = changed;
     const Update update = what == 3 ? Update::full : Update::changes;
-    std::vector<Member> told;
+    std::vector<Member> listed;
     if (update == Update::full) {
       for (const Member& one : list_)
-        if (one.phase != Phase::gone) told.push_back(one);
+        if (one.phase != Phase::gone) listed.push_back(one);
     } else {
-      told.push_back(changed);
+      listed.push_back(changed);
     }
-    router_.on_members(now_, update, told);
-    if (left_ > 0) at(now_ + 200 * kWorldMs, Kind::change, 0, 0);
+    router_.on_members(now_, update, listed);
+    if (requests_left_ > 0) schedule(now_ + 200 * kWorldMs, Kind::change, 0, 0);
   }
 
-  Shape shape_;
+  Scenario scenario_;
   std::mt19937_64 random_;
   static constexpr Time kStart = 1'000'000 * kWorldMs;
   Time now_ = kStart;
   std::vector<Time> sent_at_;
   std::map<Time, Second> seconds_;
-  std::map<ServerId, std::vector<Time>> busy_;           // when each of a server's slots is free
-  std::set<std::pair<ServerId, std::uint64_t>> stored_;  // since the flush
-  int at_origin_ = 0, most_at_origin_ = 0, origin_reads_ = 0;
-  std::set<RequestId> again_;
-  Tally tally_;
+  std::map<ServerId, std::vector<Time>> slots_free_at_;  // when each slot of a server becomes free
+  std::set<std::pair<ServerId, std::uint64_t>> stored_;  // values filled since the flush
+  int at_origin_ = 0, max_at_origin_ = 0, origin_reads_ = 0;
+  std::set<RequestId> retried_;
+  ActionCounts counts_;
   std::vector<Member> list_;
-  std::map<RequestId, Open> open_;
+  std::map<RequestId, OpenRequest> open_;
   std::map<RequestId, std::uint32_t> attempts_;
-  std::map<std::pair<RequestId, std::uint32_t>, Out> out_;
+  std::map<std::pair<RequestId, std::uint32_t>, Attempt> in_flight_;
   std::priority_queue<Event> events_;
   std::uint64_t order_ = 0;
-  RequestId last_ = 0;
-  int left_ = 0, new_settings_ = 0, played_ = 0;
+  RequestId last_request_ = 0;
+  int requests_left_ = 0, reapply_period_ = 0, handled_events_ = 0;
   Router router_;
 };
 
