--- a/src/policy/admission_queue.cpp
+++ b/src/policy/admission_queue.cpp
@@ -14,14 +14,14 @@
   if (queue_.empty()) {
     nonempty_since_ = now;
   }
-  Time max_wait = scaled(parts_.rules.class_of(request).latency_objective, kMaxWaitPerObjective);
+  Time max_wait = scaled(deps_.rules.class_of(request).latency_objective, kMaxWaitPerObjective);
   if (now - nonempty_since_ > max_wait) {
-    const auto mean_latency = static_cast<Time>(parts_.latencies.mean(request.request));
+    const auto mean_latency = static_cast<Time>(deps_.latencies.mean(request.request));
     max_wait = std::min(max_wait, mean_latency);
   }
   request.is_queued = true;
   queue_.push_back(request.self);
-  parts_.timers.add(now + max_wait, TimerKind::admission_timeout, request.self);
+  deps_.timers.add(now + max_wait, TimerKind::admission_timeout, request.self);
   drain(now);
 }
 
@@ -32,7 +32,7 @@
   while (!queue_.empty() && !is_waiting(queue_.front())) {
     queue_.pop_front();
   }
-  parts_.handler.fall_back_to_origin(request, now);
+  deps_.handler.fall_back_to_origin(request, now);
 }
 
 void AdmissionQueue::start_newest(Time now) {
@@ -42,18 +42,18 @@
       queue_.pop_back();
       continue;
     }
-    RequestState& request = parts_.requests.at(ref.slot);
-    if (!parts_.admission.admits(request.request, QuotaState::within, now)) {
+    RequestState& request = deps_.requests.at(ref.slot);
+    if (!deps_.admission.admits(request.request, QuotaState::within, now)) {
       return;
     }
     queue_.pop_back();
     request.is_queued = false;
-    parts_.handler.start(request, now);
+    deps_.handler.start(request, now);
   }
 }
 
 bool AdmissionQueue::is_waiting(RequestRef ref) const {
-  return parts_.requests.is_active(ref) && parts_.requests.at(ref.slot).is_queued;
+  return deps_.requests.is_active(ref) && deps_.requests.at(ref.slot).is_queued;
 }
 
 }  // namespace streampick::policy
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -21,7 +21,7 @@
 /// succeed, and each waiting request holds a connection.
 class AdmissionQueue {
  public:
-  struct Parts {
+  struct Dependencies {
     const RequestRules& rules;
     RequestTable& requests;
     const ClassLatencies& latencies;
@@ -29,7 +29,7 @@
     TimerQueue& timers;
     RequestHandler& handler;
   };
-  explicit AdmissionQueue(const Parts& parts) : parts_(parts) {}
+  explicit AdmissionQueue(const Dependencies& deps) : deps_(deps) {}
 
   /// Adds the request, then starts queued requests while there is capacity.
   void enqueue(RequestState& request, Time now);
@@ -53,7 +53,7 @@
   void start_newest(Time now);
   [[nodiscard]] bool is_waiting(RequestRef ref) const;
 
-  Parts parts_;
+  Dependencies deps_;
   std::deque<RequestRef> queue_;  // oldest first
   Time nonempty_since_ = 0;
 };
--- a/src/policy/cache_limit.cpp
+++ b/src/policy/cache_limit.cpp
@@ -5,8 +5,8 @@
 namespace streampick::policy {
 namespace {
 
-// Initial and minimum limit per endpoint, divided among all routers. The minimum is raised to one attempt at
-// a time where the initial limit allows that.
+// Initial and minimum number of attempts in flight per endpoint, divided among all routers. The minimum is
+// raised to one attempt at a time where the initial limit allows that.
 constexpr double kInitialLimitPerEndpoint = 3;
 constexpr double kMinLimitPerEndpoint = 0.5;
 constexpr double kMinInitialLimit = 1;
--- a/src/policy/endpoint_picker.cpp
+++ b/src/policy/endpoint_picker.cpp
@@ -68,7 +68,7 @@
   const double weight = endpoint.placement_weight();
   const double score = rendezvous_score(search.leaf_key ^ candidate.identity, weight);
   if (warming_up && loses_slow_start_draw(search, endpoint, capacity)) {
-    search.passed_over.offer({id, score});
+    search.skipped.offer({id, score});
     return;
   }
   const double min_bound = warming_up ? kWarmingUpLoadBound : search.min_bound;
@@ -84,12 +84,12 @@
 }
 
 void EndpointPicker::search_leaf(Search& search) {
-  search.passed_over = {};
+  search.skipped = {};
   for (const RendezvousTree::Entry& entry : ready_.tree().leaf(search.leaf_key, rendezvous_score)) {
     consider(search, entry);
   }
   // The draw is spent at the endpoint that ranked first, whether it was won or lost.
-  const Best& first = search.passed_over.score > search.chosen.score ? search.passed_over : search.chosen;
+  const Best& first = search.skipped.score > search.chosen.score ? search.skipped : search.chosen;
   if (search.is_first_attempt() && first.id != kNone) {
     endpoints_.at(first.id).last_slow_start_draw = search.now;
   }
--- a/src/policy/endpoint_picker.h
+++ b/src/policy/endpoint_picker.h
@@ -67,9 +67,9 @@
     double bounded_load;     // attempts in flight plus the next one, times kLoadBoundFactor
     double min_bound;        // minimum bound on the attempts in flight at one endpoint
     std::uint64_t leaf_key = 0;
-    Best chosen = {};       // below its bound
-    Best fallback = {};     // at its bound, with the most spare weight of all leaves
-    Best passed_over = {};  // warming up, and skipped by the slow start draw
+    Best chosen = {};    // below its bound
+    Best fallback = {};  // at its bound, with the most spare weight of all leaves
+    Best skipped = {};   // warming up, and skipped by the slow start draw
 
     [[nodiscard]] bool is_first_attempt() const {
       return purpose == PickPurpose::attempt && request.attempt_count == 0;
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -18,7 +18,7 @@
 /// timer detects endpoints that do not answer any more, and stalled attempts.
 class Hedging {
  public:
-  struct Parts {
+  struct Dependencies {
     const Config& config;
     const RequestRules& rules;
     EndpointTable& endpoints;
@@ -29,7 +29,7 @@
     OriginReads& origin_reads;
     TimerQueue& timers;
   };
-  explicit Hedging(const Parts& parts) : parts_(parts) {}
+  explicit Hedging(const Dependencies& deps) : deps_(deps) {}
 
   /// Refills the budget. Call once for each request, at its first attempt.
   void on_first_attempt() { budget_.refill(kHedgesPerFirstAttempt); }
@@ -53,7 +53,7 @@
   void check_attempt(AttemptState& attempt, Time now);
   void try_hedge(RequestState& request, Time now);
 
-  Parts parts_;
+  Dependencies deps_;
   TokenBucket budget_;
 };
 
--- a/src/policy/origin_limit.cpp
+++ b/src/policy/origin_limit.cpp
@@ -5,10 +5,12 @@
 namespace streampick::policy {
 namespace {
 
-// Initial limit per endpoint, divided among all routers, and at most kMaxInitialLimit for one router.
+// Initial number of attempts in flight per endpoint, divided among all routers. The initial limit of one
+// router is at most kMaxInitialLimit.
 constexpr double kInitialLimitPerEndpoint = 4;
 constexpr double kMaxInitialLimit = 4;
-// Minimum limit per endpoint, divided among all routers; and the maximum limit of one router.
+// Minimum number of attempts in flight per endpoint, divided among all routers, and the maximum for one
+// router.
 constexpr double kMinLimitPerEndpoint = 0.1;
 constexpr double kMaxLimit = 64;
 // Share of the limit that is reserved for reads while writes are in flight.
--- a/src/policy/origin_reads.cpp
+++ b/src/policy/origin_reads.cpp
@@ -32,7 +32,7 @@
     const auto [flight, is_first] = flights_.try_emplace(request.request.key, request.self.slot);
     if (!is_first && flight->second != request.self.slot) {
       request.origin_stage = OriginStage::following;
-      parts_.requests.at(flight->second).single_flight_waiters.push_back(request.self.slot);
+      deps_.requests.at(flight->second).followers.push_back(request.self.slot);
       return;
     }
   }
@@ -53,24 +53,24 @@
       queue.pop_front();
       continue;
     }
-    RequestState& request = parts_.requests.at(ref.slot);
+    RequestState& request = deps_.requests.at(ref.slot);
     const bool misses = misses_objective(request, kind, now);
     if (!misses && !has_room(kind, now)) {
       return;
     }
     queue.pop_front();
-    if (misses || request.attempt_count >= parts_.rules.max_attempts(request) ||
-        !parts_.rules.may_resend(request, now)) {
-      parts_.handler.give_up(request, now);
+    if (misses || request.attempt_count >= deps_.rules.max_attempts(request) ||
+        !deps_.rules.may_resend(request, now)) {
+      deps_.handler.give_up(request, now);
       continue;
     }
     request.origin_stage = OriginStage::in_flight;
-    parts_.dispatcher.send(request, *parts_.endpoints.origin(), now);
+    deps_.dispatcher.send(request, *deps_.endpoints.origin(), now);
   }
 }
 
 bool OriginReads::is_queued(RequestRef ref) const {
-  return parts_.requests.is_active(ref) && parts_.requests.at(ref.slot).origin_stage == OriginStage::queued;
+  return deps_.requests.is_active(ref) && deps_.requests.at(ref.slot).origin_stage == OriginStage::queued;
 }
 
 // If the read queue is longer than the limit, reads that can no longer meet their latency objective are
@@ -79,39 +79,39 @@
   if (kind == Kind::write || request.in_flight_count > 0) {
     return false;
   }
-  const Time answered_at = now + static_cast<Time>(parts_.limit.mean_latency());
-  return answered_at > request.arrived_at + parts_.rules.class_of(request).latency_objective &&
-         static_cast<double>(reads_.size()) > parts_.limit.value();
+  const Time answered_at = now + static_cast<Time>(deps_.limit.mean_latency());
+  return answered_at > request.arrived_at + deps_.rules.class_of(request).latency_objective &&
+         static_cast<double>(reads_.size()) > deps_.limit.value();
 }
 
 bool OriginReads::has_room(Kind kind, Time now) const {
   if (!origin_is_ready() || !lease_allows(now)) {
     return false;
   }
-  const AttemptDispatcher& dispatcher = parts_.dispatcher;
+  const AttemptDispatcher& dispatcher = deps_.dispatcher;
   if (kind == Kind::write) {
-    return parts_.limit.allows_write(dispatcher.origin_writes());
+    return deps_.limit.allows_write(dispatcher.origin_writes());
   }
-  return parts_.limit.allows_read_beside_writes(now, dispatcher.origin_in_flight(),
-                                                dispatcher.origin_writes());
+  return deps_.limit.allows_read_beside_writes(now, dispatcher.origin_in_flight(),
+                                               dispatcher.origin_writes());
 }
 
 bool OriginReads::origin_is_ready() const {
-  const std::optional<ServerId> origin = parts_.endpoints.origin();
+  const std::optional<ServerId> origin = deps_.endpoints.origin();
   if (!origin) {
     return false;
   }
-  const Endpoint& endpoint = parts_.endpoints.at(*origin);
+  const Endpoint& endpoint = deps_.endpoints.at(*origin);
   return endpoint.is_listed && endpoint.member.phase == Phase::ready;
 }
 
 bool OriginReads::lease_allows(Time now) const {
-  return parts_.limit.lease_allows(now, parts_.endpoints.origin_in_flight());
+  return deps_.limit.lease_allows(now, deps_.endpoints.origin_in_flight());
 }
 
 bool OriginReads::has_capacity(Time now) const {
-  return parts_.endpoints.origin() && reads_.empty() &&
-         parts_.limit.allows_read(now, parts_.dispatcher.origin_in_flight()) && lease_allows(now);
+  return deps_.endpoints.origin() && reads_.empty() &&
+         deps_.limit.allows_read(now, deps_.dispatcher.origin_in_flight()) && lease_allows(now);
 }
 
 // An attempt that takes long while later ones are answered is stuck on its connection. It then no longer
@@ -126,15 +126,15 @@
     return;
   }
   const double latencies =
-      static_cast<double>(now - attempt.sent_at) / std::max(parts_.limit.mean_latency(), 1.0);
-  const std::uint32_t answers = parts_.endpoints.at(attempt.endpoint).answers - attempt.endpoint_answers;
+      static_cast<double>(now - attempt.sent_at) / std::max(deps_.limit.mean_latency(), 1.0);
+  const std::uint32_t answers = deps_.endpoints.at(attempt.endpoint).answers - attempt.endpoint_answers;
   if (latencies < kStalledLatencies || answers < kStalledAnswers) {
     return;
   }
-  parts_.dispatcher.mark_stalled(attempt);
+  deps_.dispatcher.mark_stalled(attempt);
   const bool is_lost = latencies >= kLostLatencies && answers >= kLostAnswers;
-  if (is_lost && request.attempt_count < parts_.rules.max_attempts(request)) {
-    parts_.sink.cancel(request.request.id, request.attempt_count - 1);
+  if (is_lost && request.attempt_count < deps_.rules.max_attempts(request)) {
+    deps_.sink.cancel(request.request.id, request.attempt_count - 1);
   }
   drain(now);
 }
@@ -142,14 +142,14 @@
 void OriginReads::on_answer(RequestState& request, const AttemptState& attempt, const AttemptResult& result,
                             Time now) {
   request.origin_stage = OriginStage::done;
-  const Time objective = parts_.rules.class_of(request).latency_objective;
-  const OriginLimit::Load load{parts_.dispatcher.origin_in_flight(), !reads_.empty()};
-  parts_.limit.record_answer(attempt, result, objective, load, now);
-  parts_.limit.clamp(parts_.ready.per_router_share());
+  const Time objective = deps_.rules.class_of(request).latency_objective;
+  const OriginLimit::Load load{deps_.dispatcher.origin_in_flight(), !reads_.empty()};
+  deps_.limit.record_answer(attempt, result, objective, load, now);
+  deps_.limit.clamp(deps_.ready.per_router_share());
   if (!request.request.write) {
-    parts_.limit.pause_after_read(now, static_cast<double>(now - attempt.sent_at), 2 * objective);
-    if (parts_.limit.resumes_at() > now) {
-      parts_.timers.add(parts_.limit.resumes_at(), TimerKind::drain_queues);
+    deps_.limit.pause_after_read(now, static_cast<double>(now - attempt.sent_at), 2 * objective);
+    if (deps_.limit.resumes_at() > now) {
+      deps_.timers.add(deps_.limit.resumes_at(), TimerKind::drain_queues);
     }
   }
   release_followers(request, result.outcome == Outcome::served, now);
@@ -162,9 +162,9 @@
   }
   const std::optional<ServerId> filled_cache = filled ? first_cache_miss(request) : std::nullopt;
   // Moved out before the loop, because a follower that reads the origin next may get followers of its own.
-  const std::vector<SlotIndex> followers = std::exchange(request.single_flight_waiters, {});
+  const std::vector<SlotIndex> followers = std::exchange(request.followers, {});
   for (const SlotIndex slot : followers) {
-    RequestState& follower = parts_.requests.at(slot);
+    RequestState& follower = deps_.requests.at(slot);
     if (!follower.is_over && follower.origin_stage == OriginStage::following) {
       release_follower(follower, filled_cache, now);
     }
@@ -175,15 +175,15 @@
   follower.origin_stage = OriginStage::none;
   std::optional<ServerId> target;
   const bool may_send =
-      parts_.rules.cache_attempts_left(follower) > 0 && parts_.rules.may_resend(follower, now);
-  if (filled_cache && may_send && parts_.ready.is_eligible(parts_.endpoints.at(*filled_cache))) {
+      deps_.rules.cache_attempts_left(follower) > 0 && deps_.rules.may_resend(follower, now);
+  if (filled_cache && may_send && deps_.ready.is_eligible(deps_.endpoints.at(*filled_cache))) {
     // An endpoint that is warming up may receive only its share of attempts. The next endpoint has the value
     // as well, or will be filled.
-    const bool warming_up = parts_.slow_start.is_warming_up(parts_.endpoints.at(*filled_cache), now);
-    target = warming_up ? parts_.picker.pick(follower, PickPurpose::attempt, now) : filled_cache;
+    const bool warming_up = deps_.slow_start.is_warming_up(deps_.endpoints.at(*filled_cache), now);
+    target = warming_up ? deps_.picker.pick(follower, PickPurpose::attempt, now) : filled_cache;
   }
   if (target) {
-    parts_.dispatcher.send(follower, *target, now);
+    deps_.dispatcher.send(follower, *target, now);
   } else {
     fetch(follower, now);
   }
--- a/src/policy/origin_reads.h
+++ b/src/policy/origin_reads.h
@@ -25,7 +25,7 @@
 /// for the same key, its followers, wait for it.
 class OriginReads {
  public:
-  struct Parts {
+  struct Dependencies {
     const RequestRules& rules;
     RequestTable& requests;
     EndpointTable& endpoints;
@@ -38,7 +38,7 @@
     ActionSink& sink;
     RequestHandler& handler;
   };
-  explicit OriginReads(const Parts& parts) : parts_(parts) {}
+  explicit OriginReads(const Dependencies& deps) : deps_(deps) {}
 
   /// Sends the request to the origin as soon as there is capacity. If a read of its key is already queued or
   /// in flight, the request follows that read instead.
@@ -84,7 +84,7 @@
   [[nodiscard]] bool lease_allows(Time now) const;
   void release_follower(RequestState& follower, std::optional<ServerId> filled_cache, Time now);
 
-  Parts parts_;
+  Dependencies deps_;
   Queue reads_;
   Queue writes_;
   std::unordered_map<std::uint64_t, SlotIndex> flights_;  // by key: the request that reads it
--- a/src/policy/request_execution.h
+++ b/src/policy/request_execution.h
@@ -21,7 +21,7 @@
 /// outcome, and the end of the request. All decisions to send a request again are made here.
 class RequestExecution final : public RequestHandler {
  public:
-  struct Parts {
+  struct Dependencies {
     const Config& config;
     const RequestRules& rules;
     RequestTable& requests;
@@ -37,7 +37,7 @@
     TimerQueue& timers;
     ActionSink& sink;
   };
-  explicit RequestExecution(const Parts& parts) : parts_(parts) {}
+  explicit RequestExecution(const Dependencies& deps) : deps_(deps) {}
 
   void start(RequestState& request, Time now) override;
   void fall_back_to_origin(RequestState& request, Time now) override;
@@ -63,7 +63,7 @@
   void retry_elsewhere(RequestState& request, Outcome outcome, Time now);
   [[nodiscard]] bool try_retry(RequestState& request, Time now);
 
-  Parts parts_;
+  Dependencies deps_;
 };
 
 }  // namespace streampick::policy
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -60,7 +60,7 @@
   bool is_open = false;       ///< the slot is in use
   bool is_queued = false;     ///< waiting in the admission queue
   OriginStage origin_stage = OriginStage::none;
-  std::vector<SlotIndex> single_flight_waiters = {};  ///< requests that follow this one's origin read
+  std::vector<SlotIndex> followers = {};  ///< requests that follow this one's origin read
 
   [[nodiscard]] std::span<AttemptState> sent_attempts() { return {attempts.data(), attempt_count}; }
   [[nodiscard]] std::span<const AttemptState> sent_attempts() const {
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -56,7 +56,8 @@
   /// would spend what all of them had saved since the start of the endpoint.
   static constexpr double kMaxSavedWindows = 1.25;
 
-  /// Time since the last draw, as a number of mean intervals between requests; 1 while no interval is known.
+  /// Time since the last draw, limited by kMaxSavedWindows, as a number of mean intervals between requests. 1
+  /// while no interval is known.
   [[nodiscard]] double saved_intervals(const Endpoint& endpoint, Time now) const {
     const double interval = arrivals_.mean();
     if (interval <= 0) {
