--- a/src/policy/request_execution.cpp
+++ b/src/policy/request_execution.cpp
@@ -94,7 +94,7 @@
 
 // After a broken answer a read is retried at the same endpoint, which has the key cached, while the next
 // endpoint of the plan would mostly miss. A write with an idempotency key is retried at the origin within its
-// window, as the client would otherwise be told to repeat it.
+// window: a rejection would make the client repeat it anyway.
 bool RequestExecution::retry_same_endpoint(RequestState& request, const AttemptState& attempt, Time now) {
   const RequestRules& rules = deps_.rules;
   if (request.is_streaming || !rules.may_resend(request, now) || !rules.has_time_left(request, now)) {
--- a/tests/policy/rendezvous_tree_test.cpp
+++ b/tests/policy/rendezvous_tree_test.cpp
@@ -50,27 +50,28 @@
 TEST(RendezvousTree, Keys_AreDistributedByWeight) {
   RendezvousTree tree = tree_of(300);
   tree.set_weight({hash(8), 7, 4});
-  std::map<ServerId, int> held;
+  std::map<ServerId, int> keys_by_server;
   constexpr int kKeys = 303'000;  // 1,000 per unit of weight
-  for (int key = 0; key < kKeys; ++key) ++held[place(tree, hash(static_cast<std::uint64_t>(key) + 77))];
-  EXPECT_EQ(held.size(), 300U);
-  EXPECT_NEAR(held[7], 4'000, 300);
-  for (const auto& [id, count] : held)
+  for (int key = 0; key < kKeys; ++key)
+    ++keys_by_server[place(tree, hash(static_cast<std::uint64_t>(key) + 77))];
+  EXPECT_EQ(keys_by_server.size(), 300U);
+  EXPECT_NEAR(keys_by_server[7], 4'000, 300);
+  for (const auto& [id, count] : keys_by_server)
     if (id != 7) EXPECT_NEAR(count, 1'000, 200) << id;
 }
 
 TEST(RendezvousTree, ServerThatLeaves_MovesItsOwnKeysAndFewOthers) {
   RendezvousTree tree = tree_of(2'000);
-  std::vector<ServerId> at;
-  for (std::uint64_t key = 0; key < 40'000; ++key) at.push_back(place(tree, hash(key)));
+  std::vector<ServerId> placement;
+  for (std::uint64_t key = 0; key < 40'000; ++key) placement.push_back(place(tree, hash(key)));
   tree.erase({hash(500), 499, 0});
   int moved = 0, own = 0, others = 0;
-  for (std::uint64_t key = 0; key < at.size(); ++key) {
+  for (std::uint64_t key = 0; key < placement.size(); ++key) {
     const ServerId now = place(tree, hash(key));
     EXPECT_NE(now, 499U);
-    moved += now != at[key] ? 1 : 0;
-    own += at[key] == 499 ? 1 : 0;
-    others += now != at[key] && at[key] != 499 ? 1 : 0;
+    moved += now != placement[key] ? 1 : 0;
+    own += placement[key] == 499 ? 1 : 0;
+    others += now != placement[key] && placement[key] != 499 ? 1 : 0;
   }
   EXPECT_GT(own, 0);
   // A subtree that loses weight also loses keys to other subtrees: at each level about as many as one server
@@ -78,25 +79,27 @@
   EXPECT_LE(others, 4 * own + 20);
   EXPECT_GE(moved, own);
   tree.insert({hash(500), 499, 1});
-  for (std::uint64_t key = 0; key < at.size(); ++key) ASSERT_EQ(place(tree, hash(key)), at[key]);
+  for (std::uint64_t key = 0; key < placement.size(); ++key)
+    ASSERT_EQ(place(tree, hash(key)), placement[key]);
 }
 
 TEST(RendezvousTree, ManyInsertionsAndRemovals_KeepKeysOnPresentServersAndLeaveNoResidue) {
   std::mt19937_64 random(11);
   RendezvousTree tree;
-  std::map<ServerId, Entry> held;
+  std::map<ServerId, Entry> entries;
   for (int step = 0; step < 20'000; ++step) {
     const auto id = static_cast<ServerId>(random() % 400);
-    if (held.erase(id) > 0) {
+    if (entries.erase(id) > 0) {
       tree.erase({hash(id + 1), id, 0});
     } else {
-      held[id] = {hash(id + 1), id, 1 + static_cast<double>(random() % 8)};
-      tree.insert(held[id]);
+      entries[id] = {hash(id + 1), id, 1 + static_cast<double>(random() % 8)};
+      tree.insert(entries[id]);
     }
-    if (step % 1'000 != 0 || held.empty()) continue;
-    for (std::uint64_t key = 0; key < 200; ++key) ASSERT_TRUE(held.contains(place(tree, hash(key)))) << step;
+    if (step % 1'000 != 0 || entries.empty()) continue;
+    for (std::uint64_t key = 0; key < 200; ++key)
+      ASSERT_TRUE(entries.contains(place(tree, hash(key)))) << step;
   }
-  for (const auto& [id, entry] : held) tree.erase(entry);
+  for (const auto& [id, entry] : entries) tree.erase(entry);
   EXPECT_FALSE(tree.is_split());
   EXPECT_TRUE(tree.leaf(1, rank).empty());
   tree.erase({hash(1), 0, 0});  // an entry that is not present
--- a/tests/policy/request_execution_test.cpp
+++ b/tests/policy/request_execution_test.cpp
@@ -97,34 +97,34 @@
 TEST(BrokenAnswers, SomeBrokenAnswersOfEachEndpoint_CauseNoEjection) {
   FakeHost host(FakeHost::hedging_config());
   RequestId id = 0;
-  std::map<ServerId, int> asked;
+  std::map<ServerId, int> attempts_by_server;
   for (int round = 0; round < 40; ++round) {
     host.request(++id, 0, 42);
     const std::size_t first = host.sends.size() - 1;
     host.result(first, Outcome::malformed);
     ASSERT_EQ(host.sends.size(), first + 2);
     EXPECT_EQ(host.sends[first + 1].server, host.sends[first].server);
-    ++asked[host.sends[first].server];
+    ++attempts_by_server[host.sends[first].server];
     host.result(first + 1, Outcome::served);
     host.advance(10 * kMs);
   }
-  EXPECT_EQ(asked.size(), 1U);
+  EXPECT_EQ(attempts_by_server.size(), 1U);
 }
 
 TEST(BrokenAnswers, SingleConnectionResets_CauseNoEjection) {
   FakeHost host(FakeHost::hedging_config());
-  std::map<ServerId, int> asked;
+  std::map<ServerId, int> attempts_by_server;
   for (RequestId id = 1; id <= 40; ++id) {
     host.request(id, 0, 42);
     const std::size_t first = host.sends.size() - 1;
     host.result(first, Outcome::reset);
     ASSERT_EQ(host.sends.size(), first + 2);
-    ++asked[host.sends[first].server];
-    ++asked[host.sends[first + 1].server];
+    ++attempts_by_server[host.sends[first].server];
+    ++attempts_by_server[host.sends[first + 1].server];
     host.result(first + 1, Outcome::served);
     host.advance(10 * kMs);
   }
-  EXPECT_EQ(asked.size(), 1U);
+  EXPECT_EQ(attempts_by_server.size(), 1U);
 }
 
 TEST(BrokenAnswers, EndpointWithOnlyBrokenAnswers_IsEjected) {
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -104,7 +104,7 @@
     host.advance(6'000 * kMs);
     for (std::size_t i = 0; i < host.sends.size(); ++i)
       if (host.sends[i].in_flight) host.result(i, Outcome::timeout);
-    EXPECT_EQ(host.ended.size(), next) << "a request was lost";
+    EXPECT_EQ(host.ended.size(), next) << "a request did not end";
     EXPECT_FALSE(host.ended_twice);
     EXPECT_FALSE(host.sent_after_end);
     for (const auto& [request, attempts] : host.attempts) EXPECT_LE(attempts, 4U);
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -53,7 +53,7 @@
       {"hot key", {.hot_share = 0.25}},
       {"hot key after 2 s", {.hot_share = 0.25, .hot_after = 2 * kWorldSecond}},
       {"hot key after 8 s", {.hot_share = 0.25, .hot_after = 8 * kWorldSecond}},
-      {"hot key of half", {.hot_share = 0.5}},
+      {"hot key with half of all requests", {.hot_share = 0.5}},
       {"hot key, uneven, burst", {.hot_share = 0.25, .uneven = true, .burst = 1.5}},
   };
 }
--- a/tests/policy/slow_start_world.h
+++ b/tests/policy/slow_start_world.h
@@ -119,12 +119,12 @@
   static constexpr Time kRestart = kBegin + 3 * kWorldSecond;
   static constexpr Time kEnd = kRestart + kSlowStartDuration;
   static constexpr Time kBurstAfter = 2 * kWorldSecond;
-  static constexpr Time kCrashedFor = 1'500 * kWorldMillisecond;
-  static constexpr Time kUnhealthyFor = 2 * kWorldSecond;
-  static constexpr Time kFlapEvery = 2'500 * kWorldMillisecond;
+  static constexpr Time kCrashDuration = 1'500 * kWorldMillisecond;
+  static constexpr Time kUnhealthyDuration = 2 * kWorldSecond;
+  static constexpr Time kFlapInterval = 2'500 * kWorldMillisecond;
   static constexpr int kFlaps = 3;
   static constexpr Time kRequestTimeout = 4 * kWorldSecond;
-  static constexpr Time kOriginTime = 300 * kWorldMillisecond;
+  static constexpr Time kOriginLatency = 300 * kWorldMillisecond;
   static constexpr std::uint64_t kKeys = 2'000;
   static constexpr std::uint64_t kMissPercent = 9;
   static constexpr ServerId kStarting = 0;
@@ -267,7 +267,7 @@
   // Schedules the starts of the server, in order of time.
   void plan_starts() {
     const int starts = scenario_.start == StartKind::flapping ? kFlaps : 1;
-    for (int i = 0; i < starts; ++i) starts_.push_back(kRestart + i * kFlapEvery);
+    for (int i = 0; i < starts; ++i) starts_.push_back(kRestart + i * kFlapInterval);
   }
 
   void begin_start(Time at) {
@@ -322,13 +322,13 @@
 
   std::pair<Time, Outcome> serve(RequestId request, ServerId server) {
     constexpr Time kFailsAfter = 5 * kWorldMillisecond;
-    if (server == scenario_.servers) return {kOriginTime, Outcome::served};
+    if (server == scenario_.servers) return {kOriginLatency, Outcome::served};
     if (server == kStarting) {
       const bool crashed = scenario_.start == StartKind::crashed;
-      if (crashed && now_ >= kRestart - kCrashedFor && now_ < kRestart)
+      if (crashed && now_ >= kRestart - kCrashDuration && now_ < kRestart)
         return {kFailsAfter, Outcome::connect_failed};
       const bool unhealthy = scenario_.start == StartKind::unhealthy;
-      if (unhealthy && now_ >= kRestart && now_ < kRestart + kUnhealthyFor)
+      if (unhealthy && now_ >= kRestart && now_ < kRestart + kUnhealthyDuration)
         return {kFailsAfter, Outcome::error};
     }
     std::uniform_real_distribution<double> unit;
