--- a/src/policy/cache_limit.cpp
+++ b/src/policy/cache_limit.cpp
@@ -5,16 +5,16 @@
 namespace streampick::policy {
 namespace {
 
-// First limit and the least one: for each endpoint, shared by all routers. The least is not below one at a
-// time while that is within the first.
+// Initial and minimum number of attempts in flight per endpoint, divided among all routers. The minimum is
+// raised to one attempt at a time where the initial limit allows that.
 constexpr double kInitialLimitPerEndpoint = 3;
 constexpr double kMinLimitPerEndpoint = 0.5;
-constexpr double kOneAtATime = 1;
+constexpr double kMinInitialLimit = 1;
 constexpr double kMaxLimit = 1e9;
 constexpr double kDecrease = 0.9;
 constexpr double kIncrease = 1.2;
-// The limit is in use from this part of it on.
-constexpr double kInUsePart = 0.7;
+// The limit counts as in use when at least this share of it is in flight.
+constexpr double kInUseShare = 0.7;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   if (limit_.value() > 0) {
     return false;
   }
-  limit_.set_value(std::max(kOneAtATime, kInitialLimitPerEndpoint * per_router_share));
+  limit_.set_value(std::max(kMinInitialLimit, kInitialLimitPerEndpoint * per_router_share));
   return true;
 }
 
@@ -35,10 +35,11 @@
 void CacheLimit::adjust(Load load) {
   const double limit = limit_.value();
   if (congestion_.is_congested()) {
-    const double least = std::max(kMinLimitPerEndpoint * load.per_router_share,
-                                  std::min(kOneAtATime, kInitialLimitPerEndpoint * load.per_router_share));
+    const double least =
+        std::max(kMinLimitPerEndpoint * load.per_router_share,
+                 std::min(kMinInitialLimit, kInitialLimitPerEndpoint * load.per_router_share));
     limit_.set_value(std::max(least, std::min<double>(limit, load.in_flight + 1) * kDecrease));
-  } else if (shed_since_tick_ || load.in_flight >= limit * kInUsePart) {
+  } else if (shed_since_tick_ || load.in_flight >= limit * kInUseShare) {
     limit_.set_value(std::min(kMaxLimit, limit * kIncrease));
   }
   shed_since_tick_ = false;
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -13,12 +13,12 @@
 
 namespace streampick::policy {
 
-/// Hedged requests (speculative executions) of safe reads: one more attempt on the next endpoint of the plan
-/// after each constant delay, within a budget and while the caches are not congested. The same timer finds
-/// endpoints that have fallen silent and attempts that stalled.
+/// Sends hedged requests (speculative executions) for safe reads: another attempt at the next endpoint of the
+/// plan after each constant delay, within a budget and only while the caches are not congested. The same
+/// timer detects endpoints that do not answer any more, and stalled attempts.
 class Hedging {
  public:
-  struct Parts {
+  struct Dependencies {
     const Config& config;
     const RequestRules& rules;
     EndpointTable& endpoints;
@@ -29,20 +29,21 @@
     OriginReads& origin_reads;
     TimerQueue& timers;
   };
-  explicit Hedging(const Parts& parts) : parts_(parts) {}
+  explicit Hedging(const Dependencies& deps) : deps_(deps) {}
 
-  /// Refills the budget.
+  /// Refills the budget. Call once for each request, at its first attempt.
   void on_first_attempt() { budget_.refill(kHedgesPerFirstAttempt); }
 
-  /// Sets the first timer of a request whose first attempt has just been sent, if it may be hedged.
+  /// Starts the hedge timer of a request whose first attempt has just been sent, if the request may be
+  /// hedged.
   void schedule(const RequestState& request, Time now);
 
-  /// The timer of a request is due.
+  /// Handles the hedge timer of a request.
   void on_timer(RequestState& request, Time now);
 
-  /// Fills the budget with its burst; once, when the first endpoints are known.
+  /// Fills the budget to its initial value. Call once, when the first endpoints are known.
   void initialize_budget(double per_router_share);
-  /// Bounds what the budget saves up.
+  /// Sets the capacity of the budget.
   void resize_budget(double per_router_share);
 
  private:
@@ -52,7 +53,7 @@
   void check_attempt(AttemptState& attempt, Time now);
   void try_hedge(RequestState& request, Time now);
 
-  Parts parts_;
+  Dependencies deps_;
   TokenBucket budget_;
 };
 
--- a/src/policy/router_impl.cpp
+++ b/src/policy/router_impl.cpp
@@ -17,10 +17,11 @@
 
 namespace {
 
-// Mean Retry-After of a request that is rejected for its tenant's quota, as a part of the greatest one.
-constexpr Time kQuotaRetryAfterPart = 2;
-// Longest pause of a limit below one, as a multiple of the latency objective.
-constexpr Time kLongestPausePerObjective = 2;
+// The mean Retry-After of a request rejected by its tenant's quota is the maximum Retry-After divided by
+// this.
+constexpr Time kQuotaRetryAfterDivisor = 2;
+// Maximum pause of a limit below one, as a multiple of the latency objective.
+constexpr Time kMaxPausePerObjective = 2;
 
 }  // namespace
 
@@ -74,7 +75,7 @@
   const QuotaState quota = quotas_.is_over_quota(request, now) ? QuotaState::over : QuotaState::within;
   const bool admitted = admission_.admits(request, quota, now);
   if (!admitted && quota == QuotaState::over) {
-    const Time mean = config_.max_retry_after / kQuotaRetryAfterPart;
+    const Time mean = config_.max_retry_after / kQuotaRetryAfterDivisor;
     sink_.reject(request.id, policy::jittered_retry_after(config_, mean, request.id));
     return;
   }
@@ -126,10 +127,10 @@
 }
 
 void Router::Impl::pause_cache_limit(const RequestState& request, const AttemptResult& result, Time now) {
-  const double usual = latencies_.usual(request.request);
-  const double duration = std::max(usual, static_cast<double>(result.duration));
-  const Time longest = kLongestPausePerObjective * rules_.class_of(request).latency_objective;
-  cache_limit_.pause_after(now, duration, longest);
+  const double mean_latency = latencies_.mean(request.request);
+  const double duration = std::max(mean_latency, static_cast<double>(result.duration));
+  const Time max_pause = kMaxPausePerObjective * rules_.class_of(request).latency_objective;
+  cache_limit_.pause_after(now, duration, max_pause);
   timers_.add(cache_limit_.resumes_at(), TimerKind::drain_queues);
 }
 
@@ -172,7 +173,8 @@
     case TimerKind::admission_timeout: admission_queue_.on_timeout(request, now); break;
     case TimerKind::retry: execution_.on_retry_timer(request, now); break;
     case TimerKind::deadline:
-      // Attempts are cut to the deadline and report just after it; what has none in flight ends here.
+      // Attempts in flight time out at the deadline and report their results just after it. A request without
+      // such an attempt ends here.
       if (request.in_flight_count == 0) {
         execution_.give_up(request, now);
       }
@@ -194,7 +196,7 @@
         sink_.poll_discovery();
       }
       break;
-    default: break;  // drain_queues: they are drained behind all timers
+    default: break;  // drain_queues: on_wakeup() drains the queues after all timers
   }
 }
 
