--- a/src/membership/address.h
+++ b/src/membership/address.h
@@ -1,5 +1,5 @@
 /// \file
-/// Conversions of addresses to socket endpoints and text.
+/// Converts addresses to and from UDP endpoints, and to text.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -11,13 +11,13 @@
 
 using udp = boost::asio::ip::udp;
 
-/// 0 for an endpoint that is not IPv4.
+/// Returns 0 if the endpoint is not IPv4.
 Address address_of(const udp::endpoint& endpoint);
 
-/// The endpoint of an address that is not numbered.
+/// `address` must hold an IPv4 address and a port; it must not be an index into `peers`.
 udp::endpoint endpoint_of(Address address);
 
-/// "10.0.0.4:7946", "#3" for a numbered address, "-" for none.
+/// "10.0.0.4:7946"; "#3" for the index 3 into `peers`; "-" for address 0.
 std::string text_of(Address address);
 
 }  // namespace streampick::membership
--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::size_t kMaxStartedPerPeriod = 8;
 constexpr std::size_t kMaxRangesPerReply = 4;
-// One more comparison, or range, for each so many records that one side lacks.
-constexpr std::size_t kRecordsPerStep = 8;
+// Difference of the tables' sizes in records for each extra comparison per period or extra range per reply.
+constexpr std::size_t kRecordsPerExtraStep = 8;
 constexpr std::uint32_t kBitsPerDigit = 4;
 
 bool contains_current(const std::vector<Record>& records, const Record& mine) {
@@ -33,11 +33,11 @@
   }
   const std::size_t difference = message.record_count > mine.count ? message.record_count - mine.count
                                                                    : mine.count - message.record_count;
-  // Pending updates will arrive without this.
+  // The updates that are still being disseminated may account for the difference.
   if (!context.updates.empty() && difference <= context.updates.size()) {
     return;
   }
-  if (started_in_period_ >= std::min(kMaxStartedPerPeriod, 1 + difference / kRecordsPerStep)) {
+  if (started_in_period_ >= std::min(kMaxStartedPerPeriod, 1 + difference / kRecordsPerExtraStep)) {
     return;
   }
   ++started_in_period_;
@@ -59,7 +59,7 @@
   }
   const std::uint32_t my_count = context.table.digest(context.self, now).count;
   const std::size_t missing = my_count > message.record_count ? my_count - message.record_count : 0;
-  const std::size_t max_ranges = std::min(kMaxRangesPerReply, 1 + missing / kRecordsPerStep);
+  const std::size_t max_ranges = std::min(kMaxRangesPerReply, 1 + missing / kRecordsPerExtraStep);
   for (std::size_t ranges = 0; ranges < max_ranges && !differing.empty(); ++ranges) {
     const std::size_t drawn = context.random.below(differing.size());
     const std::uint64_t prefix = (theirs.prefix << kBitsPerDigit) | differing[drawn];
@@ -82,7 +82,7 @@
                                   .parts = context.table.part_digests(depth, prefix, context.self, now)};
     records.clear();
   }
-  // Where not all records fit, another part of them is sent each time.
+  // If not all records fit, start at a random one, so that repeated exchanges send all of them.
   if (!records.empty()) {
     const auto first = static_cast<std::ptrdiff_t>(context.random.below(records.size()));
     std::rotate(records.begin(), records.begin() + first, records.end());
--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -1,7 +1,7 @@
 /// \file
-/// Anti-entropy: repairs differences between two member tables that gossip left. Processes compare digests of
-/// their tables, then of ever smaller ranges of instance ids (a Merkle tree that is computed on demand),
-/// until the records of a range that differs fit into a datagram.
+/// Anti-entropy: repairs differences between member tables that gossip did not repair. Two processes compare
+/// digests of their whole tables, then of smaller and smaller ranges of instance ids (a Merkle tree computed
+/// on demand), until the records of a differing range fit into one datagram.
 #pragma once
 
 #include <cstddef>
@@ -13,9 +13,9 @@
 
 class AntiEntropy {
  public:
-  /// Once a protocol period: bounds the comparisons that this process starts in it.
+  /// To be called once per protocol period: the number of comparisons started per period is limited.
   void on_period() { started_in_period_ = 0; }
-  /// Starts a comparison with the sender if its table differs from this one.
+  /// Starts a comparison with the sender if its table's digest differs from this process's.
   void on_digest(ProtocolContext& context, Address from, const Message& message, Time now);
   void on_compare(ProtocolContext& context, Address from, const Message& message,
                   const CompareDigests& theirs, Time now);
--- a/src/membership/bounds.cpp
+++ b/src/membership/bounds.cpp
@@ -8,10 +8,9 @@
 namespace streampick::membership {
 namespace {
 
-// A probe takes up to 1 + LocalHealth::kWorst periods.
-constexpr double kMaxProbePeriods = 5;
-// Live processes draw their targets: after six times members / live periods, a share of e^-6 of the members
-// was probed by none.
+constexpr double kMaxProbePeriods = 5;  // 1 + LocalHealth::kWorst
+// Live processes choose their probe targets at random: after kProbeRounds * members / live periods, a
+// fraction of e^-kProbeRounds of the members has not been probed by any of them.
 constexpr double kProbeRounds = 6;
 constexpr double kMessageOverhead = 100;  // bytes
 constexpr double kRecordSize = 56;        // bytes
@@ -20,7 +19,7 @@
 constexpr double kGossipMessages = 8;
 constexpr double kComparisons = 8;
 
-// Share of requests whose answer arrives.
+// Fraction of messages whose reply arrives: neither of the two datagrams is lost.
 double round_trip_share(double loss) { return (1 - loss) * (1 - loss); }
 
 }  // namespace
@@ -32,9 +31,9 @@
   const double probed =
       kMaxProbePeriods * std::min(n, 1 + kProbeRounds * n / static_cast<double>(live_members));
   const double suspected = rule.max_multiple * rule.min_factor * std::max(1.0, std::log10(n));
-  // A change and its refutation.
+  // Two disseminations: a change, and its refutation.
   const double disseminated = 2.0 * gossip_rounds(members);
-  // Anti-entropy carries at least half a datagram of records a period.
+  // Anti-entropy transfers at least half a datagram of records per period.
   const double records = std::max(1.0, (static_cast<double>(datagram_size) - kMessageOverhead) / kRecordSize);
   const double repaired = n / (records / 2);
   return probed + suspected + (disseminated + repaired) / round_trip_share(loss);
@@ -46,9 +45,9 @@
 }
 
 double false_alarm_share(double loss, std::size_t indirect_probers) {
-  const double through = round_trip_share(loss);
-  const double direct_failure = std::pow(1 - through, kDirectPings);
-  return direct_failure * std::pow(1 - through * through, static_cast<double>(indirect_probers));
+  const double success = round_trip_share(loss);
+  const double direct_failure = std::pow(1 - success, kDirectPings);
+  return direct_failure * std::pow(1 - success * success, static_cast<double>(indirect_probers));
 }
 
 double max_sends_per_period(std::size_t indirect_probers) {
--- a/src/membership/change_log.h
+++ b/src/membership/change_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Changes of the view, for log lines and metrics.
+/// Changes of the membership view, reported to the caller for log lines and metrics.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
 
 struct Change {
   enum class Kind : std::uint8_t {
-    joined,       ///< first heard of
-    suspected,    ///< here or by another process
-    refuted,      ///< a suspicion ended: the member is alive
-    unreachable,  ///< declared unreachable here
-    recovered,    ///< an unreachable member is alive again
-    left,         ///< it said so, or another process has its address
-    expired,      ///< an unreachable member's record was removed
-    name_conflict,
-    new_instance,  ///< this process took a new instance id: others hold the old one for left, or it was
-                   ///< suspended for too long
-    suspended,     ///< this process did not run for a while
+    joined,         ///< the first record of a new instance arrived
+    suspected,      ///< by this process or by another one
+    refuted,        ///< a suspicion ended: the member is alive
+    unreachable,    ///< its suspicion timed out here, or its first record says so
+    recovered,      ///< an unreachable member is alive again
+    left,           ///< it announced that, or a new instance runs at its address
+    expired,        ///< an unreachable member's record was removed
+    name_conflict,  ///< several running processes have the same name
+    new_instance,   ///< this process took a new instance id: its old one was reported as left, or it did not
+                    ///< run for too long
+    suspended,      ///< this process did not run for a while, for instance under SIGSTOP
   };
   Kind kind = Kind::joined;
   std::string name;
@@ -32,14 +32,14 @@
   Address address = 0;
 };
 
-/// Keeps the newest changes until they are taken.
+/// Keeps the newest changes until the caller takes them.
 class ChangeLog {
  public:
   void add(Change::Kind kind, const Record& subject);
   std::vector<Change> take();
-  /// Changes ever added.
+  /// Number of changes added since the start.
   [[nodiscard]] std::uint64_t total() const { return total_; }
-  /// Changes that were dropped because too many were not taken.
+  /// Number of changes that were dropped because the log was full.
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
  private:
--- a/src/membership/dissemination_queue.cpp
+++ b/src/membership/dissemination_queue.cpp
@@ -8,12 +8,12 @@
 namespace streampick::membership {
 namespace {
 
-// Transmissions of an update beyond the rounds that reach all members.
+// Transmissions of an update in addition to gossip_rounds().
 constexpr int kExtraTransmissions = 2;
-// About the size of the smallest update.
+// Approximate size of the smallest encoded update.
 constexpr std::size_t kSmallUpdateBytes = 16;
 
-// Adds records to a message until its datagram is full.
+// Adds records to a message up to the maximum datagram size.
 class UpdateWriter {
  public:
   UpdateWriter(Message& message, std::size_t max_datagram_size)
@@ -31,7 +31,7 @@
     message_.updates.push_back(record);
     return true;
   }
-  // An upper limit of the updates that may still fit.
+  // Upper bound of the number of further updates that fit.
   std::size_t max_more() const {
     return (max_datagram_size_ - std::min(max_datagram_size_, size_)) / kSmallUpdateBytes + 1;
   }
@@ -64,29 +64,31 @@
   return members;
 }
 
-void DisseminationQueue::fill(Message& message, const std::vector<Record>& first, const View& view, Time now,
-                              RandomSource& random) {
-  UpdateWriter writer(message, view.max_datagram_size);
+void DisseminationQueue::fill(Message& message, const std::vector<Record>& first, const FillInput& input,
+                              Time now, RandomSource& random) {
+  UpdateWriter writer(message, input.max_datagram_size);
   for (const Record& record : first) {
     if (!writer.add(record)) {
       return;
     }
   }
-  // The receiver takes records that are missing in a range for unknown to the sender.
+  // A SyncRange message holds the records of one range only: the receiver replies with its own records that
+  // are not among them.
   if (message.kind() == MessageKind::sync_range || pending_.empty()) {
     return;
   }
-  const int max_transmissions = gossip_rounds(view.live_members) + kExtraTransmissions;
+  const int max_transmissions = gossip_rounds(input.live_members) + kExtraTransmissions;
   for (const InstanceId instance : least_sent(writer.max_more())) {
     const auto pending = pending_.find(instance);
-    const Member* member = view.table.find(instance);
+    const Member* member = input.table.find(instance);
     if (member == nullptr) {
       pending_.erase(pending);
       continue;
     }
-    Record record = view.table.record_to_send(*member, now, !pending->second.is_new);
-    // Names another accuser each time, so that all of them come to count at every receiver.
-    if (const Suspicion* suspicion = view.suspicions.find(instance)) {
+    Record record = input.table.record_to_send(*member, now, !pending->second.is_new);
+    // A record names one accuser. Choose it at random, so that each receiver learns of all accusers over
+    // time.
+    if (const Suspicion* suspicion = input.suspicions.find(instance)) {
       record.suspected_by = suspicion->accuser(random.below(suspicion->accuser_count()));
     }
     if (!writer.add(record)) {
--- a/src/membership/dissemination_queue.h
+++ b/src/membership/dissemination_queue.h
@@ -1,6 +1,6 @@
 /// \file
-/// SWIM's dissemination component: changes travel as updates piggybacked on all messages, each a limited
-/// number of times, those that were sent least first.
+/// SWIM's dissemination component: changes are piggybacked on messages as updates. Each update is sent a
+/// limited number of times, and those sent least often go first.
 #pragma once
 
 #include <cstddef>
@@ -16,15 +16,15 @@
 
 class DisseminationQueue {
  public:
-  /// What the queue reads when it fills a message.
-  struct View {
+  /// The state that fill() reads.
+  struct FillInput {
     const MemberTable& table;
     const Suspicions& suspicions;
     std::size_t live_members;
     std::size_t max_datagram_size;
   };
 
-  /// Starts to disseminate the member's record. `is_new`: other receivers may not know the instance, so the
+  /// Starts to disseminate the member's record. `is_new`: receivers may not know the instance yet, so the
   /// record is sent with its name and address.
   void add(InstanceId member, bool is_new = false);
   void erase(InstanceId member) { pending_.erase(member); }
@@ -32,9 +32,9 @@
   [[nodiscard]] bool empty() const { return pending_.empty(); }
   [[nodiscard]] std::size_t size() const { return pending_.size(); }
 
-  /// Adds `first`, then pending updates, as many as fit into a datagram. A range of anti-entropy gets no
-  /// pending updates.
-  void fill(Message& message, const std::vector<Record>& first, const View& view, Time now,
+  /// Adds `first`, then as many pending updates as fit into a datagram. A SyncRange message gets no pending
+  /// updates.
+  void fill(Message& message, const std::vector<Record>& first, const FillInput& input, Time now,
             RandomSource& random);
 
  private:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,9 +9,9 @@
 
 constexpr int kMaxPings = 3;
 constexpr std::size_t kMaxIndirectProbes = 64;
-// One probe in so many is the round's even while there are claims to verify: whoever sends claims could
-// otherwise keep this router from probing the others.
-constexpr std::uint32_t kRoundTurn = 3;
+// While there are claims to verify, one of this many probes still goes to the next member of the round.
+// Otherwise a peer that keeps sending claims could stop this router from probing the other members.
+constexpr std::uint32_t kPicksPerRoundProbe = 3;
 
 bool is_live(const Member* member) { return member != nullptr && member->record.state <= State::suspect; }
 
@@ -47,10 +47,11 @@
     const Member* member = context.table.find(claim.first);
     return member == nullptr || member->record.state == State::left;
   });
-  // Drawn: otherwise all routers that heard the same claims would probe the same member at once.
-  if (!claims.empty() && ++priority_turn_ % kRoundTurn != 0) {
-    const auto drawn = static_cast<std::ptrdiff_t>(context.random.below(claims.size()));
-    return std::next(claims.begin(), drawn)->first;
+  // Chosen at random: otherwise all routers that received the same claims would probe the same member at
+  // once.
+  if (!claims.empty() && ++picks_with_claims_ % kPicksPerRoundProbe != 0) {
+    const auto index = static_cast<std::ptrdiff_t>(context.random.below(claims.size()));
+    return std::next(claims.begin(), index)->first;
   }
   if (const std::optional<InstanceId> target = next_of_round(context)) {
     return target;
@@ -82,9 +83,10 @@
   ++context.counters.failed_probes;
   const Probe probe = *std::exchange(probe_, std::nullopt);
   const Member* member = context.table.find(probe.target);
-  // Indirect probers that sent not even a nack: the fault may be here, unless others suspect the target too.
-  const bool only_here = member != nullptr && member->record.state == State::alive;
-  if (only_here && (probe.indirect_probers == 0 || probe.nacks < probe.indirect_probers)) {
+  // Where indirect probers sent no Nack either, the fault may be at this process, unless others suspect the
+  // target too.
+  const bool is_suspected_only_here = member != nullptr && member->record.state == State::alive;
+  if (is_suspected_only_here && (probe.indirect_probers == 0 || probe.nacks < probe.indirect_probers)) {
     context.health.degrade();
   }
   if (!is_live(member)) {
--- a/src/membership/gossip_protocol.cpp
+++ b/src/membership/gossip_protocol.cpp
@@ -13,11 +13,11 @@
 constexpr std::size_t kLeaveMessages = 8;
 constexpr std::size_t kRememberedAddresses = 16;
 constexpr std::size_t kMaxWaitingPayloads = 256;
-// A process takes a new instance id at most once in so many periods: records that claim that it has left may
-// keep coming.
+// Minimum number of periods between two new instance ids of a process, as records of its old instance with
+// the state `left` may keep arriving.
 constexpr int kPeriodsBetweenInstances = 10;
 constexpr int kExtraSettlePeriods = 4;
-// Bytes that a payload's protocol number takes beside its own.
+// Encoded size in bytes of a payload's protocol number, in addition to the payload itself.
 constexpr std::size_t kPayloadOverhead = 3;
 
 }  // namespace
@@ -36,7 +36,8 @@
   return !has_left_ && now - expected_wakeup_ >= context_.settings.lifetimes.unreachable / 2;
 }
 
-// After a suspension, running probes and suspicions say nothing about the peers.
+// After a suspension of this process, probes without an Ack say nothing about their targets, and suspected
+// members had no chance to refute.
 void GossipProtocol::handle_suspension(Time now) {
   const Time late = now - expected_wakeup_;
   if (late <= context_.settings.period / 2 || !context_.rules->detects_suspension()) {
@@ -102,7 +103,7 @@
   return 2 * gossip_rounds(context_.live().count) + kExtraSettlePeriods;
 }
 
-// Messages of their own, while there are more updates than fit on the probes.
+// Sends messages that carry only updates, while there are more updates than the probes can carry.
 void GossipProtocol::send_gossip(Time now) {
   const std::vector<Address>& live = context_.live().addresses;
   for (std::size_t i = 0; i < kMaxGossipPerPeriod && !context_.updates.empty() && live.size() > 1; ++i) {
@@ -135,7 +136,8 @@
   expected_wakeup_ = std::max(now, next_wakeup());
 }
 
-// A sender that is held for suspect or unreachable is evidently alive: probe it, so that it can refute that.
+// A sender that this process has as suspect or unreachable is alive: probe it soon, so that it can refute
+// that.
 void GossipProtocol::verify_accused_sender(InstanceId sender, Time now) {
   const Member* member = context_.table.find(sender);
   if (member == nullptr) {
@@ -195,7 +197,7 @@
   anti_entropy_.on_sync_range(context_, from, message, range, now);
 }
 
-// Its updates have been merged already.
+// receive() has merged the updates already.
 void GossipProtocol::handle(const Gossip& /*gossip*/, Address /*from*/, const Message& /*message*/,
                             Time /*now*/) {}
 
@@ -230,7 +232,7 @@
   }
 }
 
-// Only a process itself says that it is alive, by a higher incarnation than the accusation's.
+// Only the process itself can refute an accusation, with a higher incarnation than that of the accusation.
 void GossipProtocol::refute(const Record& accusation, Time now) {
   Record& self = context_.self;
   if (accusation.incarnation < self.incarnation) {
@@ -268,7 +270,7 @@
 }
 
 void GossipProtocol::restart(Time now) {
-  // The addresses are drawn after the instance id.
+  // The random numbers for the sample below are drawn after the new instance id.
   const std::vector<Address> live = context_.live().addresses;
   context_.table.clear();
   context_.updates.clear();
@@ -307,7 +309,7 @@
 
 // ---- Payloads
 
-// Without updates: payloads are frequent, and have a budget of their own.
+// Payloads carry no updates: they are frequent, and the socket limits them by a separate budget.
 void GossipProtocol::send_payload(std::uint32_t protocol, Time now, Address to, std::string bytes) {
   if (has_left_ || bytes.empty() || bytes.size() > max_payload_size()) {
     return;
--- a/src/membership/gossip_protocol.h
+++ b/src/membership/gossip_protocol.h
@@ -1,9 +1,11 @@
 /// \file
-/// The membership protocol: SWIM with Lifeguard's extensions and anti-entropy. Each router keeps a view of
-/// its fleet. docs/membership.md has the algorithm, its differences from the papers, bounds and invariants.
+/// The membership protocol: SWIM with Lifeguard's extensions and anti-entropy. Each router maintains a view
+/// of its fleet. docs/membership.md describes the algorithm, its differences from the papers, its bounds and
+/// its invariants.
 ///
-/// Takes messages and the time, gives messages, the time of its next call, and changes of the view. No I/O,
-/// no clock, no threads; a copy goes on independently.
+/// The class is a state machine without I/O, clock or threads: the caller passes in messages and the time,
+/// and takes out messages, changes of the view and the time of the next call. A copy runs independently of
+/// its original.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +24,7 @@
 
 namespace streampick::membership {
 
-/// Bytes that another protocol on the socket sent.
+/// A received payload of another protocol that shares the socket.
 struct ReceivedPayload {
   Address from = 0;
   std::uint32_t protocol = 0;
@@ -35,26 +37,26 @@
   GossipProtocol(Settings settings, std::uint64_t seed, Time now,
                  const ProtocolRules& rules = ProtocolRules::standard());
 
-  /// Messages can be sent and received from now on. Time before it does not count as a suspension.
+  /// To be called when messages can be sent and received. The time before does not count as a suspension.
   void start(Time now);
-  /// `from`: the address that the message came from.
+  /// `from`: the address that the datagram came from.
   void receive(Time now, Address from, const Message& message);
-  /// To be called at next_wakeup(). Calls that come much later count as a suspension of this process.
+  /// To be called at next_wakeup(). A call much later than that counts as a suspension of this process.
   void tick(Time now);
   [[nodiscard]] Time next_wakeup() const;
-  /// Whether this process was suspended for so long that it must start anew under another instance id. The
-  /// caller then drops the datagrams that wait on its socket, and calls tick().
+  /// Whether this process was suspended for so long that it must restart the protocol under a new instance
+  /// id. The caller then discards the datagrams in its socket's buffer and calls tick().
   [[nodiscard]] bool must_restart(Time now) const;
 
-  /// Changes what this process says of itself.
+  /// Changes the facts in this process's own record.
   void set_facts(Time now, Facts facts);
   void set_contacts(std::vector<Address> contacts);
-  /// Queues bytes of another protocol, max_payload_size() at most: larger ones are dropped. There is no
-  /// acknowledgement and no retransmission.
+  /// Queues a message of another protocol. Messages of more than max_payload_size() bytes are dropped. There
+  /// is no acknowledgement and no retransmission.
   void send_payload(std::uint32_t protocol, Time now, Address to, std::string bytes);
   [[nodiscard]] std::size_t max_payload_size() const;
   std::vector<ReceivedPayload> take_payloads() { return std::exchange(payloads_, {}); }
-  /// Tells some other members that this process leaves. It sends nothing afterwards.
+  /// Announces to some members that this process leaves. It sends nothing afterwards.
   void leave(Time now);
 
   std::vector<OutgoingMessage> take_outgoing() { return std::exchange(context_.outgoing, {}); }
@@ -66,9 +68,10 @@
   [[nodiscard]] const ProtocolCounters& counters() const { return context_.counters; }
   [[nodiscard]] std::uint64_t dropped_changes() const { return context_.changes.dropped(); }
   [[nodiscard]] const Settings& settings() const { return context_.settings; }
-  /// Lifeguard's score: 0 is healthy; higher scores make this process slower to accuse.
+  /// Lifeguard's local health score: 0 is healthy; with a higher score this process waits longer before it
+  /// suspects others.
   [[nodiscard]] int local_health() const { return context_.health.score(); }
-  /// Protocol periods after which an unchanged view counts as settled.
+  /// Number of protocol periods after which an unchanged view counts as settled.
   [[nodiscard]] int settle_periods() const;
 
  private:
@@ -100,7 +103,7 @@
   NameConflictMonitor name_conflicts_;
   bool has_left_ = false;
   Time next_period_;
-  Time expected_wakeup_;  // of the last call; a much later one shows a suspension
+  Time expected_wakeup_;  // next_wakeup() at the end of the last call; a much later call shows a suspension
   std::optional<Time> new_instance_at_;
   bool is_settled_ = false;
   std::size_t settled_max_live_ = 1;
--- a/src/membership/gossip_socket.cpp
+++ b/src/membership/gossip_socket.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t kBufferSize = 2'048;
 constexpr int kDatagramsPerTurn = 64;
 constexpr int kMaxDiscarded = 10'000;
-// One call fails for what a peer's machine said of a datagram. A longer row of errors is the system's and
-// lasts: the socket stays readable, and reading on at once would spin.
+// A read fails once for each ICMP error that a peer's host returned. A longer series of errors comes from the
+// local system and persists: the socket stays readable, and reading again at once would spin.
 constexpr int kMaxReadErrors = 16;
 constexpr std::chrono::milliseconds kReadRetryInterval{20};
 
@@ -37,7 +37,7 @@
       timer_(time.timer([this] { on_wakeup(); })),
       buffer_(kBufferSize) {
   for (std::uint32_t number = 0; number < settings_.peers.size(); ++number) {
-    numbers_.emplace(settings_.peers[number], number);
+    peer_numbers_.emplace(settings_.peers[number], number);
   }
   open();
 }
@@ -165,14 +165,14 @@
   protocol_.receive(now, address, message);
 }
 
-// Hands out payloads and changes, and sends what the protocol queued.
+// Passes payloads and changes to their handlers, and sends the messages that the protocol queued.
 void GossipSocket::flush() {
   const Time now = time_.now();
-  is_handing_out_payloads_ = true;  // payloads that are sent in response go out below
+  is_dispatching_payloads_ = true;  // payloads that the handler sends are sent below
   for (const ReceivedPayload& payload : protocol_.take_payloads()) {
     payload_handler_.on_payload(payload);
   }
-  is_handing_out_payloads_ = false;
+  is_dispatching_payloads_ = false;
   for (const OutgoingMessage& outgoing : protocol_.take_outgoing()) {
     send(outgoing, now);
   }
@@ -221,7 +221,7 @@
 
 void GossipSocket::send_payload(std::uint32_t protocol, Address to, std::string bytes) {
   protocol_.send_payload(protocol, time_.now(), to, std::move(bytes));
-  if (!is_handing_out_payloads_ && socket_.is_open()) {
+  if (!is_dispatching_payloads_ && socket_.is_open()) {
     flush();
   }
 }
@@ -257,8 +257,8 @@
 
 Address GossipSocket::peer_address(const udp::endpoint& endpoint) const {
   if (!settings_.peers.empty()) {
-    const auto found = numbers_.find(endpoint);
-    return found == numbers_.end() ? 0 : numbered(found->second);
+    const auto found = peer_numbers_.find(endpoint);
+    return found == peer_numbers_.end() ? 0 : numbered(found->second);
   }
   const Address address = address_of(endpoint);
   return address != 0 && is_peer(address) ? address : 0;
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,6 +1,6 @@
 /// \file
-/// Lifeguard's local health multiplier: a process that misses answers itself waits longer before it accuses
-/// others.
+/// Lifeguard's local health multiplier: a process whose own probes often fail extends its probe timeouts
+/// before it suspects others.
 #pragma once
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 
   void degrade() { score_ = std::min(kWorst, score_ + 1); }
   void improve() { score_ = std::max(0, score_ - 1); }
-  /// 0: healthy, kWorst: worst.
+  /// From 0 (healthy) to kWorst.
   [[nodiscard]] int score() const { return score_; }
-  /// Factor of the time-outs of probes.
+  /// Factor by which probe timeouts are extended.
   [[nodiscard]] int multiplier() const { return 1 + score_; }
 
  private:
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -17,7 +17,7 @@
   return value ^ (value >> 31U);
 }
 
-// Covers what equal tables have in common. Accusers and ages may differ.
+// Excludes accusers and ages, which may differ between tables that count as equal.
 std::uint64_t hash(const Record& record) {
   const std::uint64_t incarnation = record.state == State::left ? 0 : record.incarnation;
   return mix(record.instance ^ mix(incarnation * 4 + static_cast<std::uint64_t>(record.state)));
@@ -37,7 +37,7 @@
   if (record.is_brief()) {
     return Effect::unchanged;
   }
-  // A record near the end of its lifetime is not learned anew: it could circulate forever.
+  // A record near the end of its lifetime is not added again: otherwise it could circulate forever.
   const Time lifetime = lifetimes_.of(record.state);
   if (lifetime != kNever && record.age > lifetime / 4 * 3) {
     return Effect::unchanged;
@@ -60,7 +60,7 @@
     if (record.incarnation == known.record.incarnation) {
       return known.record.state == State::suspect ? Effect::confirmed : Effect::disputed;
     }
-    // The incarnation is new here: the claim starts a suspicion of this process's own.
+    // The claim has an incarnation that is new here: it starts a suspicion at this process.
     replace(known, record, now);
     known.record.state = State::suspect;
     known.record.suspected_by = record.instance;
@@ -72,14 +72,14 @@
 
 MemberTable::Effect MemberTable::merge_older(Member& known, const Record& record, Time now) const {
   const bool same = record.incarnation == known.record.incarnation && record.state == known.record.state;
-  // The greatest age counts, so that all tables expire a record at one time.
+  // Keep the greatest age, so that all tables expire the record at about the same time.
   if (same && lifetimes_.of(record.state) != kNever) {
     known.since = std::min(known.since, now - record.age);
   }
   return same && record.state == State::suspect ? Effect::confirmed : Effect::unchanged;
 }
 
-// Name and address belong to the instance and stay.
+// The name and address of an instance never change.
 void MemberTable::replace(Member& known, const Record& record, Time since) {
   cached_digest_.reset();
   known.record.incarnation = record.incarnation;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,9 +1,9 @@
 /// \file
 /// The member table: merges records, expires them and computes digests for anti-entropy.
 ///
-/// Processes are identified by their instance ids. Records of one instance are ordered by (incarnation,
-/// state), with `left` above all, and the table only moves up in that order. Merging is therefore commutative
-/// and idempotent, and a refuted claim does not come back. No I/O, no clock.
+/// A record belongs to one process instance. Records of the same instance are ordered by (incarnation,
+/// state), with `left` above all others, and merge() replaces a record only by a higher one. Merging is
+/// therefore commutative and idempotent, and a refuted claim does not return. No I/O, no clock.
 #pragma once
 
 #include <boost/container/flat_map.hpp>
@@ -19,41 +19,43 @@
 
 struct Member {
   Record record;
-  Time since = 0;  ///< in this state, as far as is known here
+  Time since = 0;  ///< when it entered its state, by this process's clock
 };
 
 class MemberTable {
  public:
   static constexpr std::size_t kMaxRecords = 4'096;
 
-  /// What merge() did.
+  /// The result of merge().
   enum class Effect : std::uint8_t {
     unchanged,
-    applied,     ///< the table holds the record now
-    confirmed,   ///< a suspicion that the table holds already
-    disputed,    ///< claims that a member is unreachable which is alive here: to be probed, not believed
-    table_full,  ///< a new instance, and no place for it
+    applied,     ///< the table has been changed to the record
+    confirmed,   ///< the record confirms a suspicion that the table already has
+    disputed,    ///< unreachable by the record, alive here: not applied, but to be probed
+    table_full,  ///< the record of a new instance was dropped, as the table is full
   };
 
   explicit MemberTable(Lifetimes lifetimes) : lifetimes_(lifetimes) {}
 
-  /// Merges a record of another instance than this process's own. A claim that a member is unreachable is not
-  /// believed while the member is alive here: only set_state() declares that, so that no single router can.
+  /// Merges a record of an instance other than this process's own. A record that says `unreachable` does not
+  /// change a member that is alive or suspect here to `unreachable`. Only set_state() does that, after this
+  /// process's own suspicion, so that no single router can declare a member unreachable for the whole fleet.
   Effect merge(const Record& record, Time now);
-  /// Sets what this process found out itself. Nothing follows on `left`.
+  /// Sets a state that this process has determined itself. Does nothing if the member has left.
   void set_state(InstanceId instance, State state, InstanceId suspected_by, Time now);
 
   /// nullptr if the instance is unknown. Valid until the next change of the table.
   [[nodiscard]] const Member* find(InstanceId instance) const;
-  /// By instance; contiguous in memory because it is mostly iterated over.
+  /// By instance; contiguous in memory, as most uses iterate over all members.
   using Members = boost::container::flat_map<InstanceId, Member>;
   [[nodiscard]] const Members& members() const { return members_; }
-  /// The member at an address that has not left, an alive one before others; nullptr if there is none.
+  /// The member at the address; nullptr if there is none. Members that have left are ignored; of several, the
+  /// one in the lowest state is returned (alive before suspect before unreachable).
   [[nodiscard]] const Member* find_by_address(Address address) const;
-  /// The record as it is sent now, with its current age.
+  /// The record with its current age, as it is sent in messages. `brief`: without name and address.
   [[nodiscard]] Record record_to_send(const Member& member, Time now, bool brief = false) const;
 
-  /// Removes and returns records whose lifetime is over.
+  /// Removes and returns the records whose lifetime has ended.
   std::vector<Record> remove_expired(Time now);
   void clear();
 
@@ -61,14 +63,15 @@
     std::uint64_t value = 0;
     std::uint32_t count = 0;
   };
-  /// Equal for tables that hold the same instances in the same incarnations and states. Covers `self`, and
-  /// no record in the second half of its lifetime: tables expire records at slightly different times and must
-  /// not teach each other what is about to expire.
+  /// Equal for tables with the same instances in the same incarnations and states. Includes `self`. Excludes
+  /// records in the second half of their lifetime: tables expire a record at slightly different times, and
+  /// anti-entropy must not copy a record back to a table that has expired it.
   [[nodiscard]] Digest digest(const Record& self, Time now) const;
-  /// Digests of the parts of a range: the instances whose first `depth` hexadecimal digits are `prefix`.
+  /// Digests of the sixteen parts of a range. A range consists of the instances whose ids begin with the
+  /// `depth` hexadecimal digits `prefix`.
   [[nodiscard]] PartDigests part_digests(std::uint32_t depth, std::uint64_t prefix, const Record& self,
                                          Time now) const;
-  /// The records of a range that count in digests.
+  /// The records of a range that its digest includes.
   [[nodiscard]] std::vector<Record> range(std::uint32_t depth, std::uint64_t prefix, const Record& self,
                                           Time now) const;
 
@@ -84,7 +87,7 @@
 
   Lifetimes lifetimes_;
   Members members_;
-  mutable std::optional<Digest> cached_digest_;  // without this process's own record
+  mutable std::optional<Digest> cached_digest_;  // excludes this process's own record
 };
 
 }  // namespace streampick::membership
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,6 +1,6 @@
 /// \file
-/// The messages of the gossip protocol. Each carries the sender's own record, a digest of its member table
-/// and piggybacked updates; the body holds what is particular to one kind.
+/// The messages of the gossip protocol. Each contains the sender's own record, a digest of its member table
+/// and piggybacked updates; the body holds the fields of one message kind.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
 inline constexpr std::size_t kRangeParts = 16;
 /// Digests of the sixteen parts of a range of instance ids.
 using PartDigests = std::array<std::uint32_t, kRangeParts>;
-/// Hexadecimal digits of an instance id: the deepest range holds one instance.
+/// Number of hexadecimal digits of an instance id: a range of this depth holds one instance.
 inline constexpr std::uint32_t kMaxRangeDepth = 16;
 
 /// SWIM's direct probe, acknowledged by Ack with the same sequence number.
@@ -26,15 +26,15 @@
   friend bool operator==(const Ping&, const Ping&) = default;
 };
 
-/// `target` is not 0 in an acknowledgement that an indirect prober forwards; its first update is then the
-/// target's own record.
+/// The reply to Ping. In an Ack that an indirect prober forwards, `target` is the address of the process that
+/// was probed, and the first update is that process's own record; otherwise `target` is 0.
 struct Ack {
   std::uint32_t sequence = 0;
   Address target = 0;
   friend bool operator==(const Ack&, const Ack&) = default;
 };
 
-/// SWIM's ping-req: asks the receiver to probe `target`. Answered by a forwarded Ack or by Nack.
+/// SWIM's ping-req: asks the receiver to probe `target`. The reply is a forwarded Ack or a Nack.
 struct PingRequest {
   std::uint32_t sequence = 0;
   Address target = 0;
@@ -42,14 +42,14 @@
   friend bool operator==(const PingRequest&, const PingRequest&) = default;
 };
 
-/// Lifeguard's negative acknowledgement: the indirect prober works, and its probe timed out.
+/// Lifeguard's negative acknowledgement: the indirect prober is reachable, but its probe timed out.
 struct Nack {
   std::uint32_t sequence = 0;
   friend bool operator==(const Nack&, const Nack&) = default;
 };
 
-/// Anti-entropy: digests of the parts of a range, the instances whose first `depth` hexadecimal digits are
-/// `prefix`.
+/// Anti-entropy: digests of the parts of a range, which consists of the instances whose ids begin with the
+/// `depth` hexadecimal digits `prefix`.
 struct CompareDigests {
   std::uint32_t depth = 0;
   std::uint64_t prefix = 0;
@@ -57,8 +57,8 @@
   friend bool operator==(const CompareDigests&, const CompareDigests&) = default;
 };
 
-/// Anti-entropy: the updates are the sender's records of a range. A reply holds only those that supersede or
-/// complete the receiver's, and is not replied to.
+/// Anti-entropy: the updates are the sender's records of a range. A reply contains only records that the
+/// receiver lacks or has in an older version, and gets no reply itself.
 struct SyncRange {
   std::uint32_t depth = 0;
   std::uint64_t prefix = 0;
@@ -66,12 +66,12 @@
   friend bool operator==(const SyncRange&, const SyncRange&) = default;
 };
 
-/// Carries updates only.
+/// A message that only carries updates.
 struct Gossip {
   friend bool operator==(const Gossip&, const Gossip&) = default;
 };
 
-/// Bytes of another protocol that shares the socket.
+/// A message of another protocol that shares the socket.
 struct Payload {
   std::uint32_t protocol = 0;
   std::string bytes = {};
@@ -81,7 +81,7 @@
 /// In the order of MessageKind.
 using MessageBody = std::variant<Ping, Ack, PingRequest, Nack, CompareDigests, SyncRange, Gossip, Payload>;
 
-/// The numbers are those of the wire.
+/// The enumerators' values are the numbers on the wire.
 enum class MessageKind : std::uint8_t {
   ping,
   ack,
@@ -93,19 +93,19 @@
   payload,
 };
 inline constexpr std::size_t kMessageKinds = std::variant_size_v<MessageBody>;
-/// Names in the answer to the operators' command FLEET.
+/// Names in the reply to the management command FLEET.
 inline constexpr std::array<const char*, kMessageKinds> kMessageKindNames = {
     "probe", "answer", "ask_to_probe", "no_answer", "compare", "records", "tell", "guest"};
 
 inline constexpr std::size_t kMaxUpdates = 64;
 inline constexpr std::size_t kMaxPayloadBytes = 1'200;
-/// Payload::protocol of shared limits.
+/// Payload::protocol of the lease protocol for shared limits.
 inline constexpr std::uint32_t kShares = 1;
 
 struct Message {
   Record sender = {};
-  std::uint64_t digest = 0;        ///< of the sender's member table, itself included
-  std::uint32_t record_count = 0;  ///< records in that digest
+  std::uint64_t digest = 0;        ///< of the sender's member table, including its own record
+  std::uint32_t record_count = 0;  ///< number of records in that digest
   std::vector<Record> updates = {};
   MessageBody body = Ping{};
 
--- a/src/membership/name_conflict_monitor.cpp
+++ b/src/membership/name_conflict_monitor.cpp
@@ -10,6 +10,7 @@
 
 constexpr int kPeriodsToReport = 5;
 
+// Names of the alive processes that are not draining.
 std::vector<std::string_view> sorted_names(const Record& self, const MemberTable& table) {
   std::vector<std::string_view> names;
   const auto add = [&](const Record& record) {
--- a/src/membership/name_conflict_monitor.h
+++ b/src/membership/name_conflict_monitor.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reports names that two processes have, neither of which is draining. During an upgrade that is normal for
-/// a moment; when it lasts it is a configuration error.
+/// Reports names that several running processes have, of which none is draining. During an upgrade that is
+/// normal for a short time; a lasting conflict is a configuration error.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 
 class NameConflictMonitor {
  public:
-  /// Once a protocol period. Reports each conflict once.
+  /// To be called once per protocol period. Reports each conflict once.
   void check(const Record& self, const MemberTable& table, ChangeLog& changes);
 
  private:
-  std::map<std::string, int> conflict_periods_;  // by name: for so many periods
+  std::map<std::string, int> conflict_periods_;  // by name: number of periods that the conflict has lasted
   std::optional<std::uint64_t> checked_changes_;
 };
 
--- a/src/membership/protocol_context.cpp
+++ b/src/membership/protocol_context.cpp
@@ -45,11 +45,11 @@
 }
 
 void ProtocolContext::send(Message message, Address to, Time now, const std::vector<Record>& first) {
-  const DisseminationQueue::View view{.table = table,
-                                      .suspicions = suspicions,
-                                      .live_members = live().count,
-                                      .max_datagram_size = settings.max_datagram_size};
-  updates.fill(message, first, view, now, random);
+  const DisseminationQueue::FillInput input{.table = table,
+                                            .suspicions = suspicions,
+                                            .live_members = live().count,
+                                            .max_datagram_size = settings.max_datagram_size};
+  updates.fill(message, first, input, now, random);
   outgoing.push_back({.to = to, .message = std::move(message)});
 }
 
--- a/src/membership/protocol_context.h
+++ b/src/membership/protocol_context.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the parts of the gossip protocol share: this process's record, the member table with what is to be
-/// disseminated of it, the random numbers, and the messages and changes that wait for the caller.
+/// State that the components of the gossip protocol share: this process's own record, the member table, the
+/// updates to be disseminated, the random numbers, and the messages and changes that the caller will take.
 #pragma once
 
 #include <cstddef>
@@ -29,9 +29,9 @@
   std::uint64_t anti_entropy_rounds = 0;
   std::uint64_t refutations = 0;
   std::uint64_t declared_unreachable = 0;  ///< by this router
-  std::uint64_t unexpected_acks = 0;       ///< late, or never asked for
-  std::uint64_t table_full = 0;            ///< records that were dropped
-  std::uint64_t address_mismatches = 0;    ///< messages whose sender names another address as its own
+  std::uint64_t unexpected_acks = 0;       ///< late, or without a probe
+  std::uint64_t table_full = 0;            ///< records that were dropped as the member table was full
+  std::uint64_t address_mismatches = 0;    ///< messages not sent from the address in their sender's record
 };
 
 struct OutgoingMessage {
@@ -41,26 +41,26 @@
 
 /// Members that are alive or suspected.
 struct LiveMembers {
-  std::size_t count = 1;           ///< this process included
-  std::vector<Address> addresses;  ///< of the others, sorted
+  std::size_t count = 1;           ///< including this process
+  std::vector<Address> addresses;  ///< excluding this process's; sorted
 };
 
 struct ProtocolContext {
   ProtocolContext(Settings settings, std::uint64_t seed, Time now, const ProtocolRules& rules);
 
   [[nodiscard]] const LiveMembers& live() const;
-  /// To be called when a member became live or ceased to be.
+  /// To be called when a member starts or ceases to be live.
   void invalidate_live() { cached_live.reset(); }
 
   [[nodiscard]] Message make_message(MessageBody body, Time now) const;
-  /// Adds `first` and pending updates, and queues the message.
+  /// Adds the records `first` and then pending updates to the message, and queues it.
   void send(Message message, Address to, Time now, const std::vector<Record>& first = {});
   void send(MessageBody body, Address to, Time now, const std::vector<Record>& first = {});
-  /// `target`: the member that is probed, if it is known; it is told first what is held against it, so that
-  /// it can refute that.
+  /// `target`: the probed member; nullptr if it is unknown. If it is not alive in this process's view, its
+  /// record is among the first updates of the message, so that it can refute that.
   void send_ping(std::uint32_t sequence, Address to, const Member* target, Time now,
                  std::vector<Record> first = {});
-  /// The record of a member that is not held for alive here.
+  /// The member's record if its state in this process's view is not `alive`.
   [[nodiscard]] std::optional<Record> accusation(InstanceId member, Time now) const;
   std::uint32_t next_sequence() { return static_cast<std::uint32_t>(random.next()); }
 
--- a/src/membership/protocol_rules.h
+++ b/src/membership/protocol_rules.h
@@ -1,6 +1,6 @@
 /// \file
-/// The rules that the protocol's safety rests on, as replaceable decisions. The router always uses the
-/// standard ones; mutation tests inject others and must notice each.
+/// The rules that the protocol's safety depends on, as virtual functions. The router always uses the standard
+/// rules; mutation tests replace one rule at a time and must detect each replacement.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,25 @@
   ProtocolRules& operator=(const ProtocolRules&) = default;
   virtual ~ProtocolRules() = default;
 
-  /// The rules of the router. The object lives as long as the program.
+  /// The rules that the router uses. The object exists until the program ends.
   static const ProtocolRules& standard() {
     static const ProtocolRules rules;
     return rules;
   }
 
-  /// Whether a process refutes that it is suspected or unreachable.
+  /// Whether a process refutes records that say that it is suspect or unreachable.
   [[nodiscard]] virtual bool refutes_accusations() const { return true; }
-  /// The incarnation in which it does so.
+  /// The incarnation of that refutation. `own`: the incarnation of the process; `accused`: that of the
+  /// record.
   [[nodiscard]] virtual std::uint64_t refuting_incarnation(std::uint64_t /*own*/,
                                                            std::uint64_t accused) const {
     return accused + 1;
   }
-  /// Whether a claim of another process is enough to take an alive member for unreachable.
+  /// Whether the claim of one other process is enough to change an alive member to `unreachable`.
   [[nodiscard]] virtual bool believes_unreachable_claims() const { return false; }
-  /// Whether a process notices that it was suspended, and discards the timeouts that ran meanwhile.
+  /// Whether a process detects that it was suspended, and then discards the timeouts of that time.
   [[nodiscard]] virtual bool detects_suspension() const { return true; }
-  /// Whether tables that differ are repaired.
+  /// Whether anti-entropy repairs tables that differ.
   [[nodiscard]] virtual bool runs_anti_entropy() const { return true; }
 };
 
--- a/src/membership/random_source.h
+++ b/src/membership/random_source.h
@@ -1,5 +1,6 @@
 /// \file
-/// The protocol's random numbers: one sequence for all its parts, so that a seed replays a history.
+/// The protocol's random numbers: all components draw from one generator, so that a run can be reproduced
+/// from its seed.
 #pragma once
 
 #include <algorithm>
@@ -17,10 +18,10 @@
 
   std::uint64_t next() { return generator_(); }
 
-  /// A number in [0, `limit`); 0 without a draw if `limit` is 0.
+  /// A number in [0, `limit`). If `limit` is 0, returns 0 and draws no number.
   std::uint64_t below(std::uint64_t limit) { return limit == 0 ? 0 : generator_() % limit; }
 
-  /// At most `max_count` of the values, without repetition.
+  /// Up to `max_count` of the values at random, without replacement.
   template <typename Value>
   std::vector<Value> sample(std::vector<Value> values, std::size_t max_count) {
     const std::size_t count = std::min(max_count, values.size());
--- a/src/membership/reconnect_prober.cpp
+++ b/src/membership/reconnect_prober.cpp
@@ -6,6 +6,7 @@
 namespace streampick::membership {
 namespace {
 
+// Probes per protocol period.
 constexpr std::size_t kFastProbes = 3;
 constexpr std::size_t kSlowProbes = 1;
 constexpr int kFastPeriodsAlone = 20;
--- a/src/membership/record.cpp
+++ b/src/membership/record.cpp
@@ -20,29 +20,29 @@
 
 std::string_view validation_error(const Record& record) {
   if (record.instance == 0) {
-    return "no instance id";
+    return "instance id is missing";
   }
   if (record.name.empty() != record.is_brief()) {
-    return "only one of name and address";
+    return "record has only one of name and address";
   }
   if (record.name.size() > kMaxNameLength) {
-    return "name too long";
+    return "name is too long";
   }
   if (!std::all_of(record.name.begin(), record.name.end(), is_printable)) {
-    return "name with a character that is not printable";
+    return "name contains a character that is not printable";
   }
   if (record.address > kHighestAddress) {
-    return "address out of range";
+    return "address is out of range";
   }
   if (record.incarnation > kMaxIncarnation) {
-    return "incarnation out of range";
+    return "incarnation is out of range";
   }
   if (record.facts.size() > kMaxFacts) {
     return "too many facts";
   }
   for (std::size_t i = 1; i < record.facts.size(); ++i) {
     if (record.facts[i].id <= record.facts[i - 1].id) {
-      return "facts out of order";
+      return "facts are not sorted by id";
     }
   }
   return {};
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -1,5 +1,5 @@
 /// \file
-/// The record of one process instance, as it stands in member tables and travels in messages.
+/// The record of one process instance, as kept in member tables and sent in messages.
 #pragma once
 
 #include <cstddef>
@@ -12,10 +12,11 @@
 
 namespace streampick::membership {
 
-/// In the order in which one state supersedes another at the same incarnation.
+/// At the same incarnation, a later state in this order supersedes an earlier one.
 enum class State : std::uint8_t { alive, suspect, unreachable, left };
 
-/// What a process says of itself. Ids that a receiver does not know are forwarded unread.
+/// A property of a process that it announces itself, for instance that it is draining. Receivers forward
+/// facts with unknown ids unchanged.
 struct Fact {
   std::uint32_t id = 0;
   std::uint64_t value = 0;
@@ -30,14 +31,15 @@
 inline constexpr std::size_t kMaxFacts = 4;
 inline constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 40U;
 
-/// A brief record has neither name nor address; it says something only to receivers that know its instance.
+/// A brief record has neither name nor address. It is of use only to receivers that know the instance
+/// already.
 struct Record {
   InstanceId instance = 0;
   std::string name = {};
   Address address = 0;
   std::uint64_t incarnation = 0;
   State state = State::alive;
-  InstanceId suspected_by = 0;  ///< suspect: who accuses it
+  InstanceId suspected_by = 0;  ///< suspect: the process that suspects it
   Time age = 0;                 ///< unreachable, left: time in this state; whole seconds on the wire
   Facts facts = {};
 
@@ -45,10 +47,10 @@
   friend bool operator==(const Record&, const Record&) = default;
 };
 
-/// The value of a fact; 0 if the record does not hold it.
+/// The value of the fact `id`; 0 if the record does not have it.
 std::uint64_t fact(const Record& record, std::uint32_t id);
 
-/// Why a record is invalid; empty if it is valid.
+/// Why the record is invalid; empty if it is valid.
 std::string_view validation_error(const Record& record);
 
 /// Whether `candidate` supersedes `current`, a record of the same instance: `left` is final, then the higher
--- a/src/membership/send_budget.cpp
+++ b/src/membership/send_budget.cpp
@@ -5,7 +5,7 @@
 namespace streampick::membership {
 namespace {
 
-// Shares of the allowance that a kind leaves to others, in the order of MessageKind.
+// Fraction of the bucket that each message kind leaves to other kinds, in the order of MessageKind.
 constexpr std::array<double, kMessageKinds> kReservedShare = {0.1, 0, 0.25, 0.25, 0.4, 0.4, 0.5, 0};
 
 }  // namespace
--- a/src/membership/send_budget.h
+++ b/src/membership/send_budget.h
@@ -1,7 +1,7 @@
 /// \file
-/// A token bucket over datagrams and bytes. Each kind of message must leave a share of the allowance to more
-/// important kinds: gossip is dropped first, then anti-entropy, indirect probes and direct probes. Acks go to
-/// the last, or a busy router would be taken for a failed one. No I/O, no clock.
+/// A token bucket for datagrams and bytes. Each message kind leaves a fraction of the bucket to more
+/// important kinds. As the bucket empties, gossip is dropped first, then anti-entropy, indirect probes and
+/// direct probes. Acks are dropped last: otherwise other routers would suspect a busy one. No I/O, no clock.
 #pragma once
 
 #include <array>
@@ -16,13 +16,13 @@
  public:
   explicit SendBudget(BudgetLimits limits);
 
-  /// Returns whether the datagram may be sent, and then takes its tokens.
+  /// Takes the tokens of one datagram if it may be sent. Returns whether it may.
   bool try_take(Time now, MessageKind kind, std::size_t bytes);
 
  private:
   void refill(Time now);
 
-  BudgetLimits limits_;  // of a second, and of a burst
+  BudgetLimits limits_;  // per second, and capacity of the bucket
   double datagrams_;
   double bytes_;
   Time refilled_at_ = 0;
--- a/src/membership/socket_settings.h
+++ b/src/membership/socket_settings.h
@@ -8,7 +8,7 @@
 
 namespace streampick::membership {
 
-/// A token bucket a second: as much as a second's allowance may be sent at once.
+/// Limits per second. As much as one second's limit may be sent in a burst.
 struct BudgetLimits {
   double datagrams = 200;
   double bytes = 64 * 1024;
@@ -16,12 +16,12 @@
 
 struct SocketSettings {
   boost::asio::ip::udp::endpoint listen;
-  std::string fleet;  ///< the fleet's name: datagrams of other fleets are dropped
-  /// Endpoints by the platform's numbers, this router's among them. Empty: addresses are IPv4 and port.
+  std::string fleet;  ///< name of the fleet: datagrams of other fleets are dropped
+  /// Endpoints by the platform's index, including this router's own. If empty, addresses are IPv4 and port.
   std::vector<boost::asio::ip::udp::endpoint> peers;
-  bool contacts_only = true;  ///< drop datagrams of senders that are not contacts
+  bool contacts_only = true;  ///< drop datagrams from addresses that are not contacts
   BudgetLimits budget;
-  BudgetLimits payload_budget = {200, 32 * 1024};  ///< of the other protocols on the socket
+  BudgetLimits payload_budget = {200, 32 * 1024};  ///< for the other protocols on the socket
 };
 
 }  // namespace streampick::membership
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -12,10 +12,10 @@
 
 Suspicion::Suspicion(InstanceId accuser, Time now, std::size_t members, Time period,
                      const SuspicionRule& rule)
-    : started_at_(now), wanted_confirmations_(std::min(rule.confirmations, members > 2 ? members - 2 : 0)) {
+    : started_at_(now), max_confirmations_(std::min(rule.confirmations, members > 2 ? members - 2 : 0)) {
   const double scale = std::max(1.0, std::log10(static_cast<double>(members)));
   min_timeout_ = static_cast<Time>(rule.min_factor * scale * static_cast<double>(period));
-  max_timeout_ = wanted_confirmations_ == 0
+  max_timeout_ = max_confirmations_ == 0
                      ? min_timeout_
                      : static_cast<Time>(rule.max_multiple * static_cast<double>(min_timeout_));
   accusers_.insert(accuser);
@@ -23,7 +23,7 @@
 }
 
 bool Suspicion::confirm(InstanceId accuser) {
-  if (accusers_.size() > wanted_confirmations_ || accuser == 0) {
+  if (accusers_.size() > max_confirmations_ || accuser == 0) {
     return false;
   }
   if (!accusers_.insert(accuser).second) {
@@ -44,9 +44,9 @@
 
 void Suspicion::update_deadline() {
   double share = 1;
-  if (wanted_confirmations_ != 0) {
+  if (max_confirmations_ != 0) {
     share = std::log(static_cast<double>(accusers_.size())) /
-            std::log(static_cast<double>(wanted_confirmations_) + 1);
+            std::log(static_cast<double>(max_confirmations_) + 1);
   }
   const Time reduction = static_cast<Time>(share * static_cast<double>(max_timeout_ - min_timeout_));
   deadline_ = started_at_ + std::max(min_timeout_, max_timeout_ - reduction);
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,5 +1,6 @@
 /// \file
-/// SWIM's suspicion with Lifeguard's dynamic timeout: independent confirmations shorten it. No I/O, no clock.
+/// SWIM's suspicion mechanism with Lifeguard's dynamic timeout, which independent confirmations shorten. No
+/// I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +13,21 @@
 
 namespace streampick::membership {
 
-/// Rounds in which gossip reaches about all of `members`: ceil(log2(members + 1)).
+/// Number of rounds in which gossip reaches nearly all of `members` processes: ceil(log2(members + 1)).
 int gossip_rounds(std::size_t members);
 
-/// One suspected member.
+/// The suspicion of one member.
 class Suspicion {
  public:
-  /// `members` counts the live members of the view, this process among them.
+  /// `members`: number of live members in the view, including this process.
   Suspicion(InstanceId accuser, Time now, std::size_t members, Time period, const SuspicionRule& rule);
 
-  /// Returns whether this is a new confirmation, which is then to be disseminated.
+  /// Returns whether the confirmation is new; it is then to be disseminated.
   bool confirm(InstanceId accuser);
   /// When the member is to be declared unreachable.
   [[nodiscard]] Time deadline() const { return deadline_; }
-  /// The process was suspended for so long and could not hear a refutation.
+  /// Moves the deadline by the duration for which this process was suspended and could not receive
+  /// refutations.
   void extend(Time suspended);
   [[nodiscard]] std::size_t accuser_count() const { return accusers_.size(); }
   [[nodiscard]] InstanceId accuser(std::size_t index) const;
@@ -37,14 +39,14 @@
   Time min_timeout_ = 0;
   Time max_timeout_ = 0;
   Time deadline_ = 0;
-  std::size_t wanted_confirmations_;
+  std::size_t max_confirmations_;
   std::set<InstanceId> accusers_;
 };
 
-/// All suspected members.
+/// The suspicions of all suspected members.
 class Suspicions {
  public:
-  /// Does nothing if the member is suspected already.
+  /// Does nothing if the member is already suspected.
   void start(InstanceId member, const Suspicion& suspicion) { suspicions_.emplace(member, suspicion); }
   /// Returns whether this is a new confirmation of a running suspicion.
   bool confirm(InstanceId member, InstanceId accuser);
@@ -54,7 +56,7 @@
   /// nullptr if the member is not suspected.
   [[nodiscard]] const Suspicion* find(InstanceId member) const;
   [[nodiscard]] std::vector<InstanceId> expired(Time now) const;
-  /// kNever without suspicions.
+  /// kNever if there are no suspicions.
   [[nodiscard]] Time next_deadline() const;
 
  private:
--- a/src/membership/view_summary.cpp
+++ b/src/membership/view_summary.cpp
@@ -10,11 +10,11 @@
 namespace streampick::membership {
 namespace {
 
-struct Place {
+struct AddressState {
   Address address;
   State state;
   std::string_view name;
-  friend bool operator<(const Place& left, const Place& right) {
+  friend bool operator<(const AddressState& left, const AddressState& right) {
     return std::tie(left.address, left.state, left.name) < std::tie(right.address, right.state, right.name);
   }
 };
@@ -32,28 +32,29 @@
 ViewSummary count_members(const Record& self, const MemberTable& table) {
   ViewSummary summary{.alive = 0, .max_live = 0};
   std::set<std::string_view> alive_names{self.name};
-  std::vector<Place> places{{.address = self.address, .state = State::alive, .name = self.name}};
+  std::vector<AddressState> address_states{
+      {.address = self.address, .state = State::alive, .name = self.name}};
   for (const auto& [instance, member] : table.members()) {
     if (member.record.state == State::left) {
       ++summary.left;
       continue;
     }
-    places.push_back(
+    address_states.push_back(
         {.address = member.record.address, .state = member.record.state, .name = member.record.name});
     if (member.record.state == State::alive) {
       alive_names.insert(member.record.name);
     }
   }
-  // One process runs at an address. Until it is known which, the best state there counts.
-  std::sort(places.begin(), places.end());
+  // Only one process runs at an address. Of several members there, count the one in the lowest state.
+  std::sort(address_states.begin(), address_states.end());
   Address previous = 0;
-  for (const Place& place : places) {
-    if (std::exchange(previous, place.address) == place.address) {
+  for (const AddressState& entry : address_states) {
+    if (std::exchange(previous, entry.address) == entry.address) {
       continue;
     }
-    count(place.state, summary);
-    // An unreachable router whose name is alive elsewhere has moved.
-    if (place.state != State::unreachable || !alive_names.contains(place.name)) {
+    count(entry.state, summary);
+    // An unreachable router whose name is alive at another address has moved there.
+    if (entry.state != State::unreachable || !alive_names.contains(entry.name)) {
       ++summary.max_live;
     }
   }
--- a/src/membership/view_summary.h
+++ b/src/membership/view_summary.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a member table says about the number of routers.
+/// Counts of the routers and processes in a member table.
 #pragma once
 
 #include <cstddef>
@@ -9,25 +9,25 @@
 
 namespace streampick::membership {
 
-/// Counts of processes include this one.
+/// The counts include this process.
 struct ViewSummary {
   std::size_t alive = 1;
   std::size_t suspect = 0;
   std::size_t unreachable = 0;
   std::size_t left = 0;
-  /// Lower bound of the live routers: distinct names that are alive. For counting votes.
+  /// Lower bound of the number of live routers: distinct names of alive processes. For counting votes.
   std::size_t min_live = 1;
-  /// Upper bound of the live processes: alive, suspected or unreachable. For dividing a total, so that the
-  /// parts never sum up to more than it.
+  /// Upper bound of the number of live processes: alive, suspect or unreachable. For dividing a total among
+  /// them, so that the parts never add up to more than the total.
   std::size_t max_live = 1;
-  double visible_share = 1;  ///< alive processes, as a share of those of the last settled view
+  double visible_share = 1;  ///< alive processes as a fraction of max_live in the last settled view
   Time unchanged_since = 0;
-  bool is_settled = false;   ///< unchanged for so long that all would have heard of a change
-  std::uint64_t digest = 0;  ///< equal at routers whose views are equal
+  bool is_settled = false;   ///< unchanged for longer than the dissemination of a change takes
+  std::uint64_t digest = 0;  ///< equal at routers with equal views
   std::uint32_t record_count = 1;
 };
 
-/// Fills the counts of processes and the bounds of live ones.
+/// Returns a summary with the counts and bounds; the other fields keep their defaults.
 ViewSummary count_members(const Record& self, const MemberTable& table);
 
 }  // namespace streampick::membership
--- a/src/membership/view_updates.cpp
+++ b/src/membership/view_updates.cpp
@@ -3,8 +3,8 @@
 namespace streampick::membership {
 namespace {
 
-// Members that verify a new suspicion at once, on average: it is confirmed or refuted sooner than by the
-// rounds of probes.
+// Average number of members that verify a new suspicion with their next probe, so that it is confirmed or
+// refuted sooner than by the regular rounds of probes.
 constexpr std::uint64_t kImmediateVerifiers = 4;
 
 bool is_live(State state) { return state <= State::suspect; }
@@ -13,7 +13,7 @@
 
 bool ViewUpdates::merge(const Record& received, InstanceId sender, Time now) {
   Record record = received;
-  // One process runs at an address, and at this address it is this one: any other has ended.
+  // Only one process runs at an address. An instance other than this one at its address has ended.
   if (record.address == context_.self.address && record.state != State::left) {
     record.state = State::left;
     record.age = 0;
--- a/src/membership/view_updates.h
+++ b/src/membership/view_updates.h
@@ -1,6 +1,6 @@
 /// \file
-/// Changes of the view: merges records of other members, starts and ends suspicions, and expires records.
-/// Each change is disseminated and reported.
+/// Changes the membership view: merges records of other members, starts and ends suspicions, and expires
+/// records. Changes are disseminated and reported.
 #pragma once
 
 #include "membership/protocol_context.h"
@@ -11,12 +11,12 @@
  public:
   explicit ViewUpdates(ProtocolContext& context) : context_(context) {}
 
-  /// Merges a record of another instance, as `sender` told it. Returns whether an unreachable member
-  /// recovered.
+  /// Merges a record of another instance that `sender` sent. Returns whether it shows that an unreachable
+  /// member is alive again.
   bool merge(const Record& record, InstanceId sender, Time now);
-  /// A probe of this process failed, or its suspicion is confirmed.
+  /// To be called when a probe of this process failed: suspects the member, or confirms its suspicion.
   void suspect(InstanceId member, Time now);
-  /// Declares members unreachable whose suspicions ran out.
+  /// Declares members unreachable whose suspicions have timed out.
   void end_suspicions(Time now);
   void remove_expired(Time now);
 
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxDatagramSize = 65'507;
 constexpr std::size_t kChecksumSize = 4;
 constexpr std::size_t kBitsPerByte = 8;
-// Sizes of protobuf fields: a tag of one byte, then the value.
+// Sizes of protobuf fields in bytes: a tag of one byte, and the value.
 constexpr std::size_t kFixed64FieldSize = 9;
 constexpr std::size_t kSmallFieldSize = 2;
 constexpr std::size_t kFixed32Size = 4;
@@ -71,7 +71,7 @@
   return validation_error(record).empty();
 }
 
-// Writes the fields of each kind of message.
+// Writes the fields of each message kind.
 class BodyWriter {
  public:
   explicit BodyWriter(proto::Message& wire) : wire_(wire) {}
@@ -109,14 +109,15 @@
   proto::Message& wire_;
 };
 
-// Limits that hold for messages of all kinds.
+// Checks the limits that apply to all message kinds.
 bool is_within_limits(const proto::Message& wire) {
   return wire.kind() < kMessageKinds && wire.depth() <= kMaxRangeDepth &&
          wire.news_size() <= int{kMaxUpdates} && wire.subject() <= kHighestAddress &&
          wire.payload().size() <= kMaxPayloadBytes && wire.has_self();
 }
 
-// Whether exactly the fields that distinguish a kind are there.
+// Whether the message has the parts, target and payload that its kind requires, and no parts or payload of
+// another kind.
 bool has_fields_of(MessageKind kind, const proto::Message& wire) {
   const int expected_parts = kind == MessageKind::compare_digests ? int{kRangeParts} : 0;
   if (wire.parts_size() != expected_parts) {
@@ -171,7 +172,7 @@
   return true;
 }
 
-// Upper limits of the fields of each kind of message.
+// Upper bounds of the encoded size of the fields of each message kind.
 struct BodySize {
   std::size_t operator()(const Ping& ping) const { return varint_field_size(ping.sequence); }
   std::size_t operator()(const Ack& ack) const {
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -1,6 +1,6 @@
 /// \file
-/// Encoding of messages: one byte of version, four of checksum, one protobuf message
-/// (proto/streampick/membership.proto). A datagram with any invalid field is rejected as a whole.
+/// The encoding of messages in datagrams: one byte of version, four bytes of checksum, and one protobuf
+/// message (proto/streampick/membership.proto). A datagram with an invalid field is rejected as a whole.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +19,13 @@
 enum class DecodeError : std::uint8_t { size, version, checksum, content };
 inline constexpr std::size_t kDecodeErrors = 4;
 
-/// `fleet`: the fleet's name. It seeds the checksum, so that datagrams of other fleets are rejected.
+/// `fleet`: the name of the fleet. It seeds the checksum, so that datagrams of other fleets are rejected.
 std::string encode(const Message& message, std::string_view fleet);
 std::variant<Message, DecodeError> decode(std::string_view datagram, std::string_view fleet);
-/// A datagram with `body` as its encoded protobuf message.
+/// Returns a datagram of version, checksum and `body`, the encoded protobuf message.
 std::string add_envelope(std::string_view body, std::string_view fleet);
 
-/// Upper limits of the bytes that a record, or a message without its updates, takes in a datagram.
+/// Upper bounds of the encoded size in bytes of a record, and of a datagram without its updates.
 std::size_t max_encoded_size(const Record& record);
 std::size_t max_encoded_size_without_updates(const Message& message);
 
