--- a/fuzz/membership.cpp
+++ b/fuzz/membership.cpp
@@ -1,5 +1,6 @@
-// What a peer may send: any bytes to the decoder, and any decoded message with a right checksum to a
-// protocol, which must neither fail, nor send datagrams that are too long, nor grow beyond its limits.
+// Fuzzes the membership protocol with the input of a hostile peer: arbitrary bytes for the decoder, and
+// arbitrary messages with a valid checksum for the protocol. The protocol must not fail, send datagrams above
+// the size limit or grow beyond its limits.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -29,7 +30,7 @@
   }
 }
 
-// A protocol that receives one datagram after another.
+// Passes datagrams to one protocol and checks its limits after each.
 class Receiver {
  public:
   void receive(std::string_view datagram) {
@@ -82,49 +83,49 @@
 #ifndef STREAMPICK_LIBFUZZER
 namespace {
 
-// Values near their limits and beyond them.
-void draw_record(fuzz::Draw& next, InstanceId receiver, proto::Record& record) {
-  record.set_boot(next() % 20 == 0 ? receiver : 1 + next() % 30);
-  if (next() % 3 != 0) {
-    record.set_name("n" + std::to_string(next() % 9));
-    record.set_address(numbered(static_cast<std::uint32_t>(next() % 6)));
+// Fills a record with random values, within their limits and beyond them.
+void fill_random_record(fuzz::Draw& random, InstanceId receiver, proto::Record& record) {
+  record.set_boot(random() % 20 == 0 ? receiver : 1 + random() % 30);
+  if (random() % 3 != 0) {
+    record.set_name("n" + std::to_string(random() % 9));
+    record.set_address(numbered(static_cast<std::uint32_t>(random() % 6)));
   }
-  record.set_incarnation(next() % 10 == 0 ? kMaxIncarnation - next() % 2 : next() % 5);
-  record.set_state(static_cast<std::uint32_t>(next() % 4));
-  record.set_by(next() % 30);
-  record.set_age_s(static_cast<std::uint32_t>(next() % 4'000));
-  for (std::uint32_t id = 1; id < next() % 6; ++id) {
+  record.set_incarnation(random() % 10 == 0 ? kMaxIncarnation - random() % 2 : random() % 5);
+  record.set_state(static_cast<std::uint32_t>(random() % 4));
+  record.set_by(random() % 30);
+  record.set_age_s(static_cast<std::uint32_t>(random() % 4'000));
+  for (std::uint32_t id = 1; id < random() % 6; ++id) {
     proto::Fact& fact = *record.add_facts();
     fact.set_id(id);
-    fact.set_value(next());
+    fact.set_value(random());
   }
 }
 
-// All fields of the wire, whether the kind uses them or not.
-std::string draw_message(fuzz::Draw& next, InstanceId receiver) {
+// A datagram with random values in all fields, whether its kind uses them or not.
+std::string random_datagram(fuzz::Draw& random, InstanceId receiver) {
   proto::Message message;
-  const auto kind = static_cast<MessageKind>(next() % kMessageKinds);
+  const auto kind = static_cast<MessageKind>(random() % kMessageKinds);
   message.set_kind(static_cast<std::uint32_t>(kind));
-  message.set_number(static_cast<std::uint32_t>(next() % 4));
-  draw_record(next, receiver, *message.mutable_self());
-  message.set_subject_boot(next() % 2 == 0 ? receiver : next());
-  message.set_subject(next() % 8);
-  message.set_digest(next());
-  message.set_known(static_cast<std::uint32_t>(next()));
-  for (std::uint64_t updates = next() % 6; updates > 0; --updates) {
-    draw_record(next, receiver, *message.add_news());
+  message.set_number(static_cast<std::uint32_t>(random() % 4));
+  fill_random_record(random, receiver, *message.mutable_self());
+  message.set_subject_boot(random() % 2 == 0 ? receiver : random());
+  message.set_subject(random() % 8);
+  message.set_digest(random());
+  message.set_known(static_cast<std::uint32_t>(random()));
+  for (std::uint64_t updates = random() % 6; updates > 0; --updates) {
+    fill_random_record(random, receiver, *message.add_news());
   }
   if (kind == MessageKind::compare_digests) {
     for (std::size_t part = 0; part < kRangeParts; ++part) {
-      message.add_parts(static_cast<std::uint32_t>(next() % 2));
+      message.add_parts(static_cast<std::uint32_t>(random() % 2));
     }
   }
-  message.set_depth(static_cast<std::uint32_t>(next() % 18));
-  message.set_prefix(next() << (next() % 40));
-  message.set_last(next() % 2 == 0);
-  if (kind == MessageKind::payload || next() % 20 == 0) {
-    message.set_guest(static_cast<std::uint32_t>(next() % 3));
-    message.set_payload(std::string(next() % 1'300, 'p'));
+  message.set_depth(static_cast<std::uint32_t>(random() % 18));
+  message.set_prefix(random() << (random() % 40));
+  message.set_last(random() % 2 == 0);
+  if (kind == MessageKind::payload || random() % 20 == 0) {
+    message.set_guest(static_cast<std::uint32_t>(random() % 3));
+    message.set_payload(std::string(random() % 1'300, 'p'));
   }
   return add_envelope(message.SerializeAsString(), "");
 }
@@ -132,16 +133,16 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  fuzz::Draw next;
+  fuzz::Draw random;
   Receiver receiver;
   long decodable = 0;
   const long cases = fuzz::each_case(argc, argv, [&]([[maybe_unused]] long i) {
-    std::string datagram = draw_message(next, receiver.instance());
-    if (next() % 4 == 0) {
-      datagram.resize(next() % datagram.size());
+    std::string datagram = random_datagram(random, receiver.instance());
+    if (random() % 4 == 0) {
+      datagram.resize(random() % datagram.size());
     }
-    if (next() % 4 == 0) {
-      next.spoil(datagram, 2);
+    if (random() % 4 == 0) {
+      random.spoil(datagram, 2);
     }
     decodable += std::holds_alternative<Message>(decode(datagram, "")) ? 1 : 0;
     receiver.receive(datagram);
--- a/src/emulator/simulated_network.cpp
+++ b/src/emulator/simulated_network.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-// About what a socket's buffer takes of small datagrams.
-constexpr std::size_t kMaxWaiting = 200;
+// Approximate capacity of a socket's buffer for small datagrams.
+constexpr std::size_t kSocketBufferDatagrams = 200;
 constexpr int kCountHoldPeriods = 10;
 
 }  // namespace
@@ -78,7 +78,7 @@
   Node& node = nodes_[number];
   node.gossip = std::make_unique<GossipProtocol>(node.settings, random_(), now(number), *rules);
   node.is_paused = false;
-  node.waiting.clear();
+  node.socket_buffer.clear();
   node.share.reset();
   start_shares(number);
   flush(number);
@@ -123,11 +123,11 @@
     return;
   }
   if (node.gossip->must_restart(now(number))) {
-    node.waiting.clear();
+    node.socket_buffer.clear();
   }
-  // An event loop that resumes runs its timers first.
+  // A resumed event loop runs its timers before it reads its sockets.
   wake(number);
-  for (const auto& [from, datagram] : std::exchange(node.waiting, {})) {
+  for (const auto& [from, datagram] : std::exchange(node.socket_buffer, {})) {
     receive(from, number, datagram);
   }
 }
@@ -171,8 +171,8 @@
     receive(event.from, event.node, event.datagram);
     return;
   }
-  if (node.waiting.size() < kMaxWaiting) {
-    node.waiting.emplace_back(event.from, std::move(event.datagram));
+  if (node.socket_buffer.size() < kSocketBufferDatagrams) {
+    node.socket_buffer.emplace_back(event.from, std::move(event.datagram));
   }
 }
 
@@ -247,19 +247,19 @@
   if (to >= nodes_.size() || is_cut(from, to)) {
     return;
   }
-  const int copies = chance(link.duplication) ? 2 : 1;
+  const int copies = happens(link.duplication) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     transmit_once(from, to, datagram);
   }
 }
 
 void SimulatedNetwork::transmit_once(std::size_t from, std::size_t to, std::string datagram) {
-  if (chance(link.loss)) {
+  if (happens(link.loss)) {
     return;
   }
-  if (chance(link.corruption)) {
+  if (happens(link.corruption)) {
     constexpr unsigned kOtherByteValues = 255;
-    // The mask is drawn before the place.
+    // The mask must be drawn before the position, as the sequence of random numbers is part of a run.
     const auto mask = static_cast<char>(1 + random_() % kOtherByteValues);
     datagram[random_() % datagram.size()] ^= mask;
   }
--- a/src/emulator/simulated_network.h
+++ b/src/emulator/simulated_network.h
@@ -1,8 +1,8 @@
 /// \file
-/// A simulated datagram network with one gossip protocol per node, on virtual time: a discrete-event
-/// simulation that gives the same history for the same seed. Datagrams may be lost, delayed, duplicated,
-/// corrupted or cut off; they are encoded and decoded as on a socket. A node may also run the protocol of
-/// shared limits.
+/// A simulated datagram network with one gossip protocol per node, in virtual time: a discrete-event
+/// simulation that produces the same events for the same seed. Datagrams may be lost, delayed, duplicated,
+/// corrupted or blocked by a partition; they are encoded and decoded as on a socket. A node may also run the
+/// lease protocol for shared limits.
 #pragma once
 
 #include <array>
@@ -26,28 +26,28 @@
 
 using membership::Time;
 
-/// Faults of all paths between nodes.
+/// Faults of the links between all nodes.
 struct LinkFaults {
-  double loss = 0;         ///< share of datagrams
-  double duplication = 0;  ///< share of datagrams
-  double corruption = 0;   ///< share of datagrams
+  double loss = 0;         ///< fraction of datagrams
+  double duplication = 0;  ///< fraction of datagrams
+  double corruption = 0;   ///< fraction of datagrams
   Time min_delay = 500;    ///< microseconds
-  Time max_delay = 2'000;  ///< a wide range reorders datagrams
+  Time max_delay = 2'000;  ///< microseconds; a large difference to min_delay reorders datagrams
 };
 
-/// A node's clock, which may be set apart from true time and run at another rate.
+/// A node's clock, which may have an offset from the simulation's time and run at another rate.
 class SimulatedClock {
  public:
   explicit SimulatedClock(Time now) : reading_(now), set_at_(now) {}
 
   [[nodiscard]] Time at(Time true_time) const;
-  /// The first true time at which the clock shows `reading` or later.
+  /// The earliest simulation time at which the clock reads `reading` or later.
   [[nodiscard]] Time true_time(Time reading) const;
   void step(Time by) { reading_ += by; }
   void set_rate(Time true_now, double rate);
 
  private:
-  Time reading_;  // at the true time `set_at_`
+  Time reading_;  // at the simulation time `set_at_`
   Time set_at_;
   double rate_ = 1;
 };
@@ -57,8 +57,8 @@
   struct Traffic {
     std::array<std::uint64_t, membership::kMessageKinds> datagrams{};  ///< sent, by kind
     std::uint64_t bytes = 0;                                           ///< sent
-    std::uint64_t longest = 0;                                         ///< sent datagram, in bytes
-    std::uint64_t undecodable = 0;                                     ///< received
+    std::uint64_t longest = 0;                                         ///< size of the largest sent, in bytes
+    std::uint64_t undecodable = 0;                                     ///< received, but not decoded
     std::uint64_t received = 0;
 
     [[nodiscard]] std::uint64_t all() const;
@@ -68,63 +68,68 @@
 
   explicit SimulatedNetwork(std::uint64_t seed) : random_(seed) {}
 
-  // ---- Configuration; may change at any time, settings apply to nodes that are added later.
+  // ---- Configuration. May change at any time; `settings` applies to nodes that are added afterwards.
 
-  /// Of all nodes. Name, address and contacts are filled in.
+  /// Settings of all nodes. add() fills in name, address and contacts.
   membership::Settings settings;
   const membership::ProtocolRules* rules = &membership::ProtocolRules::standard();
   LinkFaults link;
-  /// Whether no datagram gets from one node to the other.
+  /// Whether datagrams from one node to the other are dropped.
   std::function<bool(std::size_t from, std::size_t to)> is_cut = [](std::size_t, std::size_t) {
     return false;
   };
   std::function<void(std::size_t node)> after_event = [](std::size_t) {};
   std::function<void(std::size_t node, const membership::Change&)> on_change =
       [](std::size_t, const membership::Change&) {};
-  /// Settings of the shared limits of a node that is started, without its address; none: it has none.
+  /// Settings of the lease protocol that a node runs when it starts, without its address; nullopt: the node
+  /// does not run it.
   std::function<std::optional<leases::Settings>(std::size_t node)> shares = [](std::size_t) {
     return std::nullopt;
   };
-  /// Whether sent datagrams are kept in `recorded`.
+  /// Whether sent datagrams are appended to `recorded`.
   bool record = false;
   std::vector<Datagram> recorded;
 
   // ---- Nodes
 
-  /// Adds a node that is down, and returns its number. An empty name stands for one of its own.
+  /// Adds a node that is down, and returns its number. If `name` is empty, the node is called "n" and its
+  /// number.
   std::size_t add(const std::vector<std::size_t>& contacts, const std::string& name = {});
-  /// Adds nodes of which each has all as its contacts.
+  /// Adds nodes that each have all nodes as contacts.
   void add_many(std::size_t count);
-  /// Starts a new process instance that knows nothing, also in the place of a running one.
+  /// Starts a new process instance without any state. Replaces a running one.
   void start(std::size_t node);
-  /// The process ends without a word.
+  /// Ends the process without notice to the others.
   void kill(std::size_t node);
-  /// The process tells others, and ends.
+  /// The process announces that it leaves, and ends.
   void leave(std::size_t node);
-  /// Suspends the process; datagrams wait in its socket's buffer.
+  /// Suspends the process; its socket's buffer keeps arriving datagrams.
   void pause(std::size_t node);
   void resume(std::size_t node);
   void step_clock(std::size_t node, Time by);
-  /// From now on the node's clock runs at `rate` times the true speed.
+  /// From now on the node's clock runs at `rate` times the speed of the simulation's time.
   void set_rate(std::size_t node, double rate);
-  /// Delivers a made-up datagram, as if `from` had sent it, after some time.
+  /// Delivers a datagram of the test after the delay `after`, as if `from` had sent it.
   void inject(std::size_t from, std::size_t to, std::string datagram, Time after);
-  /// To be called after a call of the node's protocols: sends what they queued and sets the next wake-up.
+  /// To be called after each call of a node's protocols: sends what they queued and schedules the next
+  /// wake-up.
   void flush(std::size_t node);
 
   // ---- Time
 
   void run(Time until);
   void run_for(Time time) { run(now_ + time); }
-  /// Runs until `done`, which is evaluated after each event, or for `limit`. Returns whether it is done.
+  /// Runs until `done` returns true, but at most for `limit`. Evaluates `done` after each event. Returns its
+  /// last result.
   bool run_until(const std::function<bool()>& done, Time limit);
   [[nodiscard]] Time now() const { return now_; }
-  /// By the node's own clock.
+  /// The time by the node's own clock.
   [[nodiscard]] Time now(std::size_t node) const { return nodes_[node].clock.at(now_); }
 
   // ---- Observation
 
-  /// Whether each node that is up holds exactly those that are up as alive, and all views are equal.
+  /// Whether the view of each node that is up has exactly the nodes that are up as alive, and all views are
+  /// equal.
   [[nodiscard]] bool settled() const;
   [[nodiscard]] std::size_t size() const { return nodes_.size(); }
   [[nodiscard]] bool is_up(std::size_t node) const { return nodes_[node].gossip != nullptr; }
@@ -139,7 +144,7 @@
     return membership::numbered(static_cast<std::uint32_t>(node));
   }
   [[nodiscard]] const Traffic& traffic(std::size_t node) const { return nodes_[node].traffic; }
-  /// Of all nodes.
+  /// The sum of all nodes.
   [[nodiscard]] Traffic traffic() const;
 
  private:
@@ -151,10 +156,10 @@
     std::unique_ptr<membership::GossipProtocol> gossip;  // nullptr: the node is down
     std::unique_ptr<leases::LeaseProtocol> share;
     std::optional<fleet::RouterCount> router_count;
-    Time view_reported_at = 0;  // to the shared limits
-    std::uint64_t wakeup = 0;   // number of the wake-up that is valid
+    Time view_reported_at = 0;  // when the lease protocol got the view last
+    std::uint64_t wakeup = 0;   // number of the latest scheduled wake-up; earlier ones are ignored
     bool is_paused = false;
-    std::deque<std::pair<std::size_t, std::string>> waiting;  // sender and datagram
+    std::deque<std::pair<std::size_t, std::string>> socket_buffer;  // sender and datagram
     Traffic traffic;
   };
   struct Event {
@@ -179,7 +184,7 @@
   void transmit_once(std::size_t from, std::size_t to, std::string datagram);
   void schedule_wakeup(std::size_t node);
   [[nodiscard]] bool view_is_exact(std::size_t node, const std::vector<membership::InstanceId>& up) const;
-  bool chance(double share) { return share > 0 && draw() < share; }
+  bool happens(double probability) { return probability > 0 && draw() < probability; }
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   std::mt19937_64 random_;
--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -61,10 +61,10 @@
   const std::size_t missing = my_count > message.record_count ? my_count - message.record_count : 0;
   const std::size_t max_ranges = std::min(kMaxRangesPerReply, 1 + missing / kRecordsPerExtraStep);
   for (std::size_t ranges = 0; ranges < max_ranges && !differing.empty(); ++ranges) {
-    const std::size_t drawn = context.random.below(differing.size());
-    const std::uint64_t prefix = (theirs.prefix << kBitsPerDigit) | differing[drawn];
+    const std::size_t index = context.random.below(differing.size());
+    const std::uint64_t prefix = (theirs.prefix << kBitsPerDigit) | differing[index];
     send_range(context, from, theirs.depth + 1, prefix, now);
-    differing.erase(differing.begin() + static_cast<std::ptrdiff_t>(drawn));
+    differing.erase(differing.begin() + static_cast<std::ptrdiff_t>(index));
   }
 }
 
--- a/tests/membership/drawn_histories_test.cpp
+++ b/tests/membership/drawn_histories_test.cpp
@@ -1,4 +1,4 @@
-// Drawn histories of faults: after the end of all faults all views are equal, within the bound.
+// Random sequences of faults: after the last fault ends, all views become equal within settle_periods().
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 using test::GossipFleet;
 
-class DrawnHistory {
+class RandomHistory {
  public:
-  explicit DrawnHistory(std::uint64_t seed)
+  explicit RandomHistory(std::uint64_t seed)
       : seed_(seed),
         random_(seed),
         size_(2 + random_() % 11),
@@ -23,7 +23,7 @@
   void run() {
     const int steps = 5 + static_cast<int>(random_() % 15);
     for (int step = 0; step < steps; ++step) {
-      const std::size_t node = draw_node();
+      const std::size_t node = random_node();
       inject_fault(node);
       fleet_.run(0.1 * static_cast<double>(random_() % 200));
     }
@@ -33,7 +33,7 @@
   }
 
  private:
-  std::size_t draw_node() { return static_cast<std::size_t>(random_() % size_); }
+  std::size_t random_node() { return static_cast<std::size_t>(random_() % size_); }
 
   void inject_fault(std::size_t node) {
     switch (random_() % 9) {
@@ -42,7 +42,7 @@
           fleet_.network.kill(node);
         }
         break;
-      case 1: fleet_.network.start(node); break;  // also in the place of a running process
+      case 1: fleet_.network.start(node); break;  // replaces the process if it is running
       case 2:
         if (fleet_.network.is_up(node)) {
           fleet_.network.leave(node);
@@ -56,8 +56,8 @@
         break;
       }
       case 6: {
-        const std::size_t deaf = draw_node();
-        fleet_.network.is_cut = [deaf](std::size_t, std::size_t to) { return to == deaf; };
+        const std::size_t receiver = random_node();
+        fleet_.network.is_cut = [receiver](std::size_t, std::size_t to) { return to == receiver; };
         break;
       }
       case 7: fleet_.heal(); break;
@@ -90,9 +90,9 @@
   GossipFleet fleet_;
 };
 
-TEST(MembershipFaults, AThousandDrawnHistories_SettleWithinTheBound) {
+TEST(MembershipFaults, ThousandRandomFaultHistories_SettleWithinTheBound) {
   for (std::uint64_t seed = 1; seed <= 1'000; ++seed) {
-    DrawnHistory(seed).run();
+    RandomHistory(seed).run();
     if (HasFailure()) {
       return;
     }
--- a/tests/membership/drawn_world.cpp
+++ b/tests/membership/drawn_world.cpp
@@ -13,7 +13,7 @@
 
 using emulator::SimulatedNetwork;
 
-// FNV-1a over bytes; numbers go in as eight bytes, least significant first.
+// FNV-1a hash. Numbers are hashed as eight bytes, least significant first.
 class Digest {
  public:
   void add(std::string_view bytes) {
@@ -37,10 +37,10 @@
   std::uint64_t value_ = 14'695'981'039'346'656'037U;
 };
 
-class DrawnWorld {
+class RandomScenario {
  public:
-  explicit DrawnWorld(std::uint64_t seed) : random_(seed), network_(seed) {
-    size_ = draw_size();
+  explicit RandomScenario(std::uint64_t seed) : random_(seed), network_(seed) {
+    size_ = random_size();
     Settings& settings = network_.settings;
     settings.max_datagram_size = draw(2) == 0 ? 256 : 1'200;
     settings.indirect_probers = draw(5);
@@ -55,23 +55,23 @@
     }
   }
 
-  WorldResult run() {
+  ScenarioResult run() {
     const int steps = size_ > 20 ? 6 : 12;
     for (int step = 0; step < steps; ++step) {
       inject_fault();
-      pass(draw(size_ > 20 ? 20 : 60));
+      run_tenths(draw(size_ > 20 ? 20 : 60));
     }
     heal();
-    pass(40);
+    run_tenths(40);
     return {digest_.value(), summary()};
   }
 
  private:
   std::uint64_t draw(std::uint64_t below) { return random_() % below; }
-  std::size_t draw_node() { return draw(size_); }
+  std::size_t random_node() { return draw(size_); }
 
-  // Small worlds more often: they cost less, and meet as many rules.
-  std::size_t draw_size() {
+  // Prefers small fleets: they take less time and exercise as many rules.
+  std::size_t random_size() {
     const std::uint64_t kind = draw(20);
     if (kind == 0) {
       return 21 + draw(40);
@@ -79,7 +79,7 @@
     return kind < 6 ? 9 + draw(12) : 3 + draw(6);
   }
 
-  void pass(std::uint64_t tenths) {
+  void run_tenths(std::uint64_t tenths) {
     for (; tenths > 0; --tenths) {
       network_.run_for(kSecond / 10);
       add_datagrams();
@@ -91,7 +91,7 @@
   }
 
   void inject_fault() {
-    const std::size_t node = draw_node();
+    const std::size_t node = random_node();
     switch (draw(16)) {
       case 0:
         if (network_.is_up(node)) {
@@ -113,8 +113,8 @@
       case 9: degrade_link(); break;
       case 10: step_clock(node); break;
       case 11: set_facts(node); break;
-      case 12: replay(); break;
-      case 13: lie(node); break;
+      case 12: replay_datagrams(); break;
+      case 13: inject_false_record(node); break;
       case 14: send_payload(node); break;
       case 15: set_contacts(node); break;
     }
@@ -149,14 +149,14 @@
   }
 
   void set_contacts(std::size_t node) {
-    const std::size_t contact = draw_node();
+    const std::size_t contact = random_node();
     if (network_.is_up(node)) {
       network_.gossip(node).set_contacts({network_.address(contact)});
     }
   }
 
   void send_payload(std::size_t node) {
-    const std::size_t to = draw_node();
+    const std::size_t to = random_node();
     const std::size_t length = draw(300);
     if (network_.is_up(node)) {
       network_.gossip(node).send_payload(7, network_.now(node), network_.address(to),
@@ -165,19 +165,19 @@
     }
   }
 
-  // Some of the last datagrams once more, as a network or an attacker may send them.
-  void replay() {
-    const std::size_t count = std::min<std::size_t>(20, kept_.size());
+  // Sends some of the last datagrams again, as the network or an attacker might.
+  void replay_datagrams() {
+    const std::size_t count = std::min<std::size_t>(20, replayable_.size());
     for (std::size_t i = 0; i < count; ++i) {
-      const auto& [from, to, datagram] = kept_[draw(kept_.size())];
+      const auto& [from, to, datagram] = replayable_[draw(replayable_.size())];
       network_.inject(from, to, datagram, static_cast<Time>(i) * 1'000);
     }
   }
 
-  // A well-formed message with records that are not so.
-  void lie(std::size_t sender) {
-    const std::size_t subject = draw_node();
-    const std::size_t receiver = draw_node();
+  // Sends a well-formed message whose records are false.
+  void inject_false_record(std::size_t sender) {
+    const std::size_t subject = random_node();
+    const std::size_t receiver = random_node();
     const std::uint64_t state = draw(4);
     const std::uint64_t incarnation = draw(8) == 0 ? kMaxIncarnation : draw(3);
     const std::uint64_t kind = draw(8);
@@ -188,8 +188,8 @@
     }
     Message message;
     message.sender = network_.gossip(sender).self();
-    message.body = drawn_body(static_cast<MessageKind>(kind), subject, static_cast<std::uint32_t>(number),
-                              static_cast<std::uint32_t>(depth));
+    message.body = random_body(static_cast<MessageKind>(kind), subject, static_cast<std::uint32_t>(number),
+                               static_cast<std::uint32_t>(depth));
     if (message.kind() != MessageKind::payload) {
       message.updates.push_back(network_.gossip(subject).self());
       message.updates.back().state = static_cast<State>(state);
@@ -198,7 +198,7 @@
     network_.inject(sender, receiver, encode(message, ""), 1);
   }
 
-  MessageBody drawn_body(MessageKind kind, std::size_t subject, std::uint32_t number, std::uint32_t depth) {
+  MessageBody random_body(MessageKind kind, std::size_t subject, std::uint32_t number, std::uint32_t depth) {
     switch (kind) {
       case MessageKind::ping: return Ping{.sequence = number};
       case MessageKind::ack: return Ack{.sequence = number};
@@ -237,7 +237,7 @@
       digest_.add(datagram);
     }
     if (!network_.recorded.empty()) {
-      kept_ = std::move(network_.recorded);
+      replayable_ = std::move(network_.recorded);
     }
     network_.recorded.clear();
   }
@@ -262,36 +262,36 @@
   }
 
   void add_state(std::size_t node) {
-    const auto& core = network_.gossip(node);
-    const auto counts = core.summary(network_.now(node));
-    const auto& figures = core.counters();
+    const auto& protocol = network_.gossip(node);
+    const auto view = protocol.summary(network_.now(node));
+    const auto& counters = protocol.counters();
     const std::uint64_t numbers[] = {
-        counts.alive,
-        counts.suspect,
-        counts.unreachable,
-        counts.left,
-        counts.min_live,
-        counts.max_live,
-        std::bit_cast<std::uint64_t>(counts.visible_share),
-        static_cast<std::uint64_t>(counts.unchanged_since),
-        std::uint64_t{counts.is_settled},
-        counts.digest,
-        counts.record_count,
-        figures.pings,
-        figures.failed_probes,
-        figures.ping_requests,
-        figures.anti_entropy_rounds,
-        figures.refutations,
-        figures.declared_unreachable,
-        figures.unexpected_acks,
-        figures.table_full,
-        figures.address_mismatches,
-        core.dropped_changes(),
-        static_cast<std::uint64_t>(core.next_wakeup()),
-        static_cast<std::uint64_t>(core.local_health()),
-        static_cast<std::uint64_t>(core.settle_periods()),
-        core.max_payload_size(),
-        std::uint64_t{core.must_restart(network_.now(node))},
+        view.alive,
+        view.suspect,
+        view.unreachable,
+        view.left,
+        view.min_live,
+        view.max_live,
+        std::bit_cast<std::uint64_t>(view.visible_share),
+        static_cast<std::uint64_t>(view.unchanged_since),
+        std::uint64_t{view.is_settled},
+        view.digest,
+        view.record_count,
+        counters.pings,
+        counters.failed_probes,
+        counters.ping_requests,
+        counters.anti_entropy_rounds,
+        counters.refutations,
+        counters.declared_unreachable,
+        counters.unexpected_acks,
+        counters.table_full,
+        counters.address_mismatches,
+        protocol.dropped_changes(),
+        static_cast<std::uint64_t>(protocol.next_wakeup()),
+        static_cast<std::uint64_t>(protocol.local_health()),
+        static_cast<std::uint64_t>(protocol.settle_periods()),
+        protocol.max_payload_size(),
+        std::uint64_t{protocol.must_restart(network_.now(node))},
     };
     for (const std::uint64_t number : numbers) {
       digest_.add(number);
@@ -306,10 +306,10 @@
       text += std::string(" ") + kMessageKindNames[kind] + "=" + std::to_string(sent.datagrams[kind]);
     }
     for (std::size_t node = 0; node < size_; ++node) {
-      const auto counts = network_.gossip(node).summary(network_.now(node));
-      text += "\n  node " + std::to_string(node) + ": alive=" + std::to_string(counts.alive) +
-              " suspect=" + std::to_string(counts.suspect) +
-              " unreachable=" + std::to_string(counts.unreachable) + " left=" + std::to_string(counts.left) +
+      const auto view = network_.gossip(node).summary(network_.now(node));
+      text += "\n  node " + std::to_string(node) + ": alive=" + std::to_string(view.alive) +
+              " suspect=" + std::to_string(view.suspect) +
+              " unreachable=" + std::to_string(view.unreachable) + " left=" + std::to_string(view.left) +
               " probes=" + std::to_string(network_.gossip(node).counters().pings);
     }
     return text;
@@ -320,11 +320,12 @@
   std::size_t size_ = 0;
   Digest digest_;
   std::uint64_t changes_ = 0;
-  std::vector<std::tuple<std::size_t, std::size_t, std::string>> kept_;  // of the last tenth with datagrams
+  // The datagrams of the last tenth of a second in which any were sent.
+  std::vector<std::tuple<std::size_t, std::size_t, std::string>> replayable_;
 };
 
 }  // namespace
 
-WorldResult run_drawn_world(std::uint64_t seed) { return DrawnWorld(seed).run(); }
+ScenarioResult run_random_scenario(std::uint64_t seed) { return RandomScenario(seed).run(); }
 
 }  // namespace streampick::membership
--- a/tests/membership/drawn_world.h
+++ b/tests/membership/drawn_world.h
@@ -1,7 +1,7 @@
 /// \file
-/// Drawn histories of a gossip fleet on a simulated network, each reduced to one digest: every datagram's
-/// bytes, every reported change, and each second all counts and figures. The same seed gives the same
-/// history.
+/// Random scenarios of a gossip fleet on a simulated network, each reduced to one digest of its observable
+/// behaviour: the bytes of every datagram, every reported change, and once a second the summary and counters
+/// of every node. A seed always gives the same scenario.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace streampick::membership {
 
-struct WorldResult {
+struct ScenarioResult {
   std::uint64_t digest = 0;
-  std::string summary;  ///< sizes, messages by kind and the final counts, for a reader of a mismatch
+  std::string summary;  ///< fleet size, messages by kind and final counts, for the failure message
 };
 
-/// Runs one world of 3 to 60 processes with loss, delay, duplication, damage, partitions, pauses, clock
-/// steps, restarts, replayed datagrams and hostile records.
-WorldResult run_drawn_world(std::uint64_t seed);
+/// Runs one scenario of 3 to 60 processes with loss, delay, duplication, corruption, partitions, pauses,
+/// clock steps, restarts, replayed datagrams and false records.
+ScenarioResult run_random_scenario(std::uint64_t seed);
 
 }  // namespace streampick::membership
--- a/tests/membership/fleet_scenarios_test.cpp
+++ b/tests/membership/fleet_scenarios_test.cpp
@@ -1,4 +1,4 @@
-// Scripted faults of one kind each; afterwards all views are equal within the bound.
+// Scenarios with one kind of fault each. Afterwards all views must become equal within settle_periods().
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   start(fleet, 0, kRouters);
 }
 
-// The new instance at an address replaces the old one at once, without a suspicion.
+// A new instance at an address replaces the old one at once, without a suspicion.
 void each_restarted_in_turn(GossipFleet& fleet) {
   std::size_t highest = 0;
   fleet.network.after_event = [&](std::size_t node) {
@@ -99,7 +99,7 @@
   EXPECT_EQ(fleet.running_declared_unreachable, 0);
 }
 
-// Its own view is wrong; the others' views of each other stay right.
+// Only the view of the node that receives nothing becomes wrong.
 void one_receives_nothing(GossipFleet& fleet) {
   fleet.network.is_cut = [](std::size_t, std::size_t to) { return to == 0; };
   fleet.run(90);
@@ -124,7 +124,7 @@
   fleet.heal();
 }
 
-// Acknowledgements that could not arrive while it was suspended say nothing about the others.
+// Acks that a process could not read while it was suspended must not make it suspect others.
 void one_suspended_for_twenty_seconds(GossipFleet& fleet) {
   fleet.network.pause(0);
   fleet.run(20);
@@ -151,7 +151,7 @@
   fleet.network.link.loss = 0.3;
   fleet.run(60);
   for (const auto& [instance, declared_by] : fleet.declared_by) {
-    EXPECT_LE(declared_by.size(), 6U) << "held for unreachable by a majority";
+    EXPECT_LE(declared_by.size(), 6U) << "a majority declared a running process unreachable";
   }
   fleet.network.link.loss = 0;
 }
@@ -163,7 +163,7 @@
   fleet.network.link = {};
 }
 
-// Instances of the recording, at addresses that others have now, are not counted again.
+// Replayed datagrams name old instances at the addresses of running ones. The old instances are not counted.
 void a_recording_replayed_to_new_instances(GossipFleet& fleet) {
   fleet.network.record = true;
   fleet.run(20);
@@ -181,7 +181,8 @@
   }
 }
 
-// A peer sends records of more instances than a table holds. What the receiver sends does not grow with it.
+// A peer sends records of more instances than a table can hold. The number of datagrams that the receiver
+// sends must stay bounded.
 void a_flood_of_records_from_one_peer(GossipFleet& fleet) {
   constexpr int kMessages = 5'000;
   constexpr int kRecordsPerMessage = 3;
@@ -262,7 +263,7 @@
   ASSERT_TRUE(fleet.settles());
   GetParam().run(fleet);
   EXPECT_TRUE(fleet.settles());
-  EXPECT_EQ(fleet.running_held_for_left, 0);
+  EXPECT_EQ(fleet.running_reported_left, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, MembershipScenarios, ::testing::ValuesIn(kScenarios),
--- a/tests/membership/fleet_sizes_test.cpp
+++ b/tests/membership/fleet_sizes_test.cpp
@@ -1,4 +1,5 @@
-// The protocol in fleets of 3 to 300 routers, at rest, after losses and after a partition.
+// The protocol in fleets of 3 to 300 routers: without faults, after half of them crash, and after a
+// partition.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,15 +24,15 @@
 
 class MembershipSizes : public ::testing::TestWithParam<FleetSize> {
  protected:
-  // Without loss: a probe and its acknowledgement a period. With it: nobody is declared unreachable, and
-  // false alarms are as few as the formula says.
-  void check_rest() {
-    constexpr double kRestSeconds = 60;
+  // Without loss, each router sends about one Ping and one Ack per period. With loss, no running process is
+  // declared unreachable, and the fraction of failed probes is at most about twice false_alarm_share().
+  void check_without_changes() {
+    constexpr double kSeconds = 60;
     const auto [members, datagram_size, loss] = GetParam();
     const auto before = fleet.network.traffic();
-    fleet.run(kRestSeconds);
+    fleet.run(kSeconds);
     const auto datagrams = static_cast<double>(fleet.network.traffic().all() - before.all());
-    const double probes = kRestSeconds * static_cast<double>(members);
+    const double probes = kSeconds * static_cast<double>(members);
     if (loss == 0) {
       EXPECT_LE(datagrams, 2.1 * probes);
     }
@@ -46,14 +47,15 @@
     }
   }
 
-  // Under loss there may be a suspicion at any instant: wait only until all know who is lost.
+  // Under loss there may be a suspicion at any time: wait only until all live nodes have the killed ones as
+  // unreachable.
   void check_half_killed() {
     const auto [members, datagram_size, loss] = GetParam();
     const std::size_t half = members / 2;
     for (std::size_t node = 0; node < half; ++node) {
       fleet.network.kill(node);
     }
-    const auto all_know = [&] {
+    const auto all_killed_are_unreachable = [&] {
       for (std::size_t node = half; node < GetParam().members; ++node) {
         if (fleet.summary(node).unreachable < half) {
           return false;
@@ -61,7 +63,7 @@
       }
       return true;
     };
-    EXPECT_TRUE(fleet.wait_until(all_know, settle_time(members, datagram_size, loss)));
+    EXPECT_TRUE(fleet.wait_until(all_killed_are_unreachable, settle_time(members, datagram_size, loss)));
     fleet.network.link.loss = 0;
     for (std::size_t node = 0; node < half; ++node) {
       fleet.network.start(node);
@@ -85,13 +87,13 @@
   EXPECT_TRUE(fleet.settles());
   fleet.run(30);  // until all updates are disseminated
   fleet.network.link.loss = GetParam().loss;
-  check_rest();
+  check_without_changes();
   fleet.network.link.loss = 0;
   EXPECT_TRUE(fleet.settles());
   fleet.network.link.loss = GetParam().loss;
   check_half_killed();
   check_partition();
-  EXPECT_EQ(fleet.running_held_for_left, 0);
+  EXPECT_EQ(fleet.running_reported_left, 0);
   EXPECT_LE(fleet.network.traffic().longest, GetParam().datagram_size);
 }
 
--- a/tests/membership/generators.h
+++ b/tests/membership/generators.h
@@ -1,5 +1,5 @@
 /// \file
-/// Drawn records and messages, shared by the tests and the fuzzer of membership.
+/// Random records and messages for the membership tests.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace streampick::membership::test {
 
-/// A process that is alive and reached at a numbered address.
+/// The record of an alive process.
 inline Record process(InstanceId instance, const std::string& name, Address address) {
   Record record;
   record.instance = instance;
@@ -20,8 +20,8 @@
   return record;
 }
 
-/// Any valid record, with values up to their limits.
-inline Record drawn_record(std::mt19937_64& random, bool brief) {
+/// A random valid record with values up to their limits.
+inline Record random_record(std::mt19937_64& random, bool brief) {
   constexpr std::size_t kPrintable = 94;
   Record record;
   record.instance = random() | 1U;
@@ -45,8 +45,8 @@
   return record;
 }
 
-/// Any valid body of a kind.
-inline MessageBody drawn_body(std::mt19937_64& random, MessageKind kind) {
+/// A random valid body of the kind.
+inline MessageBody random_body(std::mt19937_64& random, MessageKind kind) {
   const auto sequence = static_cast<std::uint32_t>(random());
   const auto depth = static_cast<std::uint32_t>(random() % (kMaxRangeDepth + 1));
   const std::uint64_t prefix = random() >> 8U;
@@ -79,16 +79,16 @@
   return Gossip{};
 }
 
-/// Any valid message, with at most `max_updates` updates.
-inline Message drawn_message(std::mt19937_64& random, std::size_t max_updates = kMaxUpdates) {
+/// A random valid message with at most `max_updates` updates.
+inline Message random_message(std::mt19937_64& random, std::size_t max_updates = kMaxUpdates) {
   Message message;
-  message.body = drawn_body(random, static_cast<MessageKind>(random() % kMessageKinds));
-  message.sender = drawn_record(random, false);
+  message.body = random_body(random, static_cast<MessageKind>(random() % kMessageKinds));
+  message.sender = random_record(random, false);
   message.digest = random();
   message.record_count = static_cast<std::uint32_t>(random() % 5'000);
   const std::size_t updates = random() % (max_updates + 1);
   for (std::size_t i = 0; i < updates; ++i) {
-    message.updates.push_back(drawn_record(random, random() % 2 == 0));
+    message.updates.push_back(random_record(random, random() % 2 == 0));
   }
   return message;
 }
--- a/tests/membership/gossip_fleet.h
+++ b/tests/membership/gossip_fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// A fleet on the simulated network, as the tests of the protocol at size drive it, with counts of the
-/// changes that its nodes reported.
+/// A fleet on the simulated network for tests of the protocol, with counts of the changes that its nodes
+/// report.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +20,7 @@
 
 inline double to_periods(Time time) { return static_cast<double>(time) / static_cast<double>(kSecond); }
 
-/// The time in which views are equal after the end of all faults, at a period of one second.
+/// settle_periods() as a time, for a protocol period of one second.
 inline Time settle_time(std::size_t members, std::size_t datagram_size, double loss = 0,
                         std::size_t live = 0) {
   return static_cast<Time>(settle_periods(members, datagram_size, loss, live) * static_cast<double>(kSecond));
@@ -28,7 +28,7 @@
 
 class GossipFleet {
  public:
-  /// All nodes are started, and know each other's addresses.
+  /// Starts all nodes, each with the addresses of all nodes as contacts.
   GossipFleet(std::size_t size, std::size_t datagram_size, std::uint64_t seed,
               const std::function<void(Settings&)>& adjust = {})
       : network(seed), datagram_size_(datagram_size) {
@@ -45,14 +45,14 @@
     }
   }
 
-  /// Whether all views are equal and exact within the time.
+  /// Runs until all views are equal and exact, but at most for `limit`. Returns whether they are.
   bool settles_within(Time limit) {
     const Time from = network.now();
     const bool is_settled = wait_until([&] { return network.settled(); }, limit);
     settle_duration = to_periods(network.now() - from);
     return is_settled;
   }
-  /// ... within the bound of membership/bounds.h.
+  /// The same, with the bound of membership/bounds.h as the limit.
   bool settles() {
     std::size_t live = 0;
     for (std::size_t node = 0; node < network.size(); ++node) {
@@ -60,14 +60,15 @@
     }
     return settles_within(settle_time(network.size(), datagram_size_, 0, live));
   }
-  /// Evaluates the condition after each event, in large fleets now and then.
+  /// Runs until the condition holds, but at most for `limit`. Evaluates it after each event, in fleets of
+  /// more than 50 nodes once in 20 events per node. Returns whether it holds.
   bool wait_until(const std::function<bool()>& condition, Time limit) {
     constexpr std::size_t kLargeFleet = 50;
     const std::size_t interval = network.size() > kLargeFleet ? 20 * network.size() : 1;
     std::size_t events = 0;
     return network.run_until([&] { return ++events % interval == 0 && condition(); }, limit);
   }
-  /// Only nodes of the same group reach each other.
+  /// Blocks datagrams between nodes of different groups.
   void partition(std::function<int(std::size_t node)> group) {
     network.is_cut = [group = std::move(group)](std::size_t from, std::size_t to) {
       return group(from) != group(to);
@@ -87,11 +88,11 @@
     }
     return false;
   }
-  /// Sends a made-up message from one node to another at once.
+  /// Sends a message of the test from one node to another at once.
   void inject(std::size_t from, std::size_t to, const Message& message) {
     network.inject(from, to, encode(message, ""), 1);
   }
-  /// A gossip message of the node, without updates.
+  /// A Gossip message with the node's record as its sender, without updates.
   Message gossip_of(std::size_t node) const {
     Message message;
     message.sender = network.gossip(node).self();
@@ -100,11 +101,12 @@
   }
 
   emulator::SimulatedNetwork network;
-  double settle_duration = 0;  ///< of the last settles(), in seconds
+  double settle_duration = 0;  ///< duration of the last settles_within() in seconds
   std::map<Change::Kind, int> changes;
   int running_declared_unreachable = 0;
-  int running_held_for_left = 0;
-  std::map<InstanceId, std::set<std::size_t>> declared_by;  ///< running instances declared unreachable
+  int running_reported_left = 0;
+  /// By running instance: the nodes that declared it unreachable.
+  std::map<InstanceId, std::set<std::size_t>> declared_by;
 
  private:
   void on_change(std::size_t node, const Change& change) {
@@ -117,7 +119,7 @@
       declared_by[change.instance].insert(node);
     }
     if (change.kind == Change::Kind::left) {
-      ++running_held_for_left;
+      ++running_reported_left;
     }
   }
 
--- a/tests/membership/member_table_test.cpp
+++ b/tests/membership/member_table_test.cpp
@@ -1,4 +1,5 @@
-// The member table by property: merging is commutative and idempotent, and records only move up.
+// Properties of the member table: merging is commutative and idempotent, and only a higher record replaces
+// one.
 #include "membership/member_table.h"
 
 #include <gtest/gtest.h>
@@ -19,30 +20,30 @@
 
 const Record kSelf = test::process(1, "self", numbered(0));
 
-// Records of six instances, so that many concern the same one.
-Record drawn_record_of_few(std::mt19937_64& random, bool may_be_unreachable) {
+// A record of one of six instances, so that many records belong to the same instance.
+Record random_record_of_few_instances(std::mt19937_64& random, bool may_be_unreachable) {
   const std::uint32_t number = 1 + static_cast<std::uint32_t>(random() % 6);
   Record record =
       test::process(InstanceId{number} << 60U | 7U, "n" + std::to_string(number), numbered(number));
   record.incarnation = random() % 4;
   constexpr State kStates[] = {State::alive, State::suspect, State::left, State::unreachable};
   record.state = kStates[random() % (may_be_unreachable ? 4 : 3)];
-  // Rarely left, or all instances would be.
+  // `left` is rare: otherwise all instances would soon be in that state.
   if (record.state == State::left && random() % 4 != 0) {
     record.state = State::alive;
   }
   return record;
 }
 
-std::vector<Record> drawn_records(std::mt19937_64& random, std::size_t count, bool may_be_unreachable) {
+std::vector<Record> random_records(std::mt19937_64& random, std::size_t count, bool may_be_unreachable) {
   std::vector<Record> records;
   while (records.size() < count) {
-    records.push_back(drawn_record_of_few(random, may_be_unreachable));
+    records.push_back(random_record_of_few_instances(random, may_be_unreachable));
   }
   return records;
 }
 
-Record ended(InstanceId instance, State state) {
+Record ended_record(InstanceId instance, State state) {
   Record record =
       test::process(instance, "n" + std::to_string(instance), numbered(static_cast<std::uint32_t>(instance)));
   record.state = state;
@@ -58,7 +59,7 @@
 TEST(MembershipTable, RecordsInAnyOrderAndRepeated_GiveTheSameTable) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    std::vector<Record> records = drawn_records(random, 1 + random() % 40, false);
+    std::vector<Record> records = random_records(random, 1 + random() % 40, false);
     MemberTable one{Lifetimes{}};
     MemberTable other{Lifetimes{}};
     for (const Record& record : records) {
@@ -74,11 +75,11 @@
   });
 }
 
-TEST(MembershipTable, MergedRecord_OnlyMovesAnInstanceUpAndNeverToUnreachable) {
+TEST(MembershipTable, MergedRecord_NeverLowersAnInstanceNorMakesItUnreachable) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     MemberTable table{Lifetimes{}};
-    for (const Record& record : drawn_records(random, 60, true)) {
+    for (const Record& record : random_records(random, 60, true)) {
       const Member* known = table.find(record.instance);
       const std::optional<Record> before = known ? std::optional(known->record) : std::nullopt;
       table.merge(record, 0);
@@ -99,7 +100,7 @@
   });
 }
 
-// Follows digests that differ down to single records.
+// Finds differing records: compares digests of smaller and smaller ranges down to single records.
 class Comparison {
  public:
   Comparison(const MemberTable& one, const MemberTable& other) : one_(one), other_(other) {}
@@ -160,16 +161,16 @@
   });
 }
 
-TEST(MembershipTable, EndedInstance_ExpiresAfterItsLifetimeAndIsNotLearnedAnewNearItsEnd) {
-  Record unreachable = ended(5, State::unreachable);
-  Record left = ended(6, State::left);
+TEST(MembershipTable, EndedInstance_ExpiresAfterItsLifetimeAndIsNotAddedAgainNearItsEnd) {
+  Record unreachable = ended_record(5, State::unreachable);
+  Record left = ended_record(6, State::left);
   MemberTable table{lifetimes_of_100_s()};
   table.merge(unreachable, 0);
   table.merge(left, 0);
   const std::uint64_t with_both = table.digest(kSelf, 0).value;
   table.remove_expired(49 * kSecond);
   EXPECT_EQ(table.digest(kSelf, 49 * kSecond).value, with_both);
-  // In the second half of its lifetime a record is no difference that needs repair.
+  // Digests exclude a record in the second half of its lifetime.
   table.remove_expired(51 * kSecond);
   EXPECT_NE(table.digest(kSelf, 51 * kSecond).value, with_both);
   EXPECT_EQ(table.record_to_send(*table.find(5), 51 * kSecond).age, 51 * kSecond);
@@ -183,13 +184,14 @@
   EXPECT_EQ(table.merge(left, 0), MemberTable::Effect::unchanged);
   unreachable.age = 74 * kSecond;
   EXPECT_EQ(table.merge(unreachable, 0), MemberTable::Effect::applied);
-  EXPECT_EQ(table.remove_expired(26 * kSecond).size(), 1U);  // by its age, not by when it was merged
+  // The age of the record counts, not the time since it was merged.
+  EXPECT_EQ(table.remove_expired(26 * kSecond).size(), 1U);
 }
 
-TEST(MembershipTable, RepeatedRecordOfAnEndedInstance_CountsWithTheGreatestAge) {
+TEST(MembershipTable, RepeatedRecordOfAnEndedInstance_KeepsTheGreatestAge) {
   MemberTable table{lifetimes_of_100_s()};
-  Record unreachable = ended(5, State::unreachable);
-  Record left = ended(6, State::left);
+  Record unreachable = ended_record(5, State::unreachable);
+  Record left = ended_record(6, State::left);
   table.merge(unreachable, 0);
   table.merge(left, 0);
   unreachable.age = 60 * kSecond;
--- a/tests/membership/model_test.cpp
+++ b/tests/membership/model_test.cpp
@@ -1,9 +1,9 @@
-// Model checking: three routers, and every order of what can happen to them. A datagram arrives, is lost or
-// is duplicated; a router's time passes, it changes its facts, leaves, is killed, or a new process starts in
-// its place. Invariants are checked after each step on the real protocol; from a share of all states faults
-// end, and the views must settle.
+// Model checking: a search over all orders of events in a fleet of three routers. A datagram arrives, is lost
+// or is duplicated; the time of a router advances; a router changes its facts, leaves, is killed, or a new
+// process starts in its place. After each step the invariants are checked on the real protocol. From one in
+// 20 states all faults end, and the views must settle.
 //
-// Built once more for each mutant of the protocol, the search must find a violation.
+// The test is also built with each mutant of the protocol (mutants.h); the search must then find a violation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,9 +30,9 @@
 constexpr int kDepth = kMutant == Mutant::none ? 7 : 9;
 constexpr std::uint64_t kFirstSeed = 90;
 
-class World {
+class ModelState {
  public:
-  World() {
+  ModelState() {
     for (std::size_t router = 0; router < kRouters; ++router) {
       protocols_.emplace_back(settings(router), kFirstSeed + router, clocks_[router],
                               test::rules_under_test());
@@ -77,7 +77,7 @@
     --kills_;
     end(router);
   }
-  // What it says before it ends is in transit.
+  // The messages that announce the departure are in transit.
   void leave(std::size_t router) {
     --leaves_;
     protocols_[router].leave(clocks_[router]);
@@ -86,22 +86,22 @@
     end(router);
   }
   void set_facts(std::size_t router) {
-    --facts_;
+    --fact_changes_;
     protocols_[router].set_facts(clocks_[router], {{kDraining, 1}});
     after_step(router);
   }
 
-  // What may happen next
+  // Possible next steps
 
   bool is_up(std::size_t router) const { return up_[router]; }
   bool may_kill(std::size_t router) const { return up_[router] && kills_ > 0; }
   bool may_start(std::size_t router) const { return !up_[router] && starts_ > 0; }
   bool may_leave(std::size_t router) const { return up_[router] && leaves_ > 0; }
-  bool may_set_facts(std::size_t router) const { return up_[router] && facts_ > 0; }
+  bool may_set_facts(std::size_t router) const { return up_[router] && fact_changes_ > 0; }
   bool may_duplicate() const { return duplications_ > 0; }
   std::size_t in_transit() const { return network_.size(); }
 
-  // No more faults: datagrams arrive at once, and the router whose next wake-up is nearest runs.
+  // Runs without faults: datagrams arrive at once, and the router with the earliest wake-up runs next.
   bool settles(double periods) {
     for (int round = 0; round < 10 * static_cast<int>(periods) && broken.empty(); ++round) {
       while (!network_.empty() && broken.empty()) {
@@ -146,11 +146,12 @@
         add(fingerprint(update));
       }
     }
-    add(static_cast<std::uint64_t>(kills_ * 16 + starts_ * 8 + duplications_ * 4 + leaves_ * 2 + facts_));
+    add(static_cast<std::uint64_t>(kills_ * 16 + starts_ * 8 + duplications_ * 4 + leaves_ * 2 +
+                                   fact_changes_));
     return hash;
   }
 
-  std::string broken;  // the first violation
+  std::string broken;  // the first violated invariant; ModelSearch reads it
 
  private:
   struct Datagram {
@@ -168,7 +169,7 @@
       settings.contacts.push_back(address(contact));
     }
     settings.indirect_probers = 1;
-    // Short suspicions, so that few steps reach a declaration.
+    // Short suspicions, so that a member can be declared unreachable within a few steps.
     settings.suspicion = {.min_factor = 1, .max_multiple = 1, .confirmations = 1};
     test::apply_mutant(settings);
     return settings;
@@ -208,7 +209,7 @@
       }
     }
   }
-  // The oldest datagrams count as lost.
+  // Drops the oldest datagrams.
   void drop_excess() {
     while (network_.size() > kMaxInTransit) {
       lose(0);
@@ -230,7 +231,7 @@
         check_transition(router, previous->second, current);
       }
       if (current.state == State::left && is_running(instance)) {
-        violate("a running process is held for left", router, instance);
+        violate("a running process has the state left", router, instance);
       }
       check_incarnation(router, current);
       previous_[router][instance] = current;
@@ -239,23 +240,23 @@
   void check_transition(std::size_t router, const Record& previous, const Record& current) {
     const InstanceId instance = current.instance;
     if (previous.state == State::left && current.state != State::left) {
-      violate("a process that left came back", router, instance);
+      violate("a process that left is in another state again", router, instance);
     }
     if (current.state != State::left && current.incarnation < previous.incarnation) {
-      violate("an incarnation went back", router, instance);
+      violate("an incarnation decreased", router, instance);
     }
     if (current.incarnation == previous.incarnation && current.state < previous.state) {
-      violate("a refuted claim came back", router, instance);
+      violate("a refuted claim was accepted again", router, instance);
     }
     if (previous.state == State::alive && current.state == State::unreachable) {
-      violate("declared unreachable without a suspicion of its own", router, instance);
+      violate("an alive member was declared unreachable without a suspicion", router, instance);
     }
   }
   void check_incarnation(std::size_t router, const Record& current) {
     for (std::size_t owner = 0; owner < kRouters; ++owner) {
       const Record& self = protocols_[owner].self();
       if (up_[owner] && self.instance == current.instance && current.incarnation > self.incarnation) {
-        violate("an incarnation that its owner never had", router, current.instance);
+        violate("an incarnation is higher than its owner's", router, current.instance);
       }
     }
   }
@@ -304,43 +305,43 @@
   std::vector<Time> clocks_ = std::vector<Time>(kRouters, 1'000 * kSecond);
   std::vector<Datagram> network_;
   std::set<InstanceId> ended_;
-  // By router: the records of its table after its last step.
+  // By router: the records in its table after its last step.
   std::vector<std::map<InstanceId, Record>> previous_ = std::vector<std::map<InstanceId, Record>>(kRouters);
-  // How often each may still happen.
+  // Remaining number of events of each kind.
   int kills_ = 1;
   int starts_ = 1;
   int duplications_ = 1;
   int leaves_ = 1;
-  int facts_ = 1;
+  int fact_changes_ = 1;
 };
 
-using Search = ::streampick::test::ModelSearch<World>;
+using Search = ::streampick::test::ModelSearch<ModelState>;
 
-void next_steps(const World& world, const Search::Take& take) {
+void next_steps(const ModelState& model, const Search::Take& take) {
   for (std::size_t router = 0; router < kRouters; ++router) {
-    if (world.is_up(router)) {
-      take([=](World& next) { next.tick(router); });
+    if (model.is_up(router)) {
+      take([=](ModelState& next) { next.tick(router); });
     }
-    if (world.may_kill(router)) {
-      take([=](World& next) { next.kill(router); });
+    if (model.may_kill(router)) {
+      take([=](ModelState& next) { next.kill(router); });
     }
-    if (world.may_start(router)) {
-      take([=](World& next) { next.start(router); });
+    if (model.may_start(router)) {
+      take([=](ModelState& next) { next.start(router); });
     }
   }
   for (std::size_t router = 0; router < kRouters; ++router) {
-    if (world.may_leave(router)) {
-      take([=](World& next) { next.leave(router); });
+    if (model.may_leave(router)) {
+      take([=](ModelState& next) { next.leave(router); });
     }
-    if (world.may_set_facts(router)) {
-      take([=](World& next) { next.set_facts(router); });
+    if (model.may_set_facts(router)) {
+      take([=](ModelState& next) { next.set_facts(router); });
     }
   }
-  for (std::size_t position = 0; position < world.in_transit(); ++position) {
-    take([=](World& next) { next.deliver(position, false); });
-    take([=](World& next) { next.lose(position); });
-    if (world.may_duplicate()) {
-      take([=](World& next) { next.deliver_twice(position); });
+  for (std::size_t position = 0; position < model.in_transit(); ++position) {
+    take([=](ModelState& next) { next.deliver(position, false); });
+    take([=](ModelState& next) { next.lose(position); });
+    if (model.may_duplicate()) {
+      take([=](ModelState& next) { next.deliver_twice(position); });
     }
   }
 }
@@ -348,23 +349,23 @@
 TEST(MembershipModel, EveryOrderOfEvents_KeepsTheInvariantsAndSettles) {
   Search search;
   search.steps = next_steps;
-  search.faults_end = [](World world) {
-    if (!world.settles(2 * settle_periods(kRouters, 1'200))) {
+  search.faults_end = [](ModelState model) {
+    if (!model.settles(2 * settle_periods(kRouters, 1'200))) {
       return std::string("the views did not settle");
     }
-    return world.broken;
+    return model.broken;
   };
-  World settled;
+  ModelState settled;
   ASSERT_TRUE(settled.settles(100));
   search.run(settled, kDepth);
-  std::printf("%zu states within %d steps, from %zu of them faults ended\n", search.states, kDepth,
+  std::printf("%zu states within %d steps; faults ended from %zu of them\n", search.states, kDepth,
               search.ended);
   if (kMutant == Mutant::none) {
     EXPECT_EQ(search.broken, "");
     EXPECT_GE(search.states, 1'000U);
   } else {
-    EXPECT_NE(search.broken, "") << "a mutant of the protocol was not noticed";
-    std::printf("noticed: %s\n", search.broken.c_str());
+    EXPECT_NE(search.broken, "") << "the search did not detect the mutant";
+    std::printf("detected: %s\n", search.broken.c_str());
   }
 }
 
--- a/tests/membership/mutants.h
+++ b/tests/membership/mutants.h
@@ -1,6 +1,6 @@
 /// \file
-/// Mutants of the protocol: each breaks one rule, and tests that are built with it must notice. Which one is
-/// chosen by STREAMPICK_MEMBERSHIP_MUTANT; without it the standard rules are tested.
+/// Mutants of the protocol: each breaks one rule, and a test that is built with it must detect that. The
+/// macro STREAMPICK_MEMBERSHIP_MUTANT selects the mutant; without it the standard rules apply.
 #pragma once
 
 #include "membership/protocol_rules.h"
@@ -17,7 +17,7 @@
   refutes_without_incarnation,  // a refutation keeps the accused incarnation
   keeps_no_tombstones,          // records of processes that left are removed at once
   never_refutes,
-  believes_unreachable_claims,  // of a single other router
+  believes_unreachable_claims,  // the claim of one other router is enough
   ignores_suspension,
   runs_no_anti_entropy,
 };
@@ -38,13 +38,13 @@
   [[nodiscard]] bool runs_anti_entropy() const override { return kMutant != Mutant::runs_no_anti_entropy; }
 };
 
-/// The rules that tests run the protocol with.
+/// The rules that the tests pass to the protocol.
 inline const ProtocolRules& rules_under_test() {
   static const MutantRules kMutantRules;
   return kMutant == Mutant::none ? ProtocolRules::standard() : kMutantRules;
 }
 
-/// Changes the settings where the mutant is one of them.
+/// Changes the settings if the mutant is implemented by a setting.
 inline void apply_mutant(Settings& settings) {
   if (kMutant == Mutant::keeps_no_tombstones) {
     settings.lifetimes.left_times = 0;
--- a/tests/membership/protocol_digest_test.cpp
+++ b/tests/membership/protocol_digest_test.cpp
@@ -1,5 +1,6 @@
-// Holds the protocol's observable behaviour still: each drawn world must give the digest it gave before the
-// sources were restructured. The constants are never regenerated to make a change of structure pass.
+// Guards against unintended changes of the protocol's observable behaviour, for instance by a refactoring:
+// each random scenario must give its recorded digest. Don't regenerate the digests to make a refactoring
+// pass.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -16,20 +17,20 @@
 
 class ProtocolDigest : public ::testing::TestWithParam<std::size_t> {};
 
-constexpr std::size_t kWorldsPerTest = 60;
+constexpr std::size_t kScenariosPerTest = 60;
 
-TEST_P(ProtocolDigest, DrawnWorlds_GiveTheRecordedDigests) {
+TEST_P(ProtocolDigest, RandomScenarios_GiveTheRecordedDigests) {
   const std::size_t first = GetParam();
-  for (std::size_t world = first; world < first + kWorldsPerTest; ++world) {
-    const WorldResult result = run_drawn_world(world + 1);
-    ASSERT_EQ(result.digest, kExpectedDigests[world]) << "seed " << world + 1 << ": " << result.summary;
+  for (std::size_t scenario = first; scenario < first + kScenariosPerTest; ++scenario) {
+    const ScenarioResult result = run_random_scenario(scenario + 1);
+    ASSERT_EQ(result.digest, kExpectedDigests[scenario]) << "seed " << scenario + 1 << ": " << result.summary;
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Worlds, ProtocolDigest, ::testing::Values(0, 60, 120, 180, 240),
+INSTANTIATE_TEST_SUITE_P(Scenarios, ProtocolDigest, ::testing::Values(0, 60, 120, 180, 240),
                          [](const auto& tested) {
                            return std::to_string(tested.param + 1) + "To" +
-                                  std::to_string(tested.param + kWorldsPerTest);
+                                  std::to_string(tested.param + kScenariosPerTest);
                          });
 
 }  // namespace
--- a/tests/membership/protocol_rules_test.cpp
+++ b/tests/membership/protocol_rules_test.cpp
@@ -1,4 +1,4 @@
-// Single rules of the protocol, each by itself.
+// Tests of single rules of the protocol.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,40 +16,40 @@
 
 constexpr std::size_t kDatagramSize = 256;
 
-TEST(MembershipRules, TwoProcessesOfOneName_AreBothCountedAndReportedOnce) {
+TEST(MembershipRules, TwoProcessesWithTheSameName_AreBothCountedAndReportedOnce) {
   GossipFleet fleet(5, kDatagramSize, 3);
   fleet.network.start(fleet.network.add({0, 1}, "n2"));
   ASSERT_TRUE(fleet.settles());
   fleet.run(20);
   EXPECT_GE(fleet.changes[Change::Kind::name_conflict], 5);
-  EXPECT_LE(fleet.changes[Change::Kind::name_conflict], 6);  // once at each
+  EXPECT_LE(fleet.changes[Change::Kind::name_conflict], 6);  // once per process
   EXPECT_EQ(fleet.summary(0).alive, 6U);
-  EXPECT_EQ(fleet.summary(0).min_live, 5U);  // votes count by name
+  EXPECT_EQ(fleet.summary(0).min_live, 5U);  // votes are counted by name
   EXPECT_EQ(fleet.summary(0).max_live, 6U);
 }
 
-TEST(MembershipRules, RunningProcessThatIsHeldForLeft_TakesANewInstanceId) {
+TEST(MembershipRules, RunningProcessReportedAsLeft_TakesANewInstanceId) {
   GossipFleet fleet(5, kDatagramSize, 3);
   ASSERT_TRUE(fleet.settles());
   const InstanceId before = fleet.instance(2);
-  Message untrue = fleet.gossip_of(1);
-  untrue.updates.push_back(fleet.network.gossip(2).self());
-  untrue.updates.back().state = State::left;
-  fleet.inject(1, 0, untrue);
+  Message false_claim = fleet.gossip_of(1);
+  false_claim.updates.push_back(fleet.network.gossip(2).self());
+  false_claim.updates.back().state = State::left;
+  fleet.inject(1, 0, false_claim);
   fleet.run(1);
   ASSERT_TRUE(fleet.settles());
   EXPECT_NE(fleet.instance(2), before);
   EXPECT_EQ(fleet.summary(0).max_live, 5U);
 }
 
-TEST(MembershipRules, AccusationInTheHighestIncarnation_IsRefutedAllTheSame) {
+TEST(MembershipRules, SuspicionAtTheHighestIncarnation_IsRefuted) {
   GossipFleet fleet(4, kDatagramSize, 3);
   ASSERT_TRUE(fleet.settles());
-  Message untrue = fleet.gossip_of(1);
-  untrue.updates.push_back(fleet.network.gossip(2).self());
-  untrue.updates.back().state = State::suspect;
-  untrue.updates.back().incarnation = kMaxIncarnation;
-  fleet.inject(1, 0, untrue);
+  Message false_claim = fleet.gossip_of(1);
+  false_claim.updates.push_back(fleet.network.gossip(2).self());
+  false_claim.updates.back().state = State::suspect;
+  false_claim.updates.back().incarnation = kMaxIncarnation;
+  fleet.inject(1, 0, false_claim);
   fleet.run(1);
   EXPECT_TRUE(fleet.settles());
 }
@@ -67,16 +67,16 @@
   fleet.run(30);
   const auto before = fleet.network.traffic(0);
   fleet.run(30);
-  EXPECT_LE(fleet.network.traffic(0).all() - before.all(), 30U + 1);  // one a period
+  EXPECT_LE(fleet.network.traffic(0).all() - before.all(), 30U + 1);  // one per period
   fleet.run(200);
   EXPECT_EQ(fleet.summary(0).max_live, 1U);
-  fleet.run(20);  // this is the settled view now, and all of it is visible
+  fleet.run(20);  // until this view counts as settled; all of it is visible
   EXPECT_EQ(fleet.summary(0).visible_share, 1.0);
   fleet.run(300);
   EXPECT_EQ(fleet.network.gossip(0).table().members().size(), 0U);
 }
 
-TEST(MembershipRules, SuspensionPastALifetime_RestartsUnderANewInstanceId) {
+TEST(MembershipRules, SuspensionLongerThanALifetime_RestartsUnderANewInstanceId) {
   GossipFleet fleet(6, kDatagramSize, 3,
                     [](Settings& settings) { settings.lifetimes.unreachable = 60 * kSecond; });
   ASSERT_TRUE(fleet.settles());
@@ -84,7 +84,7 @@
   const InstanceId left = fleet.instance(5);
   fleet.network.pause(0);
   fleet.network.leave(5);
-  fleet.run(400);  // the tombstone has expired: only the suspended process holds node 5 for alive
+  fleet.run(400);  // the tombstone has expired: only the suspended process still has node 5 as alive
   fleet.network.resume(0);
   ASSERT_TRUE(fleet.settles());
   EXPECT_NE(fleet.instance(0), suspended);
@@ -94,8 +94,9 @@
   }
 }
 
-// A confirmation may move a suspicion's deadline into the past.
-TEST(MembershipRules, SuspicionThatIsConfirmedLate_IsNotTakenForASuspension) {
+// A confirmation may move the deadline of a suspicion into the past. A wake-up later than that deadline must
+// not count as a suspension of this process.
+TEST(MembershipRules, LateConfirmationOfASuspicion_IsNotTreatedAsASuspension) {
   GossipFleet fleet(100, kDatagramSize, 7);
   ASSERT_TRUE(fleet.settles());
   for (std::size_t node = 0; node < 50; ++node) {
@@ -105,21 +106,22 @@
   EXPECT_EQ(fleet.changes[Change::Kind::suspended], 0);
 }
 
-// All hear that the same ten are unreachable. If all probed the same one first it would be overloaded.
-TEST(MembershipRules, ClaimsThatAllHear_AreVerifiedInAnOrderOfEachRoutersOwn) {
+// All routers receive the claim that the same ten members are unreachable. If they verified the claims in the
+// same order, each of those members would be probed by all routers at once.
+TEST(MembershipRules, ClaimsReceivedByAllRouters_AreVerifiedInRandomOrder) {
   constexpr std::size_t kSize = 60;
   GossipFleet fleet(kSize, 1'200, 3);
   ASSERT_TRUE(fleet.settles());
   fleet.run(20);
-  Message untrue = fleet.gossip_of(1);
+  Message false_claim = fleet.gossip_of(1);
   for (std::size_t node = 10; node < 20; ++node) {
-    untrue.updates.push_back(fleet.network.gossip(node).self());
-    untrue.updates.back().state = State::unreachable;
+    false_claim.updates.push_back(fleet.network.gossip(node).self());
+    false_claim.updates.back().state = State::unreachable;
   }
   std::vector<std::uint64_t> before;
   for (std::size_t node = 0; node < kSize; ++node) {
     if (node >= 20) {
-      fleet.inject(1, node, untrue);
+      fleet.inject(1, node, false_claim);
     }
     before.push_back(fleet.network.traffic(node).received);
   }
@@ -133,7 +135,7 @@
   EXPECT_EQ(fleet.running_declared_unreachable, 0);
 }
 
-// One protocol whose peers are played by the test.
+// One protocol; the test sends the messages of its peers.
 class SingleProtocol {
  public:
   static Record peer(std::uint32_t number) {
@@ -168,7 +170,7 @@
   return message.kind() == MessageKind::ping || message.kind() == MessageKind::ack;
 }
 
-TEST(MembershipRules, PingAndAckToASuspect_BeginWithTheSuspicionHoweverManyUpdatesArePending) {
+TEST(MembershipRules, PingAndAckToASuspectWithManyPendingUpdates_BeginWithTheSuspicion) {
   SingleProtocol single;
   std::vector<Record> others;
   for (std::uint32_t number = 3; number < 40; ++number) {
@@ -196,7 +198,7 @@
   EXPECT_GE(checked, 50);
 }
 
-TEST(MembershipRules, EndOfAPartition_OverloadsNobody) {
+TEST(MembershipRules, EndOfAPartition_KeepsMessageRatesWithinTheirLimits) {
   constexpr std::size_t kSize = 60;
   GossipFleet fleet(kSize, kDatagramSize, 3);
   ASSERT_TRUE(fleet.settles());
@@ -230,7 +232,7 @@
   EXPECT_TRUE(fleet.settles());
 }
 
-TEST(MembershipRules, ClocksThatDifferOrStepForward_DeclareNobodyUnreachable) {
+TEST(MembershipRules, ClocksThatDifferOrStepForward_DeclareNoRunningMemberUnreachable) {
   GossipFleet fleet(8, kDatagramSize, 3);
   for (std::size_t node = 0; node < 8; ++node) {
     fleet.network.kill(node);
@@ -243,10 +245,10 @@
   EXPECT_EQ(fleet.summary(0).unreachable, 1U);
   const InstanceId before = fleet.instance(3);
   fleet.running_declared_unreachable = 0;
-  fleet.network.step_clock(3, 20 * kSecond);  // looks like a suspension
+  fleet.network.step_clock(3, 20 * kSecond);  // the protocol takes this for a suspension
   fleet.run(1);
   EXPECT_EQ(fleet.instance(3), before);
-  fleet.network.step_clock(3, 3'600 * kSecond);  // past a lifetime
+  fleet.network.step_clock(3, 3'600 * kSecond);  // longer than a lifetime
   fleet.run(1);
   EXPECT_NE(fleet.instance(3), before);
   ASSERT_TRUE(fleet.settles());
@@ -266,20 +268,20 @@
     before = suspicion.deadline();
   }
   EXPECT_EQ(suspicion.deadline(), 8 * kSecond);
-  EXPECT_FALSE(suspicion.confirm(5));  // it is the shortest already
+  EXPECT_FALSE(suspicion.confirm(5));  // the timeout is at its minimum already
   suspicion.extend(5 * kSecond);
   EXPECT_EQ(suspicion.deadline(), 13 * kSecond);
-  EXPECT_EQ(Suspicion(1, 0, 2, kSecond, rule).deadline(), 4 * kSecond);  // nobody else could confirm
+  EXPECT_EQ(Suspicion(1, 0, 2, kSecond, rule).deadline(), 4 * kSecond);  // no other member could confirm
 }
 
-TEST(MembershipRules, RouterAlone_IsASettledViewAtOnce) {
+TEST(MembershipRules, SingleRouter_HasASettledViewAtOnce) {
   GossipFleet fleet(1, kDatagramSize, 3);
   EXPECT_EQ(fleet.summary(0).min_live, 1U);
   EXPECT_EQ(fleet.summary(0).max_live, 1U);
   EXPECT_TRUE(fleet.network.settled());
 }
 
-TEST(MembershipRules, FactsThatARouterSets_ReachAll) {
+TEST(MembershipRules, FactsSetByARouter_ReachAllMembers) {
   GossipFleet fleet(12, kDatagramSize, 3);
   ASSERT_TRUE(fleet.settles());
   const InstanceId instance = fleet.instance(4);
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -1,4 +1,4 @@
-// Encoding: what is encoded is decoded alike, and invalid datagrams are rejected as a whole.
+// The encoding of messages: decode() reverses encode(), and invalid datagrams are rejected as a whole.
 #include "membership/wire.h"
 
 #include <gtest/gtest.h>
@@ -17,10 +17,10 @@
 
 Message message_of_seed(std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  return test::drawn_message(random);
+  return test::random_message(random);
 }
 
-TEST(MembershipWire, ValidMessage_DecodesAsItWasEncodedWithinTheForetoldSize) {
+TEST(MembershipWire, ValidMessage_DecodesToTheSameWithinTheMaxEncodedSize) {
   rc::check([](std::uint64_t seed) {
     const Message message = message_of_seed(seed);
     const std::string datagram = encode(message, "fleet");
@@ -35,13 +35,13 @@
   });
 }
 
-TEST(MembershipWire, DamagedOrTruncatedByte_IsRejected) {
+TEST(MembershipWire, CorruptedOrTruncatedDatagram_IsRejected) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     const std::string valid = encode(message_of_seed(seed), "fleet");
     for (std::size_t position = 0; position < valid.size(); ++position) {
-      std::string damaged = valid;
-      damaged[position] = static_cast<char>(damaged[position] ^ static_cast<char>(1U << (seed % 8)));
-      const auto decoded = decode(damaged, "fleet");
+      std::string corrupted = valid;
+      corrupted[position] = static_cast<char>(corrupted[position] ^ static_cast<char>(1U << (seed % 8)));
+      const auto decoded = decode(corrupted, "fleet");
       ASSERT_TRUE(std::holds_alternative<DecodeError>(decoded)) << position;
       const DecodeError expected = position == 0 ? DecodeError::version : DecodeError::checksum;
       EXPECT_EQ(std::get<DecodeError>(decoded), expected);
@@ -79,10 +79,10 @@
   }
 }
 
-// With a right checksum, as a faulty program would send it.
+// The checksum is valid, as it would be from a faulty sender.
 TEST(MembershipWire, FieldBeyondItsLimit_IsRejected) {
-  using Spoil = void (*)(proto::Message&);
-  const std::vector<std::pair<const char*, Spoil>> cases = {
+  using Invalidate = void (*)(proto::Message&);
+  const std::vector<std::pair<const char*, Invalidate>> cases = {
       {"unknown kind", [](proto::Message& m) { m.set_kind(kMessageKinds); }},
       {"no sender",
        [](proto::Message& m) {
@@ -144,16 +144,16 @@
        }},
   };
   ASSERT_TRUE(std::holds_alternative<Message>(decode_proto(valid_ping())));
-  for (const auto& [name, spoil] : cases) {
+  for (const auto& [name, invalidate] : cases) {
     proto::Message message = valid_ping();
-    spoil(message);
+    invalidate(message);
     const auto decoded = decode_proto(message);
     ASSERT_TRUE(std::holds_alternative<DecodeError>(decoded)) << name;
     EXPECT_EQ(std::get<DecodeError>(decoded), DecodeError::content) << name;
   }
 }
 
-// Senders may fill fields that their kind does not use.
+// Senders may set fields that the message's kind does not use.
 TEST(MembershipWire, FieldOfAnotherKind_IsIgnored) {
   proto::Message message = valid_ping();
   message.set_number(5);
@@ -173,7 +173,7 @@
   for (std::size_t kind = 0; kind < kMessageKinds; ++kind) {
     Message message;
     message.sender = test::process(7, "n1", numbered(1));
-    message.body = test::drawn_body(random, static_cast<MessageKind>(kind));
+    message.body = test::random_body(random, static_cast<MessageKind>(kind));
     ASSERT_EQ(static_cast<std::size_t>(message.kind()), kind);
     const std::string datagram = encode(message, "");
     proto::Message wire;
