--- a/fuzz/management.cpp
+++ b/fuzz/management.cpp
@@ -1,5 +1,6 @@
-// What operators and the process before us may say: a line in any pieces, and the file of overrides. Either
-// is read the same in one piece and in many, within its bounds, or turned down in one line of words.
+// Fuzzes the input of operators and of the previous process: a command line split at any place, and the file
+// of overrides. Each must parse to the same result however it is split and stay within its size limits, or be
+// rejected with a message of one line.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -15,35 +16,35 @@
 
 namespace {
 
-void require(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
-void read_line(std::string_view bytes) {
+void check_line(std::string_view bytes) {
   using State = management::LineReader::State;
   management::LineReader whole, pieces;
-  State at_once = whole.append(bytes), state = State::incomplete;
+  State expected = whole.append(bytes), state = State::incomplete;
   const std::size_t step = 1 + (bytes.empty() ? 0 : static_cast<unsigned char>(bytes[0]) % 7);
   for (std::size_t at = 0; at < bytes.size() && state == State::incomplete; at += step)
     state = pieces.append(bytes.substr(at, step));
-  require(state == at_once);
-  if (at_once == State::incomplete) {
-    at_once = whole.finish();
-    require(pieces.finish() == at_once);
+  require(state == expected);
+  if (expected == State::incomplete) {
+    expected = whole.finish();
+    require(pieces.finish() == expected);
   }
   require(whole.line().size() <= management::LineReader::kMaxSize + 2);
-  if (at_once != State::complete) return;
+  if (expected != State::complete) return;
   require(whole.line() == pieces.line());
-  const auto read = management::parse_command(whole.line());
-  if (const auto* error = std::get_if<management::ParseError>(&read))
+  const auto parsed = management::parse_command(whole.line());
+  if (const auto* error = std::get_if<management::ParseError>(&parsed))
     require(!error->message.empty() && error->message.find('\n') == std::string::npos);
 }
 
-void read_overrides(const std::string& text) {
+void check_overrides(const std::string& text) {
   try {
-    const auto read = control::AdminOverrides::parse(text);
-    require(read.endpoints().size() <= control::AdminOverrides::kMaxEndpoints);
-    require(control::AdminOverrides::parse(read.serialize()) == read);
+    const auto overrides = control::AdminOverrides::parse(text);
+    require(overrides.endpoints().size() <= control::AdminOverrides::kMaxEndpoints);
+    require(control::AdminOverrides::parse(overrides.serialize()) == overrides);
   } catch (const std::runtime_error& error) {
     require(std::string_view(error.what()).find('\n') == std::string_view::npos);
   }
@@ -53,8 +54,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string bytes(reinterpret_cast<const char*>(data), size);
-  read_line(bytes);
-  read_overrides(bytes);
+  check_line(bytes);
+  check_overrides(bytes);
   return 0;
 }
 
--- a/src/control/admin_change.cpp
+++ b/src/control/admin_change.cpp
@@ -5,7 +5,7 @@
 ApplyResult apply(const AdminChange& change, AdminOverrides& overrides) {
   switch (change.kind) {
     case AdminChange::Kind::disable_endpoint:
-      overrides.remove_expired(change.made_at, change.long_known);
+      overrides.remove_expired(change.made_at, change.past_retention);
       return overrides.disable(change.endpoint_id, change.made_at) ? ApplyResult::applied
                                                                    : ApplyResult::too_many;
     case AdminChange::Kind::enable_endpoint:
--- a/src/control/admin_change.h
+++ b/src/control/admin_change.h
@@ -1,4 +1,4 @@
-/// One call of an operator that changes the overrides, kept until it is stored. No I/O; for one thread.
+/// An operator's command that changes the overrides, kept until it is stored. No I/O; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,25 @@
 struct AdminChange {
   enum class Kind : std::uint8_t { disable_endpoint, enable_endpoint, start_drain, end_drain };
   Kind kind = Kind::disable_endpoint;
-  std::string endpoint_id = {};  ///< empty where the kind concerns no endpoint
-  Time made_at = 0;  ///< Unix time: it passes to a process whose monotonic clock may begin elsewhere
-  /// disable_endpoint: endpoints that the caller has known for longer than AdminOverrides::kRetention by its
-  /// monotonic clock. Of these, enabled ones are forgotten.
-  AdminOverrides::Endpoints long_known = {};
+  std::string endpoint_id = {};  ///< empty where the kind names no endpoint
+  /// Unix time, because monotonic clocks of two processes may not be comparable.
+  Time made_at = 0;
+  /// disable_endpoint: endpoints whose override has been unchanged for longer than AdminOverrides::kRetention
+  /// by the caller's monotonic clock. Overrides among them that are enabled are removed.
+  AdminOverrides::Endpoints past_retention = {};
 };
 
 enum class ApplyResult : std::uint8_t {
-  applied,    ///< it holds now, and may have done so before
+  applied,    ///< the change holds, and may have held before
   no_effect,  ///< enable_endpoint: the endpoint was not disabled
-  too_many,   ///< disable_endpoint: as many as may be are disabled already
+  too_many,   ///< disable_endpoint: the maximum number of endpoints is reached
 };
 
-/// Applies a change that was made just now.
+/// Applies a change that was made at this moment.
 ApplyResult apply(const AdminChange& change, AdminOverrides& overrides);
 
-/// Applies a change that could not be stored when it was made. Where the same endpoint was changed later, by
-/// the other process of this router, that stands and this has no effect. The two compare by Unix time.
+/// Applies a change that could not be stored when it was made. It has no effect where the router's other
+/// process changed the same endpoint later, by Unix time.
 ApplyResult apply_delayed(const AdminChange& change, AdminOverrides& overrides);
 
 }  // namespace streampick::control
--- a/src/control/admin_overrides.cpp
+++ b/src/control/admin_overrides.cpp
@@ -9,7 +9,7 @@
 namespace streampick::control {
 namespace {
 
-// The text's keys are part of its format: processes of earlier versions read and write them.
+// The keys are part of the stored format: processes of earlier versions read and write them.
 constexpr const char* kFormat = "streampick overrides";
 constexpr std::uint64_t kVersion = 1;
 
@@ -51,12 +51,12 @@
   return found != endpoints_.end() && found->second.is_disabled;
 }
 
-void AdminOverrides::remove_expired(Time now, const Endpoints& long_known) {
+void AdminOverrides::remove_expired(Time now, const Endpoints& past_retention) {
   std::erase_if(endpoints_, [&](const auto& entry) {
     const auto& [id, endpoint] = entry;
     if (endpoint.is_disabled || now - endpoint.changed_at <= kRetention) return false;
-    const auto known = long_known.find(id);
-    return known != long_known.end() && known->second == endpoint;
+    const auto found = past_retention.find(id);
+    return found != past_retention.end() && found->second == endpoint;
   });
 }
 
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-constexpr std::chrono::seconds kSummaryEvery{10};
-// Without a list from discovery the one that was known before the start has to do.
-constexpr std::chrono::seconds kReadyAtLast{3};
+constexpr std::chrono::seconds kSummaryInterval{10};
+// Measured from the start. Without a list from discovery by then, the router serves with the list that its
+// configuration holds.
+constexpr std::chrono::seconds kInitialListTimeout{3};
 
 }  // namespace
 
 #ifdef STREAMPICK_WITH_ETCD
-void Host::learn_from(const etcd::Options& options, std::uint64_t seed) {
+void Host::start_etcd_roster(const etcd::Options& options, std::uint64_t seed) {
   etcd_ = std::make_unique<etcd::EtcdRoster>(
       io_, names_, options, seed, sources_->second(), [this] { return sources_->told() == 0; },
       [](std::string_view text) { net::log(text); });
 }
 #endif
 
-Host::Host(Bare, boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings)
+Host::Host(BaseTag, boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings)
     : io_(io),
       clock_(clock),
       accepted_(settings),
@@ -33,30 +34,30 @@
       summary_timer_(io) {}
 
 Host::Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings)
-    : Host(Bare{}, io, clock, settings) {
+    : Host(BaseTag{}, io, clock, settings) {
   transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, resources_, settings);
-  begin(settings);
+  start(settings);
 }
 
 #ifdef STREAMPICK_WITH_OPTIONS
 Host::Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings,
            const platform::Options& options)
-    : Host(Bare{}, io, clock, settings) {
-  platform::NodeSettings own = settings;
+    : Host(BaseTag{}, io, clock, settings) {
+  platform::NodeSettings resolved = settings;
   options_ = options;
-  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, resources_, own, options);
+  transports_ = std::make_unique<platform::ServerTransports>(io_, clock_, resources_, resolved, options);
 #ifdef STREAMPICK_WITH_ETCD
-  begin(own, options.etcd.on);
-  if (options.etcd.on) learn_from(options.etcd, own.settings.seed);
+  start(resolved, options.etcd.on);
+  if (options.etcd.on) start_etcd_roster(options.etcd, resolved.settings.seed);
 #else
   if (options.etcd.on)
     throw options::Error(options.file + ": roster.etcd: not in this build (STREAMPICK_ETCD)");
-  begin(own);
+  start(resolved);
 #endif
 #ifdef STREAMPICK_WITH_FLEET
   if (options.fleet.on) {
     fleet_ = std::make_unique<fleet::Fleet>(
-        io_, clock_, options.fleet, own.settings.seed ^ std::random_device{}(), own.settings.config.routers,
+        io_, clock_, options.fleet, resolved.settings.seed ^ std::random_device{}(), resolved.settings.config.routers,
         fleet::Fleet::Hooks{[this](std::uint32_t routers) {
       engine_->set_routers(routers); },
                             [this] {
@@ -71,7 +72,7 @@
 });
 if (options.shares.on)
   fleet_->share(options.shares, {names_.tenants, engine_->tenants()},
-                own.settings.seed ^ std::random_device{}());
+                resolved.settings.seed ^ std::random_device{}());
 operators_->set_fleet({[this] { return fleet_->view(); }, [this] { return fleet_->brief(); },
                        [this] { return fleet_->shares(); }});
 }
@@ -85,7 +86,7 @@
 }
 #endif
 
-void Host::begin(const platform::NodeSettings& settings, [[maybe_unused]] bool two_sources) {
+void Host::start(const platform::NodeSettings& settings, [[maybe_unused]] bool has_second_source) {
   descriptors_ = overload::DescriptorBudget(platform::descriptor_limits(settings));
   resources_.connections.share_descriptors(descriptors_);
   resources_.body_memory.set_limit(settings.memory_mb * (1024 * 1024 / 4));
@@ -96,51 +97,56 @@
   resources_.connect_timeout = settings.settings.config.connect_timeout;
   resources_.evict_idle_connection = [this] {
     if (engine_->evict_idle_connection()) return;
-    // Clients hold what servers would have had: one that can be spared gives way.
+    // Client connections hold descriptors beyond their guaranteed minimum: evicting one frees a descriptor
+    // for an upstream connection.
     if (http_ && descriptors_.exceeds_minimum(overload::DescriptorBudget::Side::downstream))
       http_->evict_connection();
   };
-  const Settings& told = settings.settings;
+  const Settings& router = settings.settings;
   engine_ = std::make_unique<engine::Engine>(
-      clock_, engine::EngineSettings{told.config, told.seed, {}, names_.classes}, *transports_,
+      clock_, engine::EngineSettings{router.config, router.seed, {}, names_.classes}, *transports_,
       [](std::string_view text) { net::log(text); });
   transports_->report_to(*engine_);
-  lists_.to = engine_.get();
+  platform_lists_.next = engine_.get();
 #ifdef STREAMPICK_WITH_ETCD
-  if (two_sources) {
+  if (has_second_source) {
     sources_ = std::make_unique<roster::Sources>(*engine_);
-    lists_.to = &sources_->platform();
+    platform_lists_.next = &sources_->platform();
   }
 #endif
-  const bool polls_discovery = told.config.polls_discovery, passed = settings.passed_socket >= 0;
+  // takes_over: another process of this router serves on the socket that this one was given.
+  const bool polls_discovery = router.config.polls_discovery, takes_over = settings.passed_socket >= 0;
   discovery_ = std::make_unique<discovery::Discovery>(io_, names_, settings.discovery,
-                                                      passed ? 0 : settings.known.revision, !polls_discovery,
-                                                      told.seed, lists_);
+                                                      takes_over ? 0 : settings.known.revision,
+                                                      !polls_discovery, router.seed, platform_lists_);
   engine_->start(*discovery_, settings.known);
-  load_shedder_ =
-      std::make_unique<net::LoadShedder>(io_, settings.overload, told.config, settings.cores, spared());
+  load_shedder_ = std::make_unique<net::LoadShedder>(io_, settings.overload, router.config, settings.cores,
+                                                     protected_classes());
   http_ = std::make_unique<http1::Server>(io_, clock_, names_, *engine_, settings.listen, descriptors_,
                                           settings.overload, *load_shedder_, resources_.body_memory,
                                           settings.passed_socket);
   engine_->add(*http_);
-  operators_ = std::make_unique<Operators>(io_, clock_, *engine_, resources_, passed ? settings.scratch : "",
-                                           [this](bool alone) { share(alone); });
-  operators_->set_listens([this] { return http_->listens(); });
+  operators_ =
+      std::make_unique<Operators>(io_, clock_, *engine_, resources_, takes_over ? settings.scratch : "",
+                                  [this](bool is_only_process) { set_resource_limits(is_only_process); });
+  operators_->set_listening_check([this] { return http_->listens(); });
   if (settings.management) operators_->listen(*settings.management);
-  // Beside a process that serves, requests wait at the door until this one can serve them as well.
-  if (!passed) http_->start_accepting();
-  if (!passed && engine_->endpoint_counts().listed > 0) ready();
-  ready_timer_.expires_after(kReadyAtLast);
+  // While another process of this router serves, connections stay in the shared listen queue until that
+  // process accepts them or this one is ready.
+  if (!takes_over) http_->start_accepting();
+  if (!takes_over && engine_->endpoint_counts().listed > 0) ready();
+  ready_timer_.expires_after(kInitialListTimeout);
   ready_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled && engine_->endpoint_counts().listed > 0) ready();
   });
   if (!polls_discovery) discovery_->watch();
-  every_ten_seconds();
+  schedule_summary();
 }
 
-// Beside a process that serves, the whole list is asked for: any first line of it will do.
-void Host::Lists::on_endpoint_list(const engine::EndpointList& list) {
-  to->on_endpoint_list(list);
+// A process that takes over asks for the list from revision 0, so the first message that arrives holds the
+// whole list.
+void Host::PlatformListObserver::on_endpoint_list(const engine::EndpointList& list) {
+  next->on_endpoint_list(list);
   host.ready();
 }
 
@@ -151,7 +157,8 @@
   http_->start_accepting();
 }
 
-// Fronts go first: what their connections would tell has nobody to hear it.
+// The servers towards clients are destroyed before the engine, so that their connections report nothing to an
+// engine that is gone.
 Host::~Host() {
 #ifdef STREAMPICK_WITH_RESP
   resp_.reset();
@@ -168,7 +175,8 @@
   engine_.reset();
 }
 
-// Others hear of it first; when all is answered this router leaves them.
+// The fleet's other routers learn of the drain before it begins. Once all requests have been answered, this
+// router leaves the fleet.
 void Host::drain(std::function<void()> done) {
 #ifdef STREAMPICK_WITH_FLEET
   if (fleet_) {
@@ -182,20 +190,21 @@
   engine_->shut_down(std::move(done));
 }
 
-// Two processes of one router may hold together what one may: each has half, and gives back what rests.
-void Host::share(bool alone) {
+// During a takeover two processes of one router share its limits: each may use half, and closes idle
+// connections above that.
+void Host::set_resource_limits(bool is_only_process) {
   const std::size_t whole = accepted_.memory_mb * (1024 * 1024 / 4);
-  resources_.body_memory.set_limit(alone ? whole : whole / 2);
-  descriptors_.set_halved(!alone);
+  resources_.body_memory.set_limit(is_only_process ? whole : whole / 2);
+  descriptors_.set_halved(!is_only_process);
   for (std::size_t over = descriptors_.excess(); over > 0; --over)
     if (!engine_->evict_idle_connection() && !http_->evict_connection()) return;
 }
 
-std::vector<bool> Host::spared() const {
-  const std::vector<std::string>& named = accepted_.overload.protected_classes;
+std::vector<bool> Host::protected_classes() const {
+  const std::vector<std::string>& listed = accepted_.overload.protected_classes;
   std::vector<bool> out;
   for (const std::string& name : names_.classes)
-    out.push_back(std::find(named.begin(), named.end(), name) != named.end());
+    out.push_back(std::find(listed.begin(), listed.end(), name) != listed.end());
   return out;
 }
 
@@ -208,64 +217,67 @@
 }
 
 bool Host::reload(const std::function<platform::NodeSettings()>& load) {
-  bool taken = false;
+  bool applied = false;
   try {
-    take(load());
-    taken = true;
-    net::log("configuration read again");
-  } catch (const std::exception& wrong) {
-    net::log(std::string("reload: the old settings stay: ") + wrong.what());
+    apply_settings(load());
+    applied = true;
+    net::log("reload: the new configuration is in use");
+  } catch (const std::exception& error) {
+    net::log(std::string("reload failed, the previous settings stay in use: ") + error.what());
   }
-  operators_->reconfigured(taken);
-  return taken;
+  operators_->record_reload(applied);
+  return applied;
 }
 
-// All that may throw comes before the first change.
-void Host::take(const platform::NodeSettings& next) {
-  platform::NodeSettings own = next;
+// Everything that may throw comes before the first change.
+void Host::apply_settings(const platform::NodeSettings& next) {
+  platform::NodeSettings resolved = next;
 #ifdef STREAMPICK_WITH_OPTIONS
   std::optional<platform::Options> options = options_;
   if (options) {
-    platform::resolve(*options, own);
-    platform::ServerTransports::as_servers_have_it(*options, own.settings);
+    platform::resolve(*options, resolved);
+    platform::ServerTransports::mark_unsafe_classes(*options, resolved.settings);
   }
 #endif
-  const Names& told = own.settings.names;
-  if (told.zones != names_.zones || told.kinds != names_.kinds || own.listen != accepted_.listen)
-    net::log("reload: zones, kinds and the address of clients are taken at the next start");
+  const Names& names = resolved.settings.names;
+  if (names.zones != names_.zones || names.kinds != names_.kinds || resolved.listen != accepted_.listen)
+    net::log("reload: changes of zones, kinds and the listen address take effect at the next start");
 #ifdef STREAMPICK_WITH_FLEET
-  const std::uint32_t constant = own.settings.config.routers;
-  const bool silenced = fleet_ && !own.settings.may_talk;
-  if (fleet_ && options) fleet::check_work(options->shares, own, options->file);
-  if (fleet_ && !silenced) own.settings.config.routers = fleet_->routers_with(constant);
+  const std::uint32_t configured_routers = resolved.settings.config.routers;
+  const bool leaves_fleet = fleet_ && !resolved.settings.may_talk;
+  if (fleet_ && options) fleet::check_work(options->shares, resolved, options->file);
+  if (fleet_ && !leaves_fleet) resolved.settings.config.routers = fleet_->routers_with(configured_routers);
 #endif
-  engine_->reconfigure(own.settings.config, told.classes);
+  engine_->reconfigure(resolved.settings.config, names.classes);
 #ifdef STREAMPICK_WITH_FLEET
-  if (fleet_) fleet_->set_constant(constant);
-  if (silenced) {
-    net::log("fleet: the settings forbid talk between routers now; this one left until its next start");
+  if (fleet_) fleet_->set_constant(configured_routers);
+  if (leaves_fleet) {
+    net::log(
+        "fleet: the new settings forbid messages between routers; this router leaves the fleet until its "
+        "next "
+        "start");
     fleet_->leave(false);
   }
 #endif
   names_.classes = engine_->classes().names();
-  names_.tenants = told.tenants;
+  names_.tenants = names.tenants;
 #ifdef STREAMPICK_WITH_FLEET
   if (fleet_) fleet_->set_tenants({names_.tenants, engine_->tenants()});
 #endif
   names_.keyed.clear();
   for (const std::string& name : names_.classes) {
-    const std::uint32_t place = index_of(told.classes, name);
-    names_.keyed.push_back(place != kNone && told.keyed[place]);
+    const std::uint32_t place = index_of(names.classes, name);
+    names_.keyed.push_back(place != kNone && names.keyed[place]);
   }
-  Config config = own.settings.config;
+  Config config = resolved.settings.config;
   config.classes = engine_->classes().rules();
-  load_shedder_->update(config, spared());
+  load_shedder_->update(config, protected_classes());
   resources_.connect_timeout = config.connect_timeout;
 #ifdef STREAMPICK_WITH_RESP
   if (resp_ && options && options->resp.front) {
     const resp::FrontSettings& front = options->resp.front->settings;
-    resp_->set_classes(index_of(names_.classes, told.classes[front.read_class]),
-                       index_of(names_.classes, told.classes[front.write_class]), front.write_key);
+    resp_->set_classes(index_of(names_.classes, names.classes[front.read_class]),
+                       index_of(names_.classes, names.classes[front.write_class]), front.write_key);
   }
 #endif
   accepted_.text = next.text;
@@ -293,14 +305,14 @@
   return out + transports_->summary();
 }
 
-void Host::every_ten_seconds() {
-  summary_timer_.expires_after(kSummaryEvery);
+void Host::schedule_summary() {
+  summary_timer_.expires_after(kSummaryInterval);
   summary_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     std::string text = summary();
     if (text != last_summary_) net::log(text);
     last_summary_ = std::move(text);
-    every_ten_seconds();
+    schedule_summary();
   });
 }
 
--- a/src/daemon/host.h
+++ b/src/daemon/host.h
@@ -1,5 +1,5 @@
-// Puts the router together: the engine on asio's clock, the fronts, the transports and the roster that the
-// settings ask for.
+// The router process: the engine on asio's clock, with the client-facing servers, the upstream transports and
+// the sources of endpoint lists that the settings enable.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -32,10 +32,10 @@
 
 class Host final {
  public:
-  // Throws boost::system::system_error when an address can't be listened on.
+  // Throws boost::system::system_error when the router cannot listen on an address.
   Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings);
 #ifdef STREAMPICK_WITH_OPTIONS
-  // `options` are resolved.
+  // `options` must have been through platform::resolve().
   Host(boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings,
        const platform::Options& options);
 #endif
@@ -45,65 +45,67 @@
 #endif
   ~Host();
 
-  // Goes on accepting for a little, finishes what was taken, then calls `done`.
+  // Shuts down: accepts connections for a short time, completes the open requests, then calls `done`.
   void drain(std::function<void()> done);
-  // Takes what a running router can take from a new configuration: the address of discovery, classes,
-  // tenants, attempts and what the decisions may do. One that can't be used is logged and turned down whole;
-  // returns whether it was taken.
+  // Applies those parts of a new configuration that can change while the router runs: the address of
+  // discovery, request classes, tenants, and limits on attempts and on what the decision module may do. An
+  // invalid configuration is logged and rejected as a whole. Returns whether it was applied.
   bool reload(const std::string& path);
   bool reload(const platform::NodeSettings& next);
   boost::asio::ip::tcp::endpoint address() const { return http_->address(); }
   Operators& operators() { return *operators_; }
   const engine::Counters& counts() const { return engine_->counts(); }
-  std::size_t servers() const { return engine_->servers(); }  // the most that were known at a time
+  std::size_t servers() const { return engine_->servers(); }  // the highest number known at one time
   net::UpstreamResources& upstream_resources() { return resources_; }
   const net::LoadShedder& load_shedder() const { return *load_shedder_; }
   const overload::DescriptorBudget& descriptors() const { return descriptors_; }
   std::string summary() const;
 
  private:
-  struct Bare {};
-  Host(Bare, boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings);
-  // Hears the platform's lists first: the first of them makes the router ready.
-  struct Lists final : engine::EndpointListObserver {
-    explicit Lists(Host& owner) : host(owner) {}
+  struct BaseTag {};
+  // The part that both public constructors share.
+  Host(BaseTag, boost::asio::io_context& io, net::Clock& clock, const platform::NodeSettings& settings);
+  // Receives the platform's endpoint lists and passes them on. The first list makes the router ready.
+  struct PlatformListObserver final : engine::EndpointListObserver {
+    explicit PlatformListObserver(Host& owner) : host(owner) {}
     void on_endpoint_list(const engine::EndpointList& list) override;
-    void on_discovery_failed() override { to->on_discovery_failed(); }
+    void on_discovery_failed() override { next->on_discovery_failed(); }
     Host& host;
-    engine::EndpointListObserver* to = nullptr;
+    engine::EndpointListObserver* next = nullptr;
   };
   bool reload(const std::function<platform::NodeSettings()>& load);
-  void take(const platform::NodeSettings& next);
-  void share(bool alone);
-  std::vector<bool> spared() const;
-  // `two_sources`: the platform's lists are one of two.
-  void begin(const platform::NodeSettings& settings, bool two_sources = false);
+  // Throws, without any change, when `next` is invalid.
+  void apply_settings(const platform::NodeSettings& next);
+  void set_resource_limits(bool is_only_process);
+  std::vector<bool> protected_classes() const;
+  // `has_second_source`: endpoint lists come from etcd besides the platform.
+  void start(const platform::NodeSettings& settings, bool has_second_source = false);
   void ready();
-  void every_ten_seconds();
+  void schedule_summary();
 
   boost::asio::io_context& io_;
   net::Clock& clock_;
   platform::NodeSettings accepted_;  // the configuration in use
-  Names names_;                      // classes by the engine's numbers
+  Names names_;                      // classes in the order of the engine's indices
 #ifdef STREAMPICK_WITH_OPTIONS
   std::optional<platform::Options> options_;
 #endif
   overload::DescriptorBudget descriptors_;
   net::UpstreamResources resources_;
-  std::unique_ptr<platform::ServerTransports> transports_;  // the engine has it
+  std::unique_ptr<platform::ServerTransports> transports_;  // used by the engine
   std::unique_ptr<engine::Engine> engine_;
   std::unique_ptr<discovery::Discovery> discovery_;
   std::unique_ptr<net::LoadShedder> load_shedder_;
   std::unique_ptr<http1::Server> http_;
   std::unique_ptr<Operators> operators_;
-  Lists lists_{*this};
+  PlatformListObserver platform_lists_{*this};
   bool ready_ = false;
   boost::asio::steady_timer ready_timer_;
 #ifdef STREAMPICK_WITH_RESP
   std::unique_ptr<resp::RespFront> resp_;
 #endif
 #ifdef STREAMPICK_WITH_ETCD
-  void learn_from(const etcd::Options& options, std::uint64_t seed);
+  void start_etcd_roster(const etcd::Options& options, std::uint64_t seed);
   std::unique_ptr<roster::Sources> sources_;
   std::unique_ptr<etcd::EtcdRoster> etcd_;
 #endif
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// The real router: start, signals, exit codes.
+// The router program: startup, signals and exit codes.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -23,38 +23,39 @@
 namespace {
 
 using namespace streampick;
-constexpr int kBadSettings = 2, kFailed = 1;
-/// The event loop's own descriptors are tried for so long. Sockets are tried again on the loop.
-constexpr std::chrono::seconds kLoopWithin{20};
-constexpr std::chrono::milliseconds kLoopBackoff{50};
+constexpr int kExitBadSettings = 2, kExitFailure = 1;
+/// How long the creation of the event loop is retried while file descriptors are exhausted. Sockets are
+/// retried later, on the loop.
+constexpr std::chrono::seconds kLoopCreationTimeout{20};
+constexpr std::chrono::milliseconds kLoopCreationBackoff{50};
 
-/// The event loop, with SIGHUP caught on it.
+/// The event loop, with a handler for SIGHUP.
 struct Loop {
   boost::asio::io_context io{1};
   boost::asio::signal_set reloads{io, SIGHUP};
 };
 
-/// Tries again where descriptors are short for the moment.
+/// Retries while file descriptors are exhausted.
 std::unique_ptr<Loop> make_loop() {
-  const auto give_up_at = std::chrono::steady_clock::now() + kLoopWithin;
+  const auto give_up_at = std::chrono::steady_clock::now() + kLoopCreationTimeout;
   for (;;) {
     try {
       return std::make_unique<Loop>();
     } catch (const boost::system::system_error& error) {
       if (!net::is_transient(error.code()) || std::chrono::steady_clock::now() >= give_up_at) throw;
-      net::log(std::string("event loop: ") + error.what() + "; trying again");
+      net::log(std::string("event loop: ") + error.what() + "; retrying");
     }
-    std::this_thread::sleep_for(kLoopBackoff);
+    std::this_thread::sleep_for(kLoopCreationBackoff);
   }
 }
 
-// Takes the configuration anew at each SIGHUP. One that can't be read must not end what serves: it is
-// logged and the settings in use stay.
-void reload_on(boost::asio::signal_set& reloads, const char* path, daemon::Host& host) {
+// Reloads the configuration at each SIGHUP. When it cannot be read, the error is logged and the router goes
+// on with the settings in use.
+void reload_on_signal(boost::asio::signal_set& reloads, const char* path, daemon::Host& host) {
   reloads.async_wait([&reloads, path, &host](const boost::system::error_code& error, int) {
     if (error) return;
     host.reload(path);
-    reload_on(reloads, path, host);
+    reload_on_signal(reloads, path, host);
   });
 }
 
@@ -76,32 +77,32 @@
 void serve(Loop& loop, const Start& start) {
   boost::asio::io_context& io = loop.io;
   net::Clock clock(io);
-  const auto made = make_host(io, clock, start);
-  daemon::Host& host = *made;
+  const auto owner = make_host(io, clock, start);
+  daemon::Host& host = *owner;
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-  reload_on(loop.reloads, start.path, host);
+  reload_on_signal(loop.reloads, start.path, host);
   bool done = false;
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
-    net::log("told to stop");
+    net::log("stop signal received, shutting down");
     host.drain([&] { done = true; });
   });
   while (!done) {
-    // Not run_one and then poll: that would ask the kernel once more after each batch, most often for
-    // nothing.
+    // run_one() alone, without poll(): poll() would make a second system call after each batch, which most
+    // often finds no event.
     clock.next_batch();
     io.run_one();
   }
   net::log("stopped: " + host.summary());
 }
 
-// The platform's configuration and the operator's options, checked against each other.
+// Loads the platform's configuration and the operator's options file, and checks each against the other.
 Start load(const std::string& options_path) {
   Start out;
   out.path = std::getenv("NODE_CONFIG");
   if (out.path == nullptr || *out.path == '\0') throw std::runtime_error("NODE_CONFIG is not set");
   out.settings = platform::load_settings(out.path);
-  platform::apply(platform::Environment::of_process(), out.settings);
+  platform::apply(platform::Environment::from_process(), out.settings);
 #ifdef STREAMPICK_WITH_OPTIONS
   if (!options_path.empty()) {
     out.options = platform::load_options(options_path);
@@ -118,9 +119,9 @@
 }
 
 #ifdef STREAMPICK_WITH_OPTIONS
-// Says what is on, or in one line what is wrong. Without a configuration of the platform's only the file
-// itself is looked at.
-void check(const std::string& options_path) {
+// Prints which features are enabled; throws an error of one line when the options file is invalid. Without a
+// platform configuration the options file is checked alone.
+void check_configuration(const std::string& options_path) {
   const char* config = std::getenv("NODE_CONFIG");
   platform::Options options;
   if (!options_path.empty()) options = platform::load_options(options_path);
@@ -131,17 +132,17 @@
     fleet::resolve(options.fleet, settings, options_path);
     fleet::resolve(options.shares, options.fleet, settings, options_path);
 #endif
-    std::cout << "configuration: " << config << " can be used\n";
+    std::cout << "configuration: " << config << " is valid\n";
   } else {
-    std::cout << "configuration: not looked at, NODE_CONFIG is not set\n";
+    std::cout << "configuration: not checked, NODE_CONFIG is not set\n";
   }
   std::cout << platform::describe(options);
 }
 #endif
 
-/// Runs a step of the program. Returns 0, or `code` when it fails, with the reason in one line.
+/// Runs a step of the program. Returns 0, or prints the reason in one line and returns `code` when it throws.
 template <typename Step>
-int guarded(int code, Step step) {
+int run_step(int code, Step step) {
   try {
     step();
     return 0;
@@ -159,33 +160,35 @@
   bool only_check = false;
   CLI::App app("A router for key reads and saves over a fleet of cache servers.", "streampick_router");
   app.add_option("--options", options_path, "the operator's options file (TOML)");
-  app.add_flag("--check", only_check, "say what is on, or what is wrong, and end");
+  app.add_flag("--check", only_check, "check the configuration, print which features are enabled, and exit");
   app.set_version_flag("--version", "streampick_router " STREAMPICK_VERSION);
   try {
     app.parse(argc, argv);
-  } catch (const CLI::Success& asked) {
-    return app.exit(asked);
+  } catch (const CLI::Success& success) {
+    return app.exit(success);
   } catch (const CLI::ParseError& error) {
     std::cerr << "streampick_router: " << error.what() << '\n';
-    return kBadSettings;
+    return kExitBadSettings;
   }
 #else
-  // What can't be heeded must not look as if it were.
+  // An argument that has no effect must not be accepted silently.
   if (argc > 1) {
     std::cerr << "streampick_router: " << argv[1] << ": this build takes no options (STREAMPICK_OPTIONS)\n";
-    return kBadSettings;
+    return kExitBadSettings;
   }
 #endif
   std::signal(SIGPIPE, SIG_IGN);
-  // SIGHUP would end the process: it is caught before the configuration is read, and one that comes
-  // meanwhile waits in the set, so that a file replaced just then is read all the same.
+  // SIGHUP ends a process by default. The handler is installed before the configuration is read, and a signal
+  // that arrives meanwhile stays queued in the signal set: a file that is replaced during the first read is
+  // read again.
   std::signal(SIGHUP, SIG_IGN);
 #ifdef STREAMPICK_WITH_OPTIONS
-  if (only_check) return guarded(kBadSettings, [&] { check(options_path); });
+  if (only_check) return run_step(kExitBadSettings, [&] { check_configuration(options_path); });
 #endif
   std::unique_ptr<Loop> loop;
   Start start;
-  if (const int code = guarded(kFailed, [&] { loop = make_loop(); }); code != 0) return code;
-  if (const int code = guarded(kBadSettings, [&] { start = load(options_path); }); code != 0) return code;
-  return guarded(kFailed, [&] { serve(*loop, start); });
+  if (const int code = run_step(kExitFailure, [&] { loop = make_loop(); }); code != 0) return code;
+  if (const int code = run_step(kExitBadSettings, [&] { start = load(options_path); }); code != 0)
+    return code;
+  return run_step(kExitFailure, [&] { serve(*loop, start); });
 }
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -17,13 +17,13 @@
 constexpr std::chrono::milliseconds kPollInterval{200};
 constexpr const char* kEndOfReport = "\n--\n";
 
-/// None without a folder: then nothing is shared.
+/// Null without a folder: nothing is shared.
 std::unique_ptr<takeover::SharedFolder> open_folder(const std::string& folder) {
   if (folder.empty()) return nullptr;
   return std::make_unique<takeover::SharedFolder>(folder, net::log);
 }
 
-/// The answer to a change that holds in this process.
+/// The answer to a change that this process has applied.
 std::string acknowledge(const std::string& text, const Outcome& outcome) {
   if (!outcome.not_stored) return "ACK " + text + "\n";
   return "ACK " + text + "; not stored yet, tried again: " + storage::to_string(*outcome.not_stored) + "\n";
@@ -35,13 +35,13 @@
 
 Operators::Operators(boost::asio::io_context& io, net::Clock& clock, engine::Engine& engine,
                      net::UpstreamResources& resources, const std::string& folder,
-                     std::function<void(bool alone)> alone)
+                     std::function<void(bool is_only_process)> on_presence)
     : io_(io),
       clock_(clock),
       engine_(engine),
       resources_(resources),
       store_(io, open_folder(folder), net::log, [this](const AdminOverrides& next) { apply(next); }),
-      alone_(std::move(alone)),
+      on_presence_(std::move(on_presence)),
       poll_timer_(io) {
   if (folder.empty()) return;
   presence_.emplace(folder);
@@ -60,27 +60,29 @@
 
 void Operators::poll_shared_state() {
   store_.refresh();
-  alone_(presence_->is_only_process());
+  on_presence_(presence_->is_only_process());
   poll_timer_.expires_after(kPollInterval);
   poll_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled) poll_shared_state();
   });
 }
 
-/// Tells the engine the differences.
+/// Passes the overrides that differ from the applied ones to the engine.
 void Operators::apply(const AdminOverrides& next) {
   const AdminOverrides before = std::exchange(applied_, next);
   note_first_seen(before);
   for (const auto& [id, endpoint] : applied_.endpoints()) {
     const auto found = before.endpoints().find(id);
     if (found != before.endpoints().end() && found->second == endpoint) continue;
-    net::log("cache server " + id + (endpoint.is_disabled ? " is left out by hand" : " is called back"));
+    net::log("cache server " + id +
+             (endpoint.is_disabled ? " was disabled by an operator" : " was enabled by an operator"));
     engine_.set_override(id, endpoint.is_disabled, endpoint.is_disabled ? 0 : endpoint.changed_at);
   }
   for (const auto& [id, endpoint] : before.endpoints())
     if (!applied_.endpoints().contains(id)) engine_.set_override(id, false, 0);
   if (before.is_draining() != applied_.is_draining())
-    net::log(applied_.is_draining() ? "clients are sent away" : "clients are taken again");
+    net::log(applied_.is_draining() ? "an operator started a drain of the clients"
+                                    : "an operator ended the drain of the clients");
   engine_.set_draining(applied_.is_draining());
 }
 
@@ -92,19 +94,19 @@
   }
 }
 
-AdminOverrides::Endpoints Operators::long_known() const {
-  AdminOverrides::Endpoints known;
+AdminOverrides::Endpoints Operators::past_retention() const {
+  AdminOverrides::Endpoints unchanged;
   const Time now = clock_.now();
   for (const auto& [id, endpoint] : applied_.endpoints())
-    if (now - first_seen_.at(id) > AdminOverrides::kRetention) known.emplace(id, endpoint);
-  return known;
+    if (now - first_seen_.at(id) > AdminOverrides::kRetention) unchanged.emplace(id, endpoint);
+  return unchanged;
 }
 
 void Operators::disable(const std::string& id, const Respond& respond) {
   if (engine_.is_origin(id))
     return respond("NAK " + id + " is the origin, without which nothing is answered\n");
   if (!engine_.lists_cache(id) && !applied_.is_disabled(id)) return respond(unknown_endpoint(id));
-  store_.submit({AdminChange::Kind::disable_endpoint, id, clock_.wall_time(), long_known()},
+  store_.submit({AdminChange::Kind::disable_endpoint, id, clock_.wall_time(), past_retention()},
                 [id, respond](const Outcome& outcome) {
                   if (outcome.result == ApplyResult::too_many)
                     return respond("NAK too many cache servers are left out\n");
@@ -133,7 +135,7 @@
 
 std::string Operators::health() const {
   if (!is_ready_) return "NAK no list of cache servers yet\n";
-  has_listened_ = has_listened_ || listens_();
+  has_listened_ = has_listened_ || is_listening_();
   if (!has_listened_) return "NAK the address of clients can't be opened yet\n";
   return "ACK serving\n";
 }
@@ -148,7 +150,7 @@
   metrics.hosts_down = counts.down;
   metrics.reconfig_ok = reconfig_ok_;
   metrics.reconfig_failed = reconfig_failed_;
-  if (fleet_reports_.brief) metrics.fleet = fleet_reports_.brief();
+  if (fleet_reports_.summary) metrics.fleet = fleet_reports_.summary();
   return metrics;
 }
 
--- a/src/management/command.cpp
+++ b/src/management/command.cpp
@@ -73,7 +73,7 @@
   if (end != std::string_view::npos) state_ = State::complete;
   const bool ends_with_cr = !line_.empty() && line_.back() == '\r';
   if (state_ == State::complete && ends_with_cr) line_.pop_back();
-  // A CR at the limit may still be the first half of the end.
+  // A CR at the limit may be the first half of a CR LF.
   const std::size_t max_size = state_ == State::incomplete && ends_with_cr ? kMaxSize + 1 : kMaxSize;
   if (line_.size() > max_size) state_ = State::too_long;
   return state_;
--- a/src/management/command.h
+++ b/src/management/command.h
@@ -1,4 +1,4 @@
-/// The operators' protocol, without I/O: a line put together from pieces, and the command that it holds.
+/// The management protocol, without I/O: assembles a line from pieces and parses the command in it.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +12,28 @@
 struct Command {
   enum class Kind : std::uint8_t { health, dump, offline, online, leave, join, fleet, shares };
   Kind kind = Kind::health;
-  std::string endpoint_id = {};  ///< where the command names an endpoint
+  std::string endpoint_id = {};  ///< empty when the command takes no endpoint
 };
 
-/// Why a line holds no command, in words for whoever typed it.
+/// Why a line is not a command: a message for the operator who sent it.
 struct ParseError {
   std::string message;
 };
 
-/// Parses a line without its end. Words are separated by blanks; blanks before and behind them are ignored.
+/// Parses a line without its line end. Words are separated by spaces and tabs; leading and trailing ones are
+/// ignored.
 std::variant<Command, ParseError> parse_command(std::string_view line);
 
-/// Puts a line together that arrives in pieces. It ends with LF or CR LF, or where its sender stops sending.
+/// Assembles a line that arrives in pieces. The line ends with LF, with CR LF, or where the sender stops
+/// sending.
 class LineReader {
  public:
-  static constexpr std::size_t kMaxSize = 1'024;  ///< bytes, without the line's end
+  static constexpr std::size_t kMaxSize = 1'024;  ///< bytes, without the line end
   enum class State : std::uint8_t { incomplete, complete, too_long };
 
-  /// Bytes behind the line's end are ignored.
+  /// Bytes after the line end are ignored.
   State append(std::string_view bytes);
-  /// Its sender sends no more. State::incomplete: there is no line at all.
+  /// Ends the input: the sender sends no more. State::incomplete: no line has begun.
   State finish();
   [[nodiscard]] const std::string& line() const { return line_; }
   [[nodiscard]] bool empty() const { return line_.empty(); }
--- a/src/management/command_server.cpp
+++ b/src/management/command_server.cpp
@@ -16,18 +16,18 @@
 
 namespace {
 
-constexpr milliseconds kLineTimeout{3'000};
-constexpr milliseconds kAnswerTimeout{1'000};  ///< for the handler to respond
-constexpr milliseconds kWriteTimeout{2'000};
-constexpr milliseconds kCloseTimeout{500};  ///< for the caller to close behind its answer
-/// The line of a connection that was accepted just now may be on its way.
+constexpr milliseconds kLineTimeout{3'000};    ///< from accept to the end of the line
+constexpr milliseconds kAnswerTimeout{1'000};  ///< from the command to the handler's answer
+constexpr milliseconds kWriteTimeout{2'000};   ///< from the answer until it is written
+constexpr milliseconds kCloseTimeout{500};     ///< from the written answer until the client closes
+/// From accept: the line of a new connection may still be in transit.
 constexpr milliseconds kMinAgeToEvict{50};
-constexpr std::size_t kMaxDiscarded = std::size_t{64} * 1024;  ///< bytes behind the line
+constexpr std::size_t kMaxDiscarded = std::size_t{64} * 1024;  ///< bytes after the line
 constexpr std::size_t kReadChunk = 1'024;
 
 }  // namespace
 
-/// One connection.
+/// A connection.
 class CommandServer::Session final : public std::enable_shared_from_this<Session> {
  public:
   Session(CommandServer& owner, tcp::socket socket)
@@ -36,7 +36,7 @@
     socket_.set_option(tcp::no_delay(true), ignored);
   }
 
-  /// `position`: its place among its owner's sessions.
+  /// `position`: of this session in the server's list.
   void start(Sessions::iterator position) {
     position_ = position;
     expire_after(kLineTimeout);
@@ -54,7 +54,7 @@
     release();
     owner.on_closed(position_);
   }
-  /// Closes without a word to its owner, which is going.
+  /// Closes without a notification to the server, which is being destroyed.
   void detach() {
     owner_ = nullptr;
     release();
@@ -95,7 +95,8 @@
     read();
   }
 
-  /// Behind the answer whatever still arrives is read: a close over unread bytes would take the answer back.
+  /// Reads and discards what arrives after the answer: a close with unread bytes resets the connection, and
+  /// the client might lose the answer.
   void discard(error_code error, std::size_t size) {
     discarded_ += size;
     if (error || discarded_ > kMaxDiscarded) return close();
@@ -138,7 +139,7 @@
     read();
   }
 
-  CommandServer* owner_;  ///< none once it is closed
+  CommandServer* owner_;  ///< null after close()
   tcp::socket socket_;
   asio::steady_timer timer_;
   State state_ = State::reading_line;
@@ -167,8 +168,8 @@
 
 bool CommandServer::can_accept() { return sessions_.size() < kMaxConnections || evict_one(); }
 
-/// Those that have their answer go first, then those that have sent nothing, then those that have sent half a
-/// line; the oldest first.
+/// Order of eviction: connections that have their answer, then those that have sent nothing, then those that
+/// have sent part of a line; the oldest first in each group.
 bool CommandServer::evict_one() {
   if (evict_first_of([](const Session& session) { return session.is_answered(); })) return true;
   if (evict_first_of(
@@ -182,7 +183,7 @@
   for (const auto& entry : sessions_) {
     if (!may_be_evicted(*entry)) continue;
     ++counts_.evicted;
-    const std::shared_ptr<Session> session = entry;  // the list lets go of it
+    const std::shared_ptr<Session> session = entry;  // close() removes it from the list
     session->close();
     return true;
   }
--- a/src/management/command_server.h
+++ b/src/management/command_server.h
@@ -1,8 +1,9 @@
-/// The operators' address: one line to a connection, one answer, and the end.
+/// The server at the management address: each connection carries one command line and one answer, then
+/// closes.
 ///
-/// It must answer under any load, and beside callers that hold a connection and say nothing. So the number of
-/// connections is bounded, each has its deadlines, and where none is left the one that has been idle for
-/// longest is evicted. For one thread, that of the event loop.
+/// The server must answer under any load, also while other clients hold connections open and send nothing.
+/// The number of connections is therefore limited, each connection has deadlines, and when the limit is
+/// reached an idle connection is evicted, the oldest first. Used only on the event loop's thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,19 +21,19 @@
 
 class CommandServer final : private net::Listener::Handler {
  public:
-  /// Takes the whole answer, with the ends of its lines; called once, at once or within 1 s.
+  /// Takes the whole answer, line ends included. The handler must call it once, within 1 s.
   using Respond = std::function<void(std::string)>;
   using Handler = std::function<void(const Command&, Respond)>;
   struct Counts {
     std::uint64_t accepted = 0;   ///< connections
     std::uint64_t answered = 0;   ///< commands
-    std::uint64_t malformed = 0;  ///< lines that hold no command
-    std::uint64_t evicted = 0;    ///< connections that gave their place to another
-    std::uint64_t timed_out = 0;  ///< connections whose deadline passed
+    std::uint64_t malformed = 0;  ///< lines without a valid command
+    std::uint64_t evicted = 0;    ///< connections closed to make room for others
+    std::uint64_t timed_out = 0;  ///< connections closed at a deadline
   };
   static constexpr std::size_t kMaxConnections = 12;
 
-  /// Throws boost::system::system_error when the address can't be listened on.
+  /// Throws boost::system::system_error when it cannot listen on `address`.
   CommandServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Handler handler);
   ~CommandServer() override;
   CommandServer(const CommandServer&) = delete;
@@ -55,7 +56,7 @@
 
   Handler handler_;
   net::Listener listener_;
-  Sessions sessions_;  ///< in the order they were accepted
+  Sessions sessions_;  ///< in the order of acceptance
   Counts counts_;
 };
 
--- a/src/management/metrics.cpp
+++ b/src/management/metrics.cpp
@@ -25,7 +25,7 @@
                            {"reconfig_ok", metrics.reconfig_ok},
                            {"reconfig_failed", metrics.reconfig_failed}};
   if (!metrics.fleet.empty()) document["fleet"] = ordered_json::parse(metrics.fleet);
-  // Names of classes come from a file: bytes in them that are no UTF-8 must not stop the metrics.
+  // Class names come from a file: bytes that are not UTF-8 are replaced, so that the metrics stay available.
   return document.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
--- a/src/options/table.cpp
+++ b/src/options/table.cpp
@@ -16,7 +16,7 @@
   return text;
 }
 
-std::string plain(double value) {
+std::string to_text(double value) {
   char out[32];
   return {out, std::to_chars(out, out + sizeof out, value).ptr};
 }
@@ -27,14 +27,14 @@
   std::shared_ptr<const toml::table> root;  // keeps `table` alive
   const toml::table* table = nullptr;
   std::string path, file;
-  std::set<std::string> asked;
+  std::set<std::string> read_keys;
 
   const toml::node* find(std::string_view key) {
-    asked.emplace(key);
+    read_keys.emplace(key);
     return table->get(key);
   }
-  std::unique_ptr<Impl> inner(const toml::table& of, std::string of_path) const {
-    return std::make_unique<Impl>(Impl{root, &of, std::move(of_path), file, {}});
+  std::unique_ptr<Impl> inner(const toml::table& child, std::string child_path) const {
+    return std::make_unique<Impl>(Impl{root, &child, std::move(child_path), file, {}});
   }
 };
 
@@ -56,9 +56,9 @@
 void Table::wrong(std::string_view key, const std::string& why) const {
   const toml::node* node = key.empty() ? nullptr : impl_->table->get(key);
   const auto line = node != nullptr ? node->source().begin.line : impl_->table->source().begin.line;
-  std::string where = impl_->path;
-  if (!key.empty()) where += (where.empty() ? "" : ".") + std::string(key);
-  throw Error(impl_->file + ":" + std::to_string(line) + ": " + where + ": " + why);
+  std::string full_path = impl_->path;
+  if (!key.empty()) full_path += (full_path.empty() ? "" : ".") + std::string(key);
+  throw Error(impl_->file + ":" + std::to_string(line) + ": " + full_path + ": " + why);
 }
 
 std::optional<std::int64_t> Table::whole(std::string_view key, std::int64_t least, std::int64_t most) {
@@ -75,7 +75,7 @@
   if (node == nullptr) return;
   const auto value = node->value<double>();
   if (!node->is_number() || !value || !(*value >= least && *value <= most))
-    wrong(key, "expected a number from " + plain(least) + " to " + plain(most));
+    wrong(key, "expected a number from " + to_text(least) + " to " + to_text(most));
   out = *value;
 }
 
@@ -133,7 +133,7 @@
 
 void Table::no_others() const {
   for (const auto& [key, node] : *impl_->table)
-    if (!impl_->asked.contains(std::string(key.str()))) wrong(key.str(), "there is no such key");
+    if (!impl_->read_keys.contains(std::string(key.str()))) wrong(key.str(), "there is no such key");
 }
 
 }  // namespace streampick::options
--- a/src/options/table.h
+++ b/src/options/table.h
@@ -1,5 +1,5 @@
-// One table of the operator's options file (TOML), read by the subsystem that it belongs to. Every mistake is
-// an Error of one line that names the file, the line and the key; so is a key that nobody asked for.
+// One table of the operator's options file (TOML), read by the subsystem that it belongs to. An invalid value
+// or an unknown key is an Error with a message of one line that names the file, the line and the key.
 #pragma once
 
 #include <cstddef>
@@ -20,29 +20,31 @@
 
 class Table {
  public:
-  // The whole of a file's text; `file` is its name, for mistakes. Throws Error when it is no TOML.
+  // Parses the text of a whole file; `file` is its name, for error messages. Throws Error when the text is
+  // not TOML.
   static Table parse(const std::string& text, const std::string& file);
 
   Table(Table&&) noexcept;
   ~Table();
 
-  // A whole number of `least` to `most`, times `unit`. What the file does not name stays as it was.
+  // Reads an integer from `least` to `most` and multiplies it by `unit`. This and the functions below leave
+  // `out` unchanged when the file does not contain the key.
   template <typename Integer>
   void integer(std::string_view key, Integer& out, std::int64_t least, std::int64_t most,
                std::int64_t unit = 1) {
     if (const auto value = whole(key, least, most)) out = static_cast<Integer>(*value * unit);
   }
-  // A number, with decimals or without, of `least` to `most`.
+  // Reads an integer or a floating-point number from `least` to `most`.
   void number(std::string_view key, double& out, double least, double most);
   void yes(std::string_view key, bool& out);
-  // Returns whether the file names it.
+  // Reads a string of at most `most` bytes. Returns whether the file contains the key.
   bool text(std::string_view key, std::string& out, std::size_t most = 256);
   void texts(std::string_view key, std::vector<std::string>& out);
   std::optional<Table> table(std::string_view key);
   std::vector<Table> tables(std::string_view key);
-  // A key that nothing reads would be taken for set when it is not.
+  // Throws for a key that no function has read: an operator would believe that it has an effect.
   void no_others() const;
-  // Throws the mistake; an empty key: of the table itself.
+  // Throws an Error about the key, or about the table itself when the key is empty.
   [[noreturn]] void wrong(std::string_view key, const std::string& why) const;
 
  private:
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -22,9 +22,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kOtherDescriptors = 32;  // standard streams, listeners, discovery, the event loop's
-constexpr std::size_t kLeastDescriptors = 64;
-constexpr std::size_t kSocketsUnlessTold = 1024, kMemoryMbUnlessTold = 32;
+// Descriptors of standard streams, listeners, discovery and the event loop.
+constexpr std::size_t kReservedDescriptors = 32;
+constexpr std::size_t kMinDescriptors = 64;
+constexpr std::size_t kDefaultSockets = 1024, kDefaultMemoryMb = 32;
 
 net::tcp::endpoint endpoint(const JsonValue& config, const char* key) {
   const char* const expected = "an address and a port, as 10.0.0.4:3000";
@@ -33,9 +34,9 @@
   value.wrong(expected);
 }
 
-std::string plain(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
+std::string to_text(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-// Nested JSON to the dotted paths that both hosts' settings are read from.
+// Flattens nested JSON to the dotted paths that read_settings() takes.
 void flatten(const std::string& path, const json& value, SettingValues& out) {
   if (value.is_object()) {
     for (const auto& [name, inner] : value.items())
@@ -47,10 +48,10 @@
     std::string& joined = out[path];
     for (const json& item : value) {
       if (!joined.empty()) joined += ',';
-      joined += plain(item);
+      joined += to_text(item);
     }
   } else if (!value.is_null()) {
-    out[path] = plain(value);
+    out[path] = to_text(value);
   }
 }
 
@@ -60,29 +61,30 @@
   return hash_name(value.text("a text"));
 }
 
-// Profiles.0.AimUs, as the settings are flattened, to settings.Profiles[0].AimUs, as they stand in the file.
-std::string told(const SettingsError& error) {
+// The error's message with the key's path in the file, settings.Profiles[0].AimUs, in place of the flattened
+// path, Profiles.0.AimUs.
+std::string message_with_file_path(const SettingsError& error) {
   const std::string_view path = error.path();
   std::string out = "settings";
   for (std::size_t at = 0; at <= path.size();) {
     const std::size_t end = std::min(path.find('.', at), path.size());
     const std::string part(path.substr(at, end - at));
-    const bool number = !part.empty() && part.find_first_not_of("0123456789") == std::string::npos;
-    out += number ? "[" + part + "]" : "." + part;
+    const bool is_index = !part.empty() && part.find_first_not_of("0123456789") == std::string::npos;
+    out += is_index ? "[" + part + "]" : "." + part;
     at = end + 1;
   }
   return out + std::string(error.what()).substr(path.size());
 }
 
-Settings read_part(const JsonValue& part) {
+Settings parse_settings_object(const JsonValue& object) {
   SettingValues values;
-  flatten("", part.object("an object with the settings").json(), values);
+  flatten("", object.object("an object with the settings").json(), values);
   try {
     Settings out = read_settings(values);
     check_usable(values, out);
     return out;
   } catch (const SettingsError& error) {
-    throw std::runtime_error(told(error));
+    throw std::runtime_error(message_with_file_path(error));
   }
 }
 
@@ -90,7 +92,7 @@
 
 overload::DescriptorBudget::Limits descriptor_limits(const NodeSettings& settings) {
   return overload::DescriptorBudget::Limits::from_shares(
-      std::max(settings.sockets, kLeastDescriptors) - kOtherDescriptors, settings.overload);
+      std::max(settings.sockets, kMinDescriptors) - kReservedDescriptors, settings.overload);
 }
 
 NodeSettings parse_settings(const std::string& text) {
@@ -99,15 +101,15 @@
   config.object("an object with the keys settings, listen and discovery");
   NodeSettings out;
   out.text = text;
-  out.settings = read_part(config.at("settings", "an object with the settings"));
+  out.settings = parse_settings_object(config.at("settings", "an object with the settings"));
   validate(out.settings.config);
   if (const auto name = config.find("name")) out.name = name->text("a text");
   out.listen = endpoint(config, "listen");
   out.discovery = endpoint(config, "discovery");
   if (config.find("management")) out.management = endpoint(config, "management");
   if (const auto seed = config.find("seed")) out.settings.seed = parse_seed(*seed);
-  out.sockets = kSocketsUnlessTold;
-  out.memory_mb = kMemoryMbUnlessTold;
+  out.sockets = kDefaultSockets;
+  out.memory_mb = kDefaultMemoryMb;
   if (const auto limits = config.find("limits")) {
     if (const auto cores = limits->find("cores")) out.cores = cores->number(1e-3, 1e6, "a number above 0");
     if (const auto memory = limits->find("memory_mb")) out.memory_mb = memory->whole(1, 1U << 30U);
@@ -118,46 +120,46 @@
   return out;
 }
 
-Environment Environment::of_process() {
-  const auto told = [](const char* name) {
+Environment Environment::from_process() {
+  const auto value_of = [](const char* name) {
     const char* value = std::getenv(name);
     return std::string(value != nullptr ? value : "");
   };
-  return {told("NODE_MANAGEMENT"), told("NODE_PASSED_SOCKET"), told("TMPDIR")};
+  return {value_of("NODE_MANAGEMENT"), value_of("NODE_PASSED_SOCKET"), value_of("TMPDIR")};
 }
 
 void apply(const Environment& environment, NodeSettings& settings) {
   if (!environment.management.empty()) {
     settings.management = net::parse_endpoint(environment.management);
     if (!settings.management)
-      throw std::runtime_error("NODE_MANAGEMENT: there is '" + environment.management.substr(0, 60) +
-                               "', expected an address and a port, as 10.0.0.4:15000");
+      throw std::runtime_error("NODE_MANAGEMENT: found '" + environment.management.substr(0, 60) +
+                               "', expected an address and a port, such as 10.0.0.4:15000");
   }
   settings.scratch = environment.scratch;
   const std::string& passed = environment.passed_socket;
   if (passed.empty()) return;
   int number = -1;
-  const auto read = std::from_chars(passed.data(), passed.data() + passed.size(), number);
-  const auto wrong = [&](const std::string& why) {
-    throw std::runtime_error("NODE_PASSED_SOCKET: there is '" + passed.substr(0, 60) + "', " + why);
+  const auto parsed = std::from_chars(passed.data(), passed.data() + passed.size(), number);
+  const auto reject = [&](const std::string& reason) {
+    throw std::runtime_error("NODE_PASSED_SOCKET: found '" + passed.substr(0, 60) + "', " + reason);
   };
-  if (read.ec != std::errc{} || read.ptr != passed.data() + passed.size() || number < 3)
-    wrong("expected the number of an open descriptor from 3 on");
-  int listens = 0;
-  socklen_t size = sizeof listens;
-  if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0)
-    wrong("which is no listening socket");
+  if (parsed.ec != std::errc{} || parsed.ptr != passed.data() + passed.size() || number < 3)
+    reject("expected the number of an open file descriptor, 3 or more");
+  int is_listening = 0;
+  socklen_t size = sizeof is_listening;
+  if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) != 0 || is_listening == 0)
+    reject("which is not a listening socket");
   sockaddr_storage address{};
   size = sizeof address;
-  net::tcp::endpoint at;
-  if (::getsockname(number, reinterpret_cast<sockaddr*>(&address), &size) != 0 || size > at.capacity())
-    wrong("whose address can't be had");
-  std::memcpy(at.data(), &address, size);
-  at.resize(size);
-  if (at.port() != settings.listen.port() ||
-      (at.address() != settings.listen.address() && !at.address().is_unspecified()))
-    wrong("which listens on " + at.address().to_string() + ":" + std::to_string(at.port()) +
-          " and not on the address of listen");
+  net::tcp::endpoint bound;
+  if (::getsockname(number, reinterpret_cast<sockaddr*>(&address), &size) != 0 || size > bound.capacity())
+    reject("whose address cannot be determined");
+  std::memcpy(bound.data(), &address, size);
+  bound.resize(size);
+  if (bound.port() != settings.listen.port() ||
+      (bound.address() != settings.listen.address() && !bound.address().is_unspecified()))
+    reject("which listens on " + bound.address().to_string() + ":" + std::to_string(bound.port()) +
+           " and not on the address of the key listen");
   settings.passed_socket = number;
 }
 
@@ -172,9 +174,9 @@
     if (accepted != nullptr) require_shape(parse_json(accepted->text), parse_json(text));
     return out;
   } catch (const std::exception& error) {
-    std::string what = error.what();
-    std::replace(what.begin(), what.end(), '\n', ' ');
-    throw std::runtime_error("bad configuration '" + path + "': " + what);
+    std::string message = error.what();
+    std::replace(message.begin(), message.end(), '\n', ' ');
+    throw std::runtime_error("invalid configuration '" + path + "': " + message);
   }
 }
 
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -1,4 +1,4 @@
-// What the platform tells this router, read once at the start.
+// The configuration that the platform gives this router: a JSON file and environment variables.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,32 +17,34 @@
   Settings settings;
   std::string name;
   boost::asio::ip::tcp::endpoint listen, discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> management;  // the operators'; none: nothing listens
-  int passed_socket = -1;   // the clients' listening socket, that the platform holds; -1: we make our own
-  std::string scratch;      // a folder that the process after us finds as we left it; empty: there is none
-  std::size_t sockets = 0;  // file descriptors this process may hold
+  std::optional<boost::asio::ip::tcp::endpoint>
+      management;  // of the management server; none: there is no such server
+  int passed_socket =
+      -1;  // descriptor of the listening socket that the platform passed; -1: the router opens one
+  std::string scratch;      // folder that this router's processes share, also one after another; empty: none
+  std::size_t sockets = 0;  // file descriptors that this process may open
   std::size_t memory_mb = 0;
-  double cores = 1;  // of the processor, at most
+  double cores = 1;  // processor cores that this process may use
   engine::EndpointList known;
-  overload::Settings overload;  // the operator's
-  std::string text;             // all of it, as it was read
+  overload::Settings overload;  // from the operator's options file
+  std::string text;             // the file as it was read
 };
 
-// The descriptors that connections may have, of clients and to servers: all but those of standard streams,
-// listeners, discovery and the loop.
+// The number of descriptors for upstream and downstream connections: all but those of standard streams,
+// listeners, discovery and the event loop.
 overload::DescriptorBudget::Limits descriptor_limits(const NodeSettings& settings);
 
-// What the environment says, which is this process's own: it goes before the file, which may be shared with
-// the process that is to be replaced.
+// The configuration in environment variables. It is of this process alone, and takes precedence over the
+// file, which the process that is replaced may read as well.
 struct Environment {
-  std::string management, passed_socket, scratch;  // empty: not told
-  static Environment of_process();
+  std::string management, passed_socket, scratch;  // empty: not set
+  static Environment from_process();
 };
 void apply(const Environment& environment, NodeSettings& settings);
 
-// All throw std::runtime_error with one line that says what is wrong.
+// All throw std::runtime_error with a message of one line.
 NodeSettings load_settings(const std::string& path);
-// What is to replace `accepted`: it must also have all that this one has.
+// Loads a configuration that is to replace `accepted`: it must hold all keys that `accepted` holds.
 NodeSettings load_settings(const std::string& path, const NodeSettings& accepted);
 NodeSettings parse_settings(const std::string& json);
 
--- a/src/platform/options.cpp
+++ b/src/platform/options.cpp
@@ -14,7 +14,7 @@
   out.file = path;
   options::Table root = options::Table::parse(text, path);
   if (auto table = root.table("overload")) out.overload = overload::read_options(std::move(*table));
-  // Of programs with stubs on a routed channel; one file may serve all of a machine.
+  // Used by programs with gRPC stubs, not by the router: all programs of a machine may share one file.
   if (auto grpc = root.table("grpc")) out.grpc = rpc::read_options(std::move(*grpc));
   if (auto roster = root.table("roster")) {
     if (auto etcd = roster->table("etcd")) out.etcd = etcd::read_options(std::move(*etcd));
@@ -33,7 +33,7 @@
 
 Options load_options(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw options::Error(path + ": it can't be read");
+  if (!file) throw options::Error(path + ": cannot be read");
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   return parse_options(text, path);
 }
@@ -43,14 +43,16 @@
   for (const rpc::Route& route : options.grpc.routes) {
     const std::uint32_t found = index_of(node.settings.names.classes, route.request_class);
     if (found == kNone)
-      throw options::Error(options.file + ": grpc.route: the platform has no class " + route.request_class);
+      throw options::Error(options.file + ": grpc.route: the platform's configuration has no class " +
+                           route.request_class);
     if ((node.settings.config.classes[found].effect == Effect::safe) == route.save)
       throw options::Error(options.file + ": grpc.route: " + route.method + ": the class " +
                            route.request_class + (route.save ? " is for reads" : " is not for reads"));
   }
   for (const std::string& name : options.overload.protected_classes)
     if (index_of(node.settings.names.classes, name) == kNone)
-      throw options::Error(options.file + ": overload.spared: the platform has no class " + name);
+      throw options::Error(options.file + ": overload.spared: the platform's configuration has no class " +
+                           name);
 #ifdef STREAMPICK_WITH_RESP
   const auto limits = descriptor_limits(node);
   resp::resolve(options.resp, node.settings, options.file, limits.total - limits.upstream_minimum);
--- a/src/platform/options.h
+++ b/src/platform/options.h
@@ -1,5 +1,5 @@
-// The operator's options file: what the platform's configuration has no place for. Everything in it is off
-// unless the file turns it on. Each subsystem reads its own section; they are joined here.
+// The operator's options file: settings that the platform's configuration does not provide. Its features are
+// off unless the file enables them. Each subsystem reads a section of its own; Options holds them all.
 #pragma once
 
 #include <string>
@@ -22,7 +22,7 @@
 struct Options {
   std::string file;
   overload::Settings overload;
-  rpc::Options grpc;  // checked only
+  rpc::Options grpc;  // only validated: the router process does not use it
   etcd::Options etcd;
 #ifdef STREAMPICK_WITH_FLEET
   fleet::Options fleet;
@@ -36,11 +36,11 @@
 // Throw options::Error.
 Options load_options(const std::string& path);
 Options parse_options(const std::string& toml, const std::string& path);
-// Checks the options against the platform's configuration, and fills in what only that tells.
-// The settings take what of the options is theirs. [fleet] is the daemon's: fleet::resolve.
+// Checks the options against the platform's configuration. Completes each with the values that the other
+// provides. The daemon resolves [fleet] and [shares] itself, with fleet::resolve().
 void resolve(Options& options, NodeSettings& settings);
 
-// What is on, a line each.
+// A line for each feature that is enabled.
 std::string describe(const Options& options);
 
 }  // namespace streampick::platform
--- a/src/platform/transports.cpp
+++ b/src/platform/transports.cpp
@@ -21,18 +21,18 @@
   const Config& config = settings.settings.config;
   if (config.cache_aside) origin_kind_ = config.origin_kind;
 #endif
-  as_servers_have_it(options, settings.settings);
+  mark_unsafe_classes(options, settings.settings);
 }
 
-void ServerTransports::as_servers_have_it([[maybe_unused]] const Options& options,
-                                          [[maybe_unused]] Settings& settings) {
+void ServerTransports::mark_unsafe_classes([[maybe_unused]] const Options& options,
+                                           [[maybe_unused]] Settings& settings) {
 #ifdef STREAMPICK_WITH_RESP
   if (!resp::repeats_run_twice(options.resp, settings)) return;
   net::log(
-      "keyed classes count as unsafe: the servers that take writes are not told keys "
+      "keyed classes count as unsafe: the servers that execute writes do not receive idempotency keys "
       "(resp.servers.send_ids)");
-  for (RequestClass& kind : settings.config.classes)
-    if (kind.effect == Effect::keyed) kind.effect = Effect::unsafe;
+  for (RequestClass& request_class : settings.config.classes)
+    if (request_class.effect == Effect::keyed) request_class.effect = Effect::unsafe;
 #endif
 }
 #endif
--- a/src/platform/transports.h
+++ b/src/platform/transports.h
@@ -1,4 +1,4 @@
-// The transports to servers that the settings ask for: the same choice for the daemon and the client library.
+// Creates the upstream transports that the settings select, for the daemon and for the client library.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,20 +17,19 @@
 
 class ServerTransports final : public engine::UpstreamFactory {
  public:
-  // All but the settings outlive it. report_to() comes before the first make().
+  // `io`, `time` and `resources` must outlive this object. Call report_to() before the first make().
   ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                    const NodeSettings& settings);
 #ifdef STREAMPICK_WITH_OPTIONS
-  // `options` are resolved. Classes whose repeats would run twice at the servers that take them count as
-  // unsafe in `settings` from then on.
+  // `options` must be resolved. Applies mark_unsafe_classes() to `settings`.
   ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                    NodeSettings& settings, const Options& options);
-  // The same, of settings that come later.
-  static void as_servers_have_it(const Options& options, Settings& settings);
+  // Marks keyed classes as unsafe where their servers would run a retry a second time.
+  static void mark_unsafe_classes(const Options& options, Settings& settings);
 #endif
   void report_to(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
   std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override;
-  std::string summary() const;  // for the log; empty where there is nothing to say
+  std::string summary() const;  // for the log; may be empty
 #ifdef STREAMPICK_WITH_RESP
   const resp::ServerCounts& resp() const { return resp_counts_; }
 #endif
--- a/src/settings/json_value.cpp
+++ b/src/settings/json_value.cpp
@@ -7,26 +7,26 @@
 namespace streampick {
 namespace {
 
-constexpr std::size_t kShown = 60;  // bytes of what was found
+constexpr std::size_t kMaxShownSize = 60;  // bytes of the value found
 
-// A value as it is told: short, in one line, readable.
-std::string shown(const nlohmann::json& value) {
+// The value for an error message: short and in one line.
+std::string describe(const nlohmann::json& value) {
   using nlohmann::json;
   if (value.is_object()) return value.empty() ? "an empty object" : "an object";
   if (value.is_array()) return value.empty() ? "an empty list" : "a list";
   std::string out = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (out.size() > kShown) out = out.substr(0, kShown) + "...";
+  if (out.size() > kMaxShownSize) out = out.substr(0, kMaxShownSize) + "...";
   return out;
 }
 
-std::string told(const std::string& path, const std::string& found, const std::string& expected) {
+std::string error_message(const std::string& path, const std::string& found, const std::string& expected) {
   return (path.empty() ? "the document" : path) + ": " + found + ", expected " + expected;
 }
 
 }  // namespace
 
 JsonError::JsonError(const std::string& path, const std::string& found, const std::string& expected)
-    : std::runtime_error(told(path, found, expected)) {}
+    : std::runtime_error(error_message(path, found, expected)) {}
 
 nlohmann::json parse_json(const std::string& text) {
   try {
@@ -85,7 +85,7 @@
 double JsonValue::number(double least, double most, const char* expected) const {
   if (!value_->is_number()) wrong(expected);
   const double out = value_->get<double>();
-  if (!(out >= least && out <= most)) wrong(expected);  // written so that NaN is wrong too
+  if (!(out >= least && out <= most)) wrong(expected);  // written so that NaN is rejected too
   return out;
 }
 
@@ -94,7 +94,7 @@
       "a whole number from " + std::to_string(least) +
       (most == std::numeric_limits<std::uint64_t>::max() ? " on" : " to " + std::to_string(most));
   if (value_->is_number_float()) {
-    // Some writers put a point into every number.
+    // Some JSON writers print every number with a decimal point.
     const double given = value_->get<double>();
     if (!(given >= static_cast<double>(least) && given <= 9e15) || given != std::floor(given))
       wrong(expected);
@@ -108,7 +108,7 @@
 }
 
 void JsonValue::wrong(const std::string& expected) const {
-  throw JsonError(path_, "there is " + shown(*value_), expected);
+  throw JsonError(path_, "there is " + describe(*value_), expected);
 }
 
 }  // namespace streampick
--- a/src/settings/json_value.h
+++ b/src/settings/json_value.h
@@ -1,5 +1,5 @@
-// A value of a JSON document that knows where it stands, so that every mistake is told in one line: the key's
-// path, what stands there and what was expected. For the platform's configuration and lists of servers.
+// A value of a JSON document together with its path, so that an error message of one line can name the path,
+// the value found and the value expected. Used for the platform's configuration and for lists of servers.
 #pragma once
 
 #include <cstdint>
@@ -19,16 +19,17 @@
   JsonError(const std::string& path, const std::string& found, const std::string& expected);
 };
 
-// Throws JsonError when `text` is no JSON.
+// Throws JsonError when `text` is not JSON.
 nlohmann::json parse_json(const std::string& text);
 
-// A view: the document outlives it. All that read throw JsonError when the value is not what is asked for.
+// A view: the document must outlive it. The functions that read throw JsonError when the value has another
+// type than the function returns or is out of range.
 class JsonValue {
  public:
   explicit JsonValue(const nlohmann::json& value, std::string path = {})
       : value_(&value), path_(std::move(path)) {}
 
-  // Of an object. A key that is not there, or is null, is an error of at(), and nothing to find().
+  // The member `key` of an object. When it is missing or null, at() throws and find() returns nothing.
   JsonValue at(std::string_view key, const char* expected) const;
   std::optional<JsonValue> find(std::string_view key) const;
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -7,7 +7,7 @@
 namespace streampick {
 namespace {
 
-constexpr Time kLongestTime = 86'400'000'000;  // us
+constexpr Time kMaxClassTime = 86'400'000'000;  // us: a day
 
 std::vector<std::string> split(std::string_view text, char separator) {
   std::vector<std::string> parts;
@@ -20,17 +20,17 @@
   return parts;
 }
 
-class Pairs {
+class SettingReader {
  public:
-  explicit Pairs(const SettingValues& values) : values_(values) {}
+  explicit SettingReader(const SettingValues& values) : values_(values) {}
 
   std::string_view text(const std::string& path, const char* expected = "a text") const {
     const auto found = values_.find(path);
     if (found != values_.end()) return found->second;
-    if (has_inner(path)) reject(path, "an object or a list of them", expected);
+    if (has_members(path)) reject(path, "an object or a list of them", expected);
     return {};
   }
-  // A number of `least` to `most`.
+  // A number from `least` to `most`.
   double number(const std::string& path, double absent, double least = 0,
                 double most = std::numeric_limits<double>::max()) const {
     const std::string expected = "a number" + bounds(least, most);
@@ -61,14 +61,14 @@
     if (value == "false" || value == "0") return false;
     reject(path, value, "true or false");
   }
-  // A plain value where others stand below would hide them all.
-  void group(const std::string& path) const {
+  // Rejects a scalar where an object is expected: its members would be ignored without an error.
+  void require_object(const std::string& path) const {
     const auto found = values_.find(path);
     if (found != values_.end() && !found->second.empty() && found->second != "-")
       reject(path, found->second, "an object");
   }
   // The length of a list of objects.
-  std::uint32_t list(const std::string& path) const {
+  std::uint32_t list_length(const std::string& path) const {
     const auto found = values_.find(path);
     if (found != values_.end() && !found->second.empty() && found->second != "-")
       reject(path, found->second, "a list of objects");
@@ -80,29 +80,29 @@
   }
 
  private:
-  static std::string plain(double value) {
+  static std::string to_text(double value) {
     char out[32];
     return {out, std::to_chars(out, out + sizeof out, value).ptr};
   }
   static std::string bounds(double least, double most) {
-    if (most >= 1e9) return " of " + plain(least) + " or more";
-    return " from " + plain(least) + " to " + plain(most);
+    if (most >= 1e9) return " of " + to_text(least) + " or more";
+    return " from " + to_text(least) + " to " + to_text(most);
   }
-  bool has_inner(const std::string& path) const {
+  bool has_members(const std::string& path) const {
     const auto next = values_.lower_bound(path + ".");
     return next != values_.end() && next->first.rfind(path + ".", 0) == 0;
   }
   const SettingValues& values_;
 };
 
-RequestClass read_class(const Pairs& pairs, const std::string& at) {
+RequestClass read_class(const SettingReader& reader, const std::string& prefix) {
   RequestClass out;
-  out.latency_objective = pairs.integer<Time>(at + "AimUs", 0);
-  out.deadline = pairs.integer<Time>(at + "HardLimitUs", 0);
-  out.priority_weight = pairs.number(at + "Worth", 1);
-  out.idempotency_window = pairs.integer<Time>(at + "WindowUs", 0);
+  out.latency_objective = reader.integer<Time>(prefix + "AimUs", 0);
+  out.deadline = reader.integer<Time>(prefix + "HardLimitUs", 0);
+  out.priority_weight = reader.number(prefix + "Worth", 1);
+  out.idempotency_window = reader.integer<Time>(prefix + "WindowUs", 0);
   const char* const effects = "safe, keyed or unsafe";
-  const std::string_view effect = pairs.text(at + "Effect", effects);
+  const std::string_view effect = reader.text(prefix + "Effect", effects);
   if (effect == "safe") {
     out.effect = Effect::safe;
   } else if (effect == "keyed") {
@@ -110,16 +110,16 @@
   } else if (effect == "unsafe") {
     out.effect = Effect::unsafe;
   } else {
-    pairs.reject(at + "Effect", effect, effects);
+    reader.reject(prefix + "Effect", effect, effects);
   }
   const char* const groups = "all, zone or cell";
-  const std::string_view group = pairs.text(at + "Group", groups);
+  const std::string_view group = reader.text(prefix + "Group", groups);
   if (group == "zone") {
     out.group = Group::zone;
   } else if (group == "cell") {
     out.group = Group::cell;
   } else if (!group.empty() && group != "all" && group != "-") {
-    pairs.reject(at + "Group", group, groups);
+    reader.reject(prefix + "Group", group, groups);
   }
   return out;
 }
@@ -150,70 +150,71 @@
 
 Settings read_settings(const SettingValues& values) {
   Settings out;
-  const Pairs pairs(values);
+  const SettingReader reader(values);
   Names& names = out.names;
-  for (const char* parent : {"FamilyInfo", "PolicyLimits", "Costs", "Guarantees"}) pairs.group(parent);
-  names.zones = split(pairs.text("Zones"), ',');
-  names.kinds = split(pairs.text("Shapes"), ',');
+  for (const char* parent : {"FamilyInfo", "PolicyLimits", "Costs", "Guarantees"})
+    reader.require_object(parent);
+  names.zones = split(reader.text("Zones"), ',');
+  names.kinds = split(reader.text("Shapes"), ',');
 
   Config& config = out.config;
-  config.zone = index_of(names.zones, pairs.text("Az"));
-  config.cache_aside = pairs.text("FamilyInfo.Mode") == "aside";
-  const double origin = pairs.number("FamilyInfo.OriginKind", -1, -1, 1e9);
+  config.zone = index_of(names.zones, reader.text("Az"));
+  config.cache_aside = reader.text("FamilyInfo.Mode") == "aside";
+  const double origin = reader.number("FamilyInfo.OriginKind", -1, -1, 1e9);
   if (origin >= 0) config.origin_kind = static_cast<std::uint32_t>(origin);
-  config.routers = std::max(1U, pairs.integer<std::uint32_t>("Balancers", 1));
-  config.max_attempts = std::max(1U, pairs.integer<std::uint32_t>("PolicyLimits.MaxAttempts", 1));
-  config.can_cancel = pairs.yes("PolicyLimits.Cancelling");
-  config.can_hedge = pairs.yes("PolicyLimits.SecondCopies");
+  config.routers = std::max(1U, reader.integer<std::uint32_t>("Balancers", 1));
+  config.max_attempts = std::max(1U, reader.integer<std::uint32_t>("PolicyLimits.MaxAttempts", 1));
+  config.can_cancel = reader.yes("PolicyLimits.Cancelling");
+  config.can_hedge = reader.yes("PolicyLimits.SecondCopies");
   config.max_retry_after =
-      pairs.yes("PolicyLimits.RetryAfter") ? pairs.integer<Time>("PolicyLimits.MaxRetryAfterUs", 0) : 0;
-  config.connect_timeout = pairs.integer<Time>("PolicyLimits.DialTimeoutUs", 0);
-  config.keep_alive = pairs.integer<Time>("PolicyLimits.KeepaliveUs", 0);
-  config.connection_cost = pairs.number("Costs.Connection", 0);
-  config.handshake_cost = pairs.number("Costs.Handshake", 0);
-  config.polls_discovery = pairs.text("RegistryMode") == "ask";
-  config.answer_slack = pairs.integer<Time>("Guarantees.AnswerSlackUs", 0);
+      reader.yes("PolicyLimits.RetryAfter") ? reader.integer<Time>("PolicyLimits.MaxRetryAfterUs", 0) : 0;
+  config.connect_timeout = reader.integer<Time>("PolicyLimits.DialTimeoutUs", 0);
+  config.keep_alive = reader.integer<Time>("PolicyLimits.KeepaliveUs", 0);
+  config.connection_cost = reader.number("Costs.Connection", 0);
+  config.handshake_cost = reader.number("Costs.Handshake", 0);
+  config.polls_discovery = reader.text("RegistryMode") == "ask";
+  config.answer_slack = reader.integer<Time>("Guarantees.AnswerSlackUs", 0);
   config.slow_start_initial_share =
-      pairs.number("Guarantees.ColdShare", 1, std::numeric_limits<double>::min(), 1);
-  config.slow_start_duration = pairs.integer<Time>("Guarantees.ColdUs", 0);
-  config.slow_start_overload_factor = pairs.number("Guarantees.OverloadFactor", 0);
+      reader.number("Guarantees.ColdShare", 1, std::numeric_limits<double>::min(), 1);
+  config.slow_start_duration = reader.integer<Time>("Guarantees.ColdUs", 0);
+  config.slow_start_overload_factor = reader.number("Guarantees.OverloadFactor", 0);
   config.slow_start_overload_window =
-      pairs.integer<Time>("Guarantees.TipAfterUs", config.slow_start_overload_window, 1);
-  out.may_talk = pairs.yes("PolicyLimits.PeerMessages");
-  out.me = pairs.integer<std::uint32_t>("Me", 0);
-  out.drain_grace = pairs.integer<Time>("Guarantees.StopSendingWithinUs", 0);
+      reader.integer<Time>("Guarantees.TipAfterUs", config.slow_start_overload_window, 1);
+  out.may_talk = reader.yes("PolicyLimits.PeerMessages");
+  out.me = reader.integer<std::uint32_t>("Me", 0);
+  out.drain_grace = reader.integer<Time>("Guarantees.StopSendingWithinUs", 0);
 
-  const auto classes = pairs.list("Profiles");
+  const auto classes = reader.list_length("Profiles");
   for (std::uint32_t i = 0; i < classes; ++i) {
-    const std::string at = "Profiles." + std::to_string(i) + ".";
-    config.classes.push_back(read_class(pairs, at));
+    const std::string prefix = "Profiles." + std::to_string(i) + ".";
+    config.classes.push_back(read_class(reader, prefix));
     config.classes.back().max_attempts = config.max_attempts;
-    names.classes.emplace_back(pairs.text(at + "Name"));
+    names.classes.emplace_back(reader.text(prefix + "Name"));
     names.keyed.push_back(config.classes.back().effect == Effect::keyed);
   }
-  const auto tenants = pairs.list("Tenants");
+  const auto tenants = reader.list_length("Tenants");
   for (std::uint32_t i = 0; i < tenants; ++i) {
-    const std::string at = "Tenants." + std::to_string(i) + ".";
-    config.tenants.push_back({pairs.number(at + "QuotaPerS", 0)});
-    names.tenants.emplace_back(pairs.text(at + "Name"));
+    const std::string prefix = "Tenants." + std::to_string(i) + ".";
+    config.tenants.push_back({reader.number(prefix + "QuotaPerS", 0)});
+    names.tenants.emplace_back(reader.text(prefix + "Name"));
   }
   return out;
 }
 
 void check_usable(const SettingValues& values, const Settings& settings) {
-  const Pairs pairs(values);
+  const SettingReader reader(values);
   const Config& config = settings.config;
   if (config.cache_aside && config.origin_kind == kNone)
-    pairs.reject("FamilyInfo.OriginKind", pairs.text("FamilyInfo.OriginKind"),
-                 "the place of the origin's kind in Shapes");
-  if (config.classes.empty()) pairs.reject("Profiles", "", "a list of at least one class");
+    reader.reject("FamilyInfo.OriginKind", reader.text("FamilyInfo.OriginKind"),
+                  "the place of the origin's kind in Shapes");
+  if (config.classes.empty()) reader.reject("Profiles", "", "a list of at least one class");
   for (std::size_t i = 0; i < config.classes.size(); ++i) {
-    const std::string at = "Profiles." + std::to_string(i) + ".";
+    const std::string prefix = "Profiles." + std::to_string(i) + ".";
     for (const char* time : {"AimUs", "HardLimitUs"})
-      if (pairs.integer<Time>(at + time, 0, 1) > kLongestTime)
-        pairs.reject(at + time, pairs.text(at + time), "a day at most, in microseconds");
+      if (reader.integer<Time>(prefix + time, 0, 1) > kMaxClassTime)
+        reader.reject(prefix + time, reader.text(prefix + time), "a day at most, in microseconds");
   }
-  pairs.integer<std::uint32_t>("PolicyLimits.MaxAttempts", 1, 1);
+  reader.integer<std::uint32_t>("PolicyLimits.MaxAttempts", 1, 1);
 }
 
 }  // namespace streampick
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// The settings of one router, as the simulator's first message and the platform's configuration
-// both give them: values by dotted path. Paths nobody asks for are skipped.
+// The settings of one router, given as values by dotted path, both by the simulator's first message and by
+// the platform's configuration. Unknown paths are ignored.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace streampick {
 
-// A list of plain values is joined by commas; a list of objects has its length under .count and its
-// items under .0, .1 and so on.
+// Values by dotted path. A list of scalars is one value, joined by commas; a list of objects has its length
+// under .count and its items under .0, .1 and so on.
 using SettingValues = std::map<std::string, std::string, std::less<>>;
 
 class SettingsError : public std::runtime_error {
  public:
-  // `text`: what stands there; empty: nothing does.
+  // `text`: the value found; empty: the value is missing.
   SettingsError(std::string path, std::string text, const std::string& expected)
       : std::runtime_error(path + ": " +
                            (text.empty() ? "missing" : "there is '" + text.substr(0, 60) + "'") +
@@ -34,7 +34,7 @@
   std::string path_, text_;
 };
 
-// Names of one instance's settings, interned to their place in the list.
+// The names in one router's settings. Elsewhere a name is represented by its index in these lists.
 struct Names {
   std::vector<std::string> classes, tenants, zones, kinds;
   std::vector<bool> keyed = {};  // by class
@@ -44,16 +44,17 @@
   Config config;
   Names names;
   bool may_talk = false;  // whether routers may send one another datagrams
-  std::uint32_t me = 0;   // this router's number among them
-  Time drain_grace = 0;   // nothing new goes to a departing server later than this after the news
+  std::uint32_t me = 0;   // this router's index among the routers
+  Time drain_grace = 0;   // from the news that a server leaves to the last new request sent to it, us
 };
 
-// Both throw SettingsError. check_usable() says what a router would refuse to be made with, by its path.
+// Both throw SettingsError. check_usable() rejects settings from which a Router cannot be made; its error
+// names the path of the invalid value.
 Settings read_settings(const SettingValues& values);
 void check_usable(const SettingValues& values, const Settings& settings);
 
 std::optional<double> to_number(std::string_view text);
-std::uint32_t index_of(const std::vector<std::string>& names, std::string_view name);  // kNone: not there
+std::uint32_t index_of(const std::vector<std::string>& names, std::string_view name);  // kNone: not found
 std::uint64_t hash_name(std::string_view name);  // FNV-1a: the same in every process
 
 }  // namespace streampick
--- a/src/settings/validate.cpp
+++ b/src/settings/validate.cpp
@@ -1,4 +1,4 @@
-// What a Router refuses to be made with, in words. No decision is made here.
+// Rejects a Config from which a Router cannot be made, with a message for each reason.
 #include <cmath>
 #include <stdexcept>
 #include <string>
@@ -8,8 +8,8 @@
 namespace streampick {
 namespace {
 
-void require(bool holds, const std::string& otherwise) {
-  if (!holds) throw std::invalid_argument("streampick::Config: " + otherwise);
+void require(bool condition, const std::string& message) {
+  if (!condition) throw std::invalid_argument("streampick::Config: " + message);
 }
 
 }  // namespace
@@ -17,13 +17,13 @@
 void validate(const Config& config) {
   require(!config.classes.empty(), "no request class");
   for (std::size_t i = 0; i < config.classes.size(); ++i) {
-    const RequestClass& kind = config.classes[i];
-    const std::string which = "class " + std::to_string(i) + ": ";
-    require(kind.latency_objective > 0, which + "aim must be above 0");
-    require(kind.deadline > 0, which + "deadline must be above 0");
-    require(kind.idempotency_window >= 0, which + "window must not be negative");
-    require(std::isfinite(kind.priority_weight) && kind.priority_weight >= 0,
-            which + "worth must be 0 or more");
+    const RequestClass& request_class = config.classes[i];
+    const std::string prefix = "class " + std::to_string(i) + ": ";
+    require(request_class.latency_objective > 0, prefix + "aim must be above 0");
+    require(request_class.deadline > 0, prefix + "deadline must be above 0");
+    require(request_class.idempotency_window >= 0, prefix + "window must not be negative");
+    require(std::isfinite(request_class.priority_weight) && request_class.priority_weight >= 0,
+            prefix + "worth must be 0 or more");
   }
   for (std::size_t i = 0; i < config.tenants.size(); ++i) {
     const double quota = config.tenants[i].quota_per_s;
--- a/src/storage/descriptor.h
+++ b/src/storage/descriptor.h
@@ -1,4 +1,4 @@
-/// An open file descriptor that is closed with its owner.
+/// An open file descriptor that the destructor closes.
 #pragma once
 
 #include <utility>
@@ -9,7 +9,7 @@
 
 class Descriptor {
  public:
-  /// Opens `path`; EINTR is tried again. Where that fails the descriptor is not valid and `errno` tells why.
+  /// Opens `path`, with a retry after EINTR. On failure the descriptor is not valid and `errno` is set.
   Descriptor(FileCalls& calls, const std::string& path, int flags);
   ~Descriptor();
   Descriptor(Descriptor&& other) noexcept
@@ -20,7 +20,7 @@
 
   [[nodiscard]] bool is_valid() const { return number_ != kNone; }
   [[nodiscard]] int number() const { return number_; }
-  /// Closes it now, for who has to know whether that succeeds. Returns what close() does.
+  /// Closes the descriptor before its destruction and returns the result of close().
   int close();
 
  private:
--- a/src/storage/durable_file.cpp
+++ b/src/storage/durable_file.cpp
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr std::size_t kReadChunk = std::size_t{16} * 1024;
-/// The suffix that versions before this one gave to temporary files of the seed file.
+/// The suffix of the seed file's temporary files in earlier versions.
 constexpr std::string_view kOldSuffix = "new";
 
-/// Calls until it is not interrupted.
+/// Repeats a system call while it fails with EINTR.
 template <typename SystemCall>
-auto uninterrupted(SystemCall system_call) {
+auto retry_on_eintr(SystemCall system_call) {
   auto result = system_call();
   while (result < 0 && errno == EINTR) result = system_call();
   return result;
@@ -43,9 +43,9 @@
                                    FileCalls& calls) {
   while (!text.empty()) {
     const ssize_t written =
-        uninterrupted([&] { return calls.write(file.number(), text.data(), text.size()); });
+        retry_on_eintr([&] { return calls.write(file.number(), text.data(), text.size()); });
     if (written < 0) return last_error(FileStep::write, path);
-    // No error and no progress: trying again might never end.
+    // Neither an error nor progress: a retry might loop forever.
     if (written == 0) return FileError{FileStep::write, EIO, path};
     text.remove_prefix(static_cast<std::size_t>(written));
   }
@@ -56,8 +56,8 @@
   Descriptor file(calls, path, O_WRONLY | O_CREAT | O_TRUNC);
   if (!file.is_valid()) return last_error(FileStep::open, path);
   if (auto error = write_all(file, path, text, calls)) return error;
-  if (uninterrupted([&] { return calls.sync(file.number()); }) != 0) return last_error(FileStep::sync, path);
-  // The descriptor is gone after EINTR too, and all bytes are on the disk by then.
+  if (retry_on_eintr([&] { return calls.sync(file.number()); }) != 0) return last_error(FileStep::sync, path);
+  // After EINTR the descriptor is closed as well, and sync() has already put all bytes on the disk.
   if (file.close() != 0 && errno != EINTR) return last_error(FileStep::close, path);
   return std::nullopt;
 }
@@ -65,16 +65,16 @@
 std::optional<FileError> sync_folder(const std::string& folder, FileCalls& calls) {
   const Descriptor descriptor(calls, folder, O_RDONLY | O_DIRECTORY);
   if (!descriptor.is_valid()) return last_error(FileStep::open_folder, folder);
-  if (uninterrupted([&] { return calls.sync(descriptor.number()); }) == 0) return std::nullopt;
-  // EINVAL: a file system on which folders can't be synced; there is nothing more to be done.
+  if (retry_on_eintr([&] { return calls.sync(descriptor.number()); }) == 0) return std::nullopt;
+  // EINVAL: the file system does not support syncing a folder.
   if (errno == EINVAL) return std::nullopt;
   return last_error(FileStep::sync_folder, folder);
 }
 
 bool is_running(pid_t process) { return ::kill(process, 0) == 0 || errno != ESRCH; }
 
-/// Whether a file with this suffix behind the file's name and a dot was left by a writer that was killed.
-/// What has our own number is of an earlier process: this one has just started.
+/// Whether a temporary file with this suffix, which follows the file's name and a dot, was left by a writer
+/// that was killed. A file with this process's id is of an earlier process: this process has just started.
 bool is_stale_suffix(std::string_view suffix) {
   if (suffix == kOldSuffix) return true;
   pid_t writer = 0;
@@ -87,7 +87,7 @@
 }  // namespace
 
 Descriptor::Descriptor(FileCalls& calls, const std::string& path, int flags)
-    : calls_(&calls), number_(uninterrupted([&] { return calls.open(path, flags); })) {}
+    : calls_(&calls), number_(retry_on_eintr([&] { return calls.open(path, flags); })) {}
 
 Descriptor::~Descriptor() {
   if (is_valid()) calls_->close(number_);
@@ -129,7 +129,7 @@
   std::array<char, kReadChunk> chunk{};
   while (text.size() <= max_size) {
     const std::size_t wanted = std::min(chunk.size(), max_size + 1 - text.size());
-    const ssize_t got = uninterrupted([&] { return calls.read(file.number(), chunk.data(), wanted); });
+    const ssize_t got = retry_on_eintr([&] { return calls.read(file.number(), chunk.data(), wanted); });
     if (got < 0) return last_error(FileStep::read, path);
     if (got == 0) break;
     text.append(chunk.data(), static_cast<std::size_t>(got));
--- a/src/storage/durable_file.h
+++ b/src/storage/durable_file.h
@@ -1,8 +1,8 @@
-/// Small files that are replaced as a whole: whoever reads one, also after a crash at any moment, finds the
-/// old text or the new one. The text is written to a temporary file beside it, which is synced and renamed;
+/// Atomic replacement of small files: a reader finds either the old text or the new one, also after a crash
+/// at any moment. The text is written to a temporary file in the same folder, which is synced and renamed;
 /// then the folder is synced.
 ///
-/// All of it blocks for as long as the disk does. Nothing here keeps state; any thread may call it.
+/// The functions block on disk I/O. They keep no state and are thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace streampick::storage {
 
-/// What was being done when an operation on a file failed.
+/// The step at which an operation on a file failed.
 enum class FileStep : std::uint8_t {
   open,
   read,
@@ -32,29 +32,29 @@
 
 struct FileError {
   FileStep step = FileStep::open;
-  int error_number = 0;  ///< an `errno`
+  int error_number = 0;  ///< a value of `errno`
   std::string path;
 
   friend bool operator==(const FileError&, const FileError&) = default;
 };
 
-/// One line: path, step and the system's words for the error.
+/// One line: the path, the step and the system's message for the error.
 std::string to_string(const FileError& error);
 
-/// Replaces the file at `path` by one that holds `text`. Returns nothing once the new text is on the disk.
-/// After an error the file holds the old text whole; where the folder could not be synced, which is the last
-/// step, the new text whole, and a crash of the machine may bring the old one back. The temporary file is
-/// removed.
+/// Replaces the file at `path` by one that holds `text`. Returns nothing when the new text is on the disk.
+/// After an error the file holds the complete old text. If the error is at the last step, the sync of the
+/// folder, the file holds the complete new text, and a crash of the machine may bring the old one back. The
+/// temporary file is removed in all cases.
 [[nodiscard]] std::optional<FileError> replace_file(const std::string& path, std::string_view text,
                                                     FileCalls& calls = FileCalls::system());
 
-/// Reads the whole file, but at most one byte more than `max_size`. A path that names no regular file fails
-/// with EINVAL.
+/// Reads the whole file, but at most `max_size` + 1 bytes, so that the caller can tell a longer file. Fails
+/// with EINVAL when `path` is not a regular file.
 [[nodiscard]] std::variant<std::string, FileError> read_file(const std::string& path, std::size_t max_size,
                                                              FileCalls& calls = FileCalls::system());
 
-/// Removes temporary files of `path` whose writers were killed. Those of processes that still run stay.
-/// Returns how many were removed.
+/// Removes temporary files of `path` whose writers were killed. Temporary files of processes that still run
+/// stay. Returns the number of files removed.
 std::size_t remove_stale_temporaries(const std::string& path, FileCalls& calls = FileCalls::system());
 
 }  // namespace streampick::storage
--- a/src/takeover/override_store.cpp
+++ b/src/takeover/override_store.cpp
@@ -29,7 +29,8 @@
   const auto result =
       folder_->update(current_, [this](AdminOverrides& overrides) { apply_pending(overrides); });
   if (const auto* error = std::get_if<FileError>(&result))
-    log_("shared folder: operators' changes are lost with this process: " + storage::to_string(*error));
+    log_("shared folder: operators' changes are lost at the end of this process: " +
+         storage::to_string(*error));
 }
 
 void OverrideStore::submit(AdminChange change, Done done) {
@@ -37,16 +38,16 @@
   const ApplyResult result = control::apply(change, current_);
   listener_(current_);
   if (folder_ == nullptr || result == ApplyResult::too_many) return done({result, std::nullopt});
-  drop_repeats_of(change);
+  remove_answered_repeats(change);
   pending_.push_back({std::move(change), {result, std::nullopt}, std::move(done)});
   try_to_store();
 }
 
 void OverrideStore::refresh() {
   if (folder_ == nullptr) return;
-  std::optional<AdminOverrides> news = folder_->read_if_changed();
-  if (!news) return;
-  current_ = std::move(*news);
+  std::optional<AdminOverrides> changed = folder_->read_if_changed();
+  if (!changed) return;
+  current_ = std::move(*changed);
   apply_pending(current_);
   listener_(current_);
 }
@@ -66,13 +67,13 @@
   backoff_ = kFirstBackoff;
   current_ = std::move(overrides);
   listener_(current_);
-  if (std::exchange(has_unstored_, false)) log_("shared folder: operators' changes are stored now");
-  const std::list<Pending> settled = std::exchange(pending_, {});
-  for (const Pending& entry : settled) {
+  if (std::exchange(has_unstored_, false)) log_("shared folder: all operators' changes are now stored");
+  const std::list<Pending> stored = std::exchange(pending_, {});
+  for (const Pending& entry : stored) {
     if (entry.done) {
       entry.done({entry.outcome.result, std::nullopt});
     } else if (entry.outcome.result == ApplyResult::too_many) {
-      log_("shared folder: " + entry.change.endpoint_id + " is not left out: too many are");
+      log_("shared folder: " + entry.change.endpoint_id + " is not disabled: too many cache servers are");
     }
   }
 }
@@ -89,9 +90,10 @@
   }
   is_waiting_for_lock_ = false;
   if (!std::exchange(has_unstored_, true))
-    log_("shared folder: operators' changes hold in this process and are not stored yet: " +
+    log_("shared folder: operators' changes are in effect in this process but not stored yet: " +
          storage::to_string(error));
-  // To look at a lock costs little, and its holder is in the middle of a change: no need to back off from it.
+  // A held lock needs no longer backoff: an attempt to take it costs little, and its holder is about to
+  // release it.
   retry_after(is_lock_held_by_another(error) ? kFirstBackoff : next_backoff());
   answer_waiting_callers();
 }
@@ -104,19 +106,20 @@
   for (Pending& entry : pending_) {
     const ApplyResult result = entry.was_tried ? control::apply_delayed(entry.change, overrides)
                                                : control::apply(entry.change, overrides);
-    // No effect on the file is none of the caller's business where the change had one here.
+    // The caller is told the change's effect in this process, also when it has no effect on the stored
+    // overrides.
     if (result != ApplyResult::no_effect) entry.outcome.result = result;
   }
 }
 
-/// A change that was answered and is made again is owed once: what is owed stays bounded.
-void OverrideStore::drop_repeats_of(const AdminChange& change) {
+/// A repeated change replaces an equal one that was answered already, so that the pending list stays bounded.
+void OverrideStore::remove_answered_repeats(const AdminChange& change) {
   pending_.remove_if([&](const Pending& entry) {
     return !entry.done && entry.change.kind == change.kind && entry.change.endpoint_id == change.endpoint_id;
   });
 }
 
-/// Tells those who still wait that their changes are not stored yet.
+/// Tells the callers that still wait that their changes are not stored yet.
 void OverrideStore::answer_waiting_callers() {
   std::vector<std::pair<Done, Outcome>> answers;
   for (Pending& entry : pending_)
--- a/src/takeover/override_store.h
+++ b/src/takeover/override_store.h
@@ -1,12 +1,12 @@
-/// What operators have said, as this process holds to it, and its way into the folder that it shares with the
-/// process that replaces it.
+/// The operators' overrides in effect in this process, and their storage in the folder that it shares with
+/// the process that replaces it.
 ///
-/// A change holds in this process from submit() on, whatever happens to the file. It is stored at once where
-/// that is possible. Where another process holds the lock, it is tried again for a short while, by a timer,
-/// and the answer is held back meanwhile. What could not be stored by then, or failed to be written, is still
-/// owed: its caller hears so, and it is tried again with backoff until it is stored.
+/// A change takes effect in this process at submit(), whatever happens to the file. It is stored immediately
+/// if possible. While another process holds the lock, the store retries on a timer for up to kMaxLockWait and
+/// delays the answer. A change that is not stored by then, or whose write failed, stays pending: its caller
+/// is told so, and the store retries with backoff until the change is stored.
 ///
-/// For one thread, that of the event loop.
+/// Used only on the event loop's thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,36 +27,36 @@
 
 class OverrideStore {
  public:
-  /// How a change ended for its caller.
+  /// The result of a change.
   struct Outcome {
     control::ApplyResult result = control::ApplyResult::no_effect;
-    std::optional<storage::FileError> not_stored;  ///< why it is still owed
+    std::optional<storage::FileError> not_stored;  ///< why the change is still pending
   };
   using Done = std::function<void(const Outcome&)>;
   using Listener = std::function<void(const control::AdminOverrides&)>;
 
-  /// Answers are owed in 1 s: this leaves time for a loop that is behind.
+  /// CommandServer waits 1 s for an answer: this leaves time for an event loop that is delayed.
   static constexpr std::chrono::milliseconds kMaxLockWait{300};
   static constexpr std::chrono::milliseconds kLockRetryInterval{5};
   static constexpr std::chrono::milliseconds kFirstBackoff{100};
   static constexpr std::chrono::milliseconds kMaxBackoff{5'000};
 
-  /// `folder`: none where nothing is shared. `listener` is told the overrides each time they may have
+  /// `folder`: null when nothing is shared. `listener` is called with the overrides each time they may have
   /// changed.
   OverrideStore(boost::asio::io_context& io, std::unique_ptr<SharedFolder> folder, SharedFolder::Log log,
                 Listener listener);
-  /// What is still owed is tried once more.
+  /// Tries once more to store pending changes.
   ~OverrideStore();
   OverrideStore(const OverrideStore&) = delete;
   OverrideStore& operator=(const OverrideStore&) = delete;
 
-  /// Applies a change here, then stores it. `done` is called once, within kMaxLockWait, often before this
-  /// returns; not at all if this object goes first.
+  /// Applies a change, then stores it. `done` is called once, within kMaxLockWait and often before this
+  /// returns; it is not called if this object is destroyed first.
   void submit(control::AdminChange change, Done done);
-  /// Takes what the other process has stored.
+  /// Reads what the other process has stored.
   void refresh();
   [[nodiscard]] const control::AdminOverrides& current() const { return current_; }
-  /// How many changes are not stored.
+  /// The number of changes that are not stored.
   [[nodiscard]] std::size_t pending() const { return pending_.size(); }
 
  private:
@@ -64,14 +64,14 @@
   struct Pending {
     control::AdminChange change;
     Outcome outcome;
-    Done done;               ///< none once it was called
-    bool was_tried = false;  ///< tried before
+    Done done;               ///< empty after it was called
+    bool was_tried = false;  ///< an attempt to store it has failed
   };
   void try_to_store();
   void on_stored(control::AdminOverrides overrides);
   void on_failed(const storage::FileError& error);
   void apply_pending(control::AdminOverrides& overrides);
-  void drop_repeats_of(const control::AdminChange& change);
+  void remove_answered_repeats(const control::AdminChange& change);
   void answer_waiting_callers();
   std::chrono::milliseconds next_backoff();
   void retry_after(std::chrono::milliseconds wait);
@@ -80,11 +80,11 @@
   SharedFolder::Log log_;
   Listener listener_;
   control::AdminOverrides current_;
-  std::list<Pending> pending_;  ///< in the order they were made
+  std::list<Pending> pending_;  ///< in the order of submission
   boost::asio::steady_timer retry_timer_;
-  Steady::time_point lock_deadline_;  ///< while the lock is waited for
+  Steady::time_point lock_deadline_;  ///< valid while is_waiting_for_lock_
   bool is_waiting_for_lock_ = false;
-  bool has_unstored_ = false;  ///< changes were answered that are not stored
+  bool has_unstored_ = false;  ///< some changes were answered before they were stored
   std::chrono::milliseconds backoff_ = kFirstBackoff;
 };
 
--- a/src/takeover/process_presence.cpp
+++ b/src/takeover/process_presence.cpp
@@ -29,7 +29,8 @@
 ProcessPresence::ProcessPresence(const std::string& folder)
     : file_(::open((folder + kFileName).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly)) {
   if (file_ < 0) return;
-  // Locks of the open file, not of the process: a child that inherits the descriptor is no other process.
+  // Open file description locks, not process locks: a child process that inherits the descriptor shares the
+  // lock and does not count as another process.
   for (off_t byte = 0; byte < kMaxProcesses; ++byte) {
     struct flock lock = write_lock({.first = byte, .count = 1});
     if (::fcntl(file_, F_OFD_SETLK, &lock) == 0) return;
@@ -42,7 +43,7 @@
 
 bool ProcessPresence::is_only_process() const {
   if (file_ < 0) return true;
-  // The locks of this open file don't stand against it.
+  // F_OFD_GETLK ignores locks of the same open file.
   struct flock lock = write_lock({.first = 0, .count = kMaxProcesses});
   return ::fcntl(file_, F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK;
 }
--- a/src/takeover/process_presence.h
+++ b/src/takeover/process_presence.h
@@ -1,5 +1,5 @@
-/// Whether another process of this router runs. Each holds a lock of its own on one byte of a common file,
-/// which the kernel releases when the process ends, however it ends.
+/// Detects whether another process of this router runs. Each process locks one byte of a common file. The
+/// kernel releases the lock when the process ends, also after a crash.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 class ProcessPresence {
  public:
-  /// `folder`: the one that all processes of this router share. Where the file can't be opened, this process
+  /// `folder`: shared by all processes of this router. When the file in it cannot be opened, this process
   /// counts as the only one.
   explicit ProcessPresence(const std::string& folder);
   ~ProcessPresence();
--- a/src/takeover/shared_folder.cpp
+++ b/src/takeover/shared_folder.cpp
@@ -13,7 +13,7 @@
 using storage::FileError;
 using storage::FileStep;
 
-/// Differs between any two versions of the file: each is a file of its own.
+/// Identifies a version of the file: each version is a new file with its own inode and modification time.
 std::string stamp_of(const std::string& path) {
   struct stat file {};
   if (::stat(path.c_str(), &file) != 0) return {};
@@ -38,7 +38,7 @@
 }
 
 std::variant<std::optional<AdminOverrides>, FileError> SharedFolder::read() {
-  // Taken before the file is opened: one that is replaced meanwhile is read once more.
+  // The stamp is taken before the file is opened: a file that is replaced in between is read again next time.
   const std::string stamp = stamp_of(path_);
   auto content = storage::read_file(path_, AdminOverrides::kMaxTextSize, calls_);
   if (const auto* error = std::get_if<FileError>(&content)) {
--- a/src/takeover/shared_folder.h
+++ b/src/takeover/shared_folder.h
@@ -1,10 +1,9 @@
-/// The file through which two processes of one router share the operators' overrides, while one replaces the
-/// other. Whoever changes it holds a lock and replaces it as a whole, so that a reader finds the old text or
-/// the new one, and no change is lost to another that is made at the same time. Without the lock nothing is
-/// written.
+/// The file through which two processes of one router share the operators' overrides during a takeover. A
+/// writer holds a lock and replaces the whole file: readers find the old or the new text, and no concurrent
+/// change is lost. Nothing is written without the lock.
 ///
-/// A file that is malformed or can't be read is logged, once, with its name and the reason, and changes
-/// nothing. For one thread; nothing here waits for a lock.
+/// A file that is malformed or cannot be read has no effect; it is logged once, with its name and the reason.
+/// Not thread-safe. No function waits for the lock.
 #pragma once
 
 #include <functional>
@@ -22,16 +21,16 @@
 class SharedFolder {
  public:
   using Log = std::function<void(std::string_view)>;
-  /// Removes what writers that were killed have left.
+  /// Removes temporary files of writers that were killed.
   SharedFolder(const std::string& folder, Log log, storage::FileCalls& calls = storage::FileCalls::system());
 
-  /// What stands in the file, if that has changed since it was last read or written here and is well-formed.
+  /// The overrides in the file, if it is well-formed and has changed since this object last read or wrote it.
   std::optional<control::AdminOverrides> read_if_changed();
 
-  /// Reads, updates and writes under the lock. `fallback` is updated in place of a file that is not there or
-  /// is malformed. Returns what is stored now; or why it is not, and then the file is as before (after
-  /// FileStep::sync_folder it may hold the update already). FileStep::lock with EWOULDBLOCK: another has the
-  /// lock.
+  /// Reads the file, applies `update` and writes the result, under the lock. `fallback` is updated when the
+  /// file is missing or malformed. Returns the stored overrides, or an error. After an error the file is
+  /// unchanged, except that it may hold the update after an error at FileStep::sync_folder. FileStep::lock
+  /// with EWOULDBLOCK: another process holds the lock.
   std::variant<control::AdminOverrides, storage::FileError> update(
       const control::AdminOverrides& fallback, const std::function<void(control::AdminOverrides&)>& update);
 
@@ -44,8 +43,8 @@
   std::string lock_path_;
   Log log_;
   storage::FileCalls& calls_;
-  std::string
-      last_stamp_;  ///< inode, size and time of the file as last read or written; empty: there was none
+  /// Inode, size and modification time of the file when last read or written; empty: it did not exist.
+  std::string last_stamp_;
   std::string last_problem_;
 };
 
--- a/tests/daemon/host_test.cpp
+++ b/tests/daemon/host_test.cpp
@@ -1,4 +1,4 @@
-// Requests from end to end over loopback sockets: answers, outcomes, the end.
+// Requests from end to end over loopback sockets: responses, outcomes of attempts, shutdown.
 #include <unistd.h>
 
 #include "support/loopback.h"
@@ -6,27 +6,27 @@
 namespace streampick::test {
 namespace {
 
-// ---- Answers
+// ---- Responses
 
-TEST_F(Loopback, AReadIsAnsweredWithTheServersBodyByteForByte) {
+TEST_F(Loopback, Read_ReturnsTheServersBodyUnchanged) {
   std::string body;
   for (int i = 0; i < 3000; ++i) body += static_cast<char>(i % 256);
   cache.answer = [&](const std::string&) { return response(200, body); };
   start();
   const auto one = client();
-  const std::string asked = a_read();
-  one->ask(asked);
+  const std::string request = a_read();
+  one->ask(request);
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 200);
   EXPECT_EQ(one->body(), body);
   ASSERT_EQ(cache.requests.size(), 1U);
   EXPECT_EQ(cache.requests[0].rfind("GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\n", 0), 0U);
-  const std::string transaction_id = asked.substr(asked.find("X-Txn: "), 23);
+  const std::string transaction_id = request.substr(request.find("X-Txn: "), 23);
   EXPECT_NE(cache.requests[0].find(transaction_id + "\r\n"), std::string::npos);
   EXPECT_NE(cache.requests[0].find("X-Remaining: 7.9"), std::string::npos);
 }
 
-TEST_F(Loopback, AMissGoesToTheOriginAndAWriteGoesThereAtOnceWithItsKeyAndBody) {
+TEST_F(Loopback, MissAndWrite_AreForwardedToTheOrigin) {
   cache.answer = [](const std::string&) { return response(404); };
   origin.answer = [](const std::string&) { return response(200, "from the origin"); };
   start();
@@ -34,7 +34,7 @@
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->body(), "from the origin");
-  quiet(30);  // the origin's connection may be used again
+  quiet(30);  // from here on the origin's connection can be used again
   one->ask(
       request_text("PUT", "/save/7f3a9c21e0b4d655?v=2", "save", "value", "8", "Idempotency-Key: k1\r\n"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
@@ -46,8 +46,8 @@
   EXPECT_EQ(origin.peers.size(), 1U);
 }
 
-TEST_F(Loopback, WhatNobodyAnswersIsEndedOnceByTheModuleAndItsConnectionIsClosed) {
-  start();  // the peers hold whatever comes
+TEST_F(Loopback, SilentServers_RequestEndsOnceAndTheConnectionCloses) {
+  start();  // the servers do not answer
   const auto one = client();
   one->ask(request_text("GET", "/read/1", "read", "", "0.6"));
   ASSERT_TRUE(wait_for([&] { return !one->answers.empty(); }));
@@ -60,18 +60,18 @@
   ASSERT_TRUE(wait_for([&] { return cache.open() == 0; }));
 }
 
-TEST_F(Loopback, AfterAStallTheAnswerIsStillTheModules) {
+TEST_F(Loopback, BlockedLoop_DecisionModuleEndsTheRequest) {
   start();
   const auto one = client();
   one->ask(request_text("GET", "/read/1", "read", "", "0.6"));
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
-  ::usleep(700'000);  // the process was not run: everything of this request is due at once
+  ::usleep(700'000);  // the event loop is blocked: all timers of this request are due at once
   ASSERT_TRUE(wait_for([&] { return !one->answers.empty(); }));
   EXPECT_EQ(one->status(), 503);
   EXPECT_EQ(host->counts().deadline_guards, 0U);
 }
 
-TEST_F(Loopback, TheFirstOfTwoCopiesIsPassedOnAndTheOtherIsCancelledAndReported) {
+TEST_F(Loopback, HedgeAnswersFirst_OtherAttemptIsCancelled) {
   FakeServer second(io);
   start(list_json(
       1, true, {{"s-1", cache.address()}, {"s-2", second.address()}, {"s-o", origin.address(), "origin"}}));
@@ -85,22 +85,22 @@
   EXPECT_EQ(one->answers.size(), 1U);
   EXPECT_EQ(host->counts().cancelled_attempts, 1U);
   EXPECT_EQ(host->counts().outcomes[static_cast<std::size_t>(Outcome::cancelled)], 1U);
-  EXPECT_EQ(second.open(), 1U);  // the winner's connection is kept
+  EXPECT_EQ(second.open(), 1U);  // the connection of the first response is kept
 }
 
-TEST_F(Loopback, AClientThatClosesIsWithdrawnAndNothingMoreIsSentForIt) {
+TEST_F(Loopback, ClientDisconnects_NothingMoreIsSent) {
   start();
   auto one = client();
   one->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   one.reset();
   ASSERT_TRUE(wait_for([&] { return host->counts().cancelled_by_client == 1 && cache.open() == 0; }));
-  quiet(1'200);  // past the delay of a copy
+  quiet(1'200);  // longer than the delay of a hedge
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), 1U);
 }
 
-// Larger than the protocol has it, and as good as any other.
-TEST_F(Loopback, ALargeBodyIsPassedOnWholeAndItsMemoryIsGivenBack) {
+// A response body over the protocol's size is still passed on.
+TEST_F(Loopback, LargeBody_IsForwardedAndItsMemoryReleased) {
   std::string body(350'000, 'x');
   for (std::size_t i = 0; i < body.size(); i += 7) body[i] = static_cast<char>('a' + i % 26);
   cache.answer = [&](const std::string&) { return response(200, body); };
@@ -113,30 +113,30 @@
   EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
 }
 
-TEST_F(Loopback, LargeBodiesThatClientsDoNotTakeAreHeldWithinABound) {
+TEST_F(Loopback, UnreadLargeBodies_StayWithinTheMemoryLimit) {
   const std::string body(1'000'000, 'x');
   cache.answer = origin.answer = [&](const std::string&) { return response(200, body); };
   start();
   host->upstream_resources().body_memory.set_limit(4'000'000);
-  std::vector<std::unique_ptr<net::tcp::socket>> deaf;  // they ask and never read
+  std::vector<std::unique_ptr<net::tcp::socket>> unread;  // clients that never read the response
   for (int i = 0; i < 24; ++i) {
-    deaf.push_back(std::make_unique<net::tcp::socket>(io));
-    deaf.back()->open(net::tcp::v4());
-    deaf.back()->set_option(asio::socket_base::receive_buffer_size(4096));
-    deaf.back()->connect(host->address());
-    asio::write(*deaf.back(), asio::buffer(a_read()));
+    unread.push_back(std::make_unique<net::tcp::socket>(io));
+    unread.back()->open(net::tcp::v4());
+    unread.back()->set_option(asio::socket_base::receive_buffer_size(4096));
+    unread.back()->connect(host->address());
+    asio::write(*unread.back(), asio::buffer(a_read()));
   }
   ASSERT_TRUE(wait_for([&] {
     EXPECT_LE(host->upstream_resources().body_memory.reserved(), 4'000'000U);
     return host->counts().served + host->counts().refused + host->counts().failed == 24;
   }));
-  deaf.clear();
+  unread.clear();
   EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
 }
 
-// ---- AttemptObserver decide what may be sent again
+// ---- Outcomes of attempts decide whether a request is retried
 
-TEST_F(Loopback, A503WithoutItsHeaderMayHaveRunSoAnUnsafeWriteFailsAndIsNotResent) {
+TEST_F(Loopback, UnsafeWriteGets503WithoutHeader_FailsWithoutRetry) {
   origin.answer = [](const std::string&) { return response(503); };
   start();
   const auto one = client();
@@ -147,7 +147,7 @@
   EXPECT_EQ(origin.requests.size(), 1U);
 }
 
-TEST_F(Loopback, ATurnedAwayUnsafeWriteIsTriedAgainAndServed) {
+TEST_F(Loopback, RejectedUnsafeWrite_IsRetriedAndServed) {
   origin.answer = [this](const std::string&) {
     return origin.requests.size() == 1 ? response(503, "", "X-Turned-Away: 1\r\n") : response(200, "done");
   };
@@ -159,7 +159,7 @@
   EXPECT_EQ(origin.requests.size(), 2U);
 }
 
-TEST_F(Loopback, AConnectionThatBreaksAfterTheLastByteIsAResetSoAnUnsafeWriteFails) {
+TEST_F(Loopback, ResetAfterAnUnsafeWrite_FailsWithoutRetry) {
   origin.close_after_request = true;
   start();
   const auto one = client();
@@ -171,31 +171,31 @@
   EXPECT_EQ(origin.requests.size(), 1U);
 }
 
-TEST_F(Loopback, ARefusedConnectionNeverRanSoAnUnsafeWriteIsRefusedWithAdvice) {
-  net::tcp::acceptor shut(io, any_port());
-  const std::string nowhere = text_of(shut.local_endpoint());
-  shut.close();
-  start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", nowhere, "origin"}}));
+TEST_F(Loopback, RefusedConnection_UnsafeWriteGetsRetryAfter) {
+  net::tcp::acceptor closed(io, any_port());
+  const std::string closed_address = text_of(closed.local_endpoint());
+  closed.close();
+  start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", closed_address, "origin"}}));
   const auto one = client();
   one->ask(request_text("PUT", "/pay/1", "pay", "x"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 503);
-  // An eighth of the longest that may be told, spread by a half either way.
-  const std::size_t told = one->answers[0].find("Retry-After: ");
-  ASSERT_NE(told, std::string::npos);
-  const double after = std::stod(one->answers[0].substr(told + 13));
+  // An eighth of the highest Retry-After, plus or minus half of that.
+  const std::size_t header = one->answers[0].find("Retry-After: ");
+  ASSERT_NE(header, std::string::npos);
+  const double after = std::stod(one->answers[0].substr(header + 13));
   EXPECT_GE(after, 0.125);
   EXPECT_LE(after, 0.375);
   EXPECT_GE(host->counts().outcomes[static_cast<std::size_t>(Outcome::connect_failed)], 1U);
 }
 
-// Any server's answers may come spoilt. The one that has the key is asked again: the next would most
-// often miss, and the origin pay for it.
-TEST_F(Loopback, ASpoiltReadIsAskedAgainOfTheServerThatHasTheKey) {
+// A read after a malformed response is retried at the same server, which holds the key: the next server would
+// most often miss, and the origin would have to serve the read.
+TEST_F(Loopback, MalformedResponseToARead_IsRetriedAtTheSameServer) {
   FakeServer second(io);
-  std::size_t asked = 0;
+  std::size_t requests = 0;
   cache.answer = second.answer = [&](const std::string&) {
-    return ++asked == 1 ? std::string("no such protocol\r\n\r\n") : response(200, "well");
+    return ++requests == 1 ? std::string("no such protocol\r\n\r\n") : response(200, "well");
   };
   start(list_json(
       1, true, {{"s-1", cache.address()}, {"s-2", second.address()}, {"s-o", origin.address(), "origin"}}));
@@ -209,7 +209,7 @@
   EXPECT_TRUE(origin.requests.empty());
 }
 
-TEST_F(Loopback, ASpoiltReadOfTheOriginIsAskedAgainWhileAttemptsAreLeft) {
+TEST_F(Loopback, MalformedResponseOfTheOriginToARead_IsRetried) {
   cache.answer = [](const std::string&) { return response(404); };
   origin.answer = [this](const std::string&) {
     return origin.requests.size() == 1 ? std::string("HTTP/1.1 2x0 OK\r\n\r\n") : response(200, "well");
@@ -222,7 +222,7 @@
   EXPECT_EQ(origin.requests.size(), 2U);
 }
 
-TEST_F(Loopback, ASpoiltUnsafeWriteMayHaveRunSoItFailsAndIsNotResent) {
+TEST_F(Loopback, MalformedResponseToAnUnsafeWrite_FailsWithoutRetry) {
   origin.answer = [](const std::string&) { return std::string("ICY 200 OK\r\n\r\n"); };
   start();
   const auto one = client();
@@ -233,8 +233,8 @@
   EXPECT_EQ(origin.requests.size(), 1U);
 }
 
-// The request is at fault, not the server: each further server would only say the same.
-TEST_F(Loopback, ARequestThatAServerFindsFaultWithFailsAtOnce) {
+// The request is invalid, not the server: every other server would reject it as well.
+TEST_F(Loopback, ServerAnswers400_RequestFailsWithoutRetry) {
   FakeServer second(io);
   cache.answer = second.answer = [](const std::string&) { return response(400); };
   start(list_json(
@@ -247,9 +247,9 @@
   EXPECT_EQ(cache.requests.size() + second.requests.size() + origin.requests.size(), 1U);
 }
 
-// ---- The end
+// ---- Shutdown
 
-TEST_F(Loopback, ToldToStopItAnswersWhatItTookAndWhatStillComes) {
+TEST_F(Loopback, Shutdown_ServesOpenAndLateRequests) {
   start();
   const auto busy = client(), idle = client();
   idle->ask(a_read());
@@ -273,7 +273,7 @@
   EXPECT_THROW(client(), boost::system::system_error);
 }
 
-TEST_F(Loopback, ToldToStopItFailsWhatNobodyAnswersBeforeItIsKilled) {
+TEST_F(Loopback, ShutdownWithSilentServers_EndsBeforeTheDeadline) {
   start();
   const auto one = client();
   one->ask(request_text("GET", "/read/2", "read", "", "60"));
@@ -284,24 +284,24 @@
   EXPECT_EQ(one->answers.size(), 1U);
 }
 
-TEST_F(Loopback, ToldToStopItWaitsForARequestThatHasBegunToComeIn) {
+TEST_F(Loopback, ShutdownDuringARequestHead_WaitsForTheRequest) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const auto one = client();
-  const std::string asked = a_read();
-  one->ask(asked.substr(0, 20));
+  const std::string request = a_read();
+  one->ask(request.substr(0, 20));
   quiet(50);
   bool done = false;
   host->drain([&] { done = true; });
-  quiet(1'000);  // past the time of accepting
+  quiet(1'000);  // longer than the router accepts connections
   EXPECT_FALSE(done);
-  one->ask(asked.substr(20));
+  one->ask(request.substr(20));
   ASSERT_TRUE(wait_for([&] { return done; }));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 200);
 }
 
-TEST_F(Loopback, ToldToStopItDoesNotWaitForEverForAClientThatStandsStill) {
+TEST_F(Loopback, ShutdownWithAStalledClient_Ends) {
   start();
   const auto one = client();
   one->ask("GET /read/1 HT");
--- a/tests/daemon/production_test.cpp
+++ b/tests/daemon/production_test.cpp
@@ -1,6 +1,6 @@
-/// The router under what production adds, over loopback sockets: idle connections that servers end or forget,
-/// restarts beside drains, settings that come one behind another, a loop that is held up, servers that hang
-/// through a whole shutdown.
+/// The router under conditions of production, over loopback sockets: idle connections that servers close or
+/// lose, restarts during drains, several reloads in a row, an event loop that is blocked, and servers that
+/// hang during a whole shutdown.
 #include <algorithm>
 #include <set>
 
@@ -13,9 +13,9 @@
 using std::chrono::milliseconds;
 using Steady = std::chrono::steady_clock;
 
-constexpr milliseconds kHoldUp{150};  // between reading a clock and writing, at most
+constexpr milliseconds kBlockTime{150};  // from reading the clock to the write
 
-void hold_up() { std::this_thread::sleep_for(kHoldUp); }
+void block_loop() { std::this_thread::sleep_for(kBlockTime); }
 
 std::string value_of(const std::string& head, const std::string& name) {
   const std::size_t at = head.find(name + ": ");
@@ -24,7 +24,7 @@
   return head.substr(from, head.find("\r\n", from) - from);
 }
 
-// ---- Idle connections that servers end or forget
+// ---- Idle connections that servers close or lose
 
 class IdleConnections : public Loopback {
  protected:
@@ -32,7 +32,7 @@
     cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
     start();
   }
-  // So many connections to the cache server that rest.
+  // Opens `connections` idle connections to the cache server.
   void make_idle(std::size_t connections) {
     cache.answer = nullptr;
     std::vector<std::unique_ptr<FakeClient>> clients;
@@ -44,7 +44,7 @@
     for (const auto& peer : cache.peers) peer->write(response(200, "x"));
     for (const auto& one : clients) ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
     cache.answer = [](const std::string&) { return response(200, "x"); };
-    quiet(50);  // they settle
+    quiet(50);  // until the connections can be used again
   }
   int status_of(const std::string& request) {
     const auto one = client();
@@ -61,7 +61,7 @@
   }
 };
 
-TEST_F(IdleConnections, ClosedByTheServerTheyCostNoAttempt) {
+TEST_F(IdleConnections, ClosedByTheServer_CostNoAttempt) {
   begin();
   make_idle(2);
   for (const auto& peer : cache.peers) peer->close();
@@ -70,7 +70,7 @@
   EXPECT_EQ(host->counts().attempts, 3U);
 }
 
-TEST_F(IdleConnections, ResetByTheServerTheyCostNoAttempt) {
+TEST_F(IdleConnections, ResetByTheServer_CostNoAttempt) {
   begin();
   make_idle(2);
   for (const auto& peer : cache.peers) reset(*peer);
@@ -79,8 +79,8 @@
   EXPECT_EQ(host->counts().attempts, 3U);
 }
 
-// An unsafe write on a connection that its server has reset would fail, for it may have run.
-TEST_F(IdleConnections, ResetByTheOriginTheyCostAnUnsafeWriteNothing) {
+// An unsafe write that is sent on a connection that the server has reset would fail, as it may have run.
+TEST_F(IdleConnections, ResetByTheOrigin_UnsafeWriteIsServed) {
   begin();
   ASSERT_EQ(status_of(request_text("PUT", "/pay/1", "pay", "x")), 200);
   quiet(50);
@@ -90,27 +90,29 @@
   EXPECT_EQ(origin.requests.size(), 2U);
 }
 
-// The server's machine has forgotten them: what is written there is lost without a word, new ones are served.
-// The first that is not answered takes the others with it: those would lose a request each.
-TEST_F(IdleConnections, ForgottenByTheServerTheyCostOneRequestAndNotOneEach) {
+// The server's host has lost its connection state: what is written to these connections gets no response,
+// while new connections are served. After the first request without a response, the router must close the
+// other idle connections of the server too, or each would lose a request.
+TEST_F(IdleConnections, LostByTheServer_CostOneRequestInTotal) {
   begin();
   make_idle(3);
-  const auto forgotten = cache.peers;
-  for (const auto& peer : forgotten) peer->muted = true;
+  const auto lost_connections = cache.peers;
+  for (const auto& peer : lost_connections) peer->muted = true;
   EXPECT_EQ(status_of(request_text("GET", "/read/1", "read", "", "1.0")), 503);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(status_of(request_text("GET", "/read/1", "read", "", "1.0")), 200);
-  std::ptrdiff_t lost = 0;
-  for (const auto& peer : forgotten) lost += std::ranges::count(peer->got, 'G');
-  EXPECT_EQ(lost, 1);
+  std::ptrdiff_t lost_requests = 0;
+  for (const auto& peer : lost_connections) lost_requests += std::ranges::count(peer->got, 'G');
+  EXPECT_EQ(lost_requests, 1);
 }
 
 // ---- Attempts that fail at once
 
-TEST_F(IdleConnections, WhereEveryServerRefusesConnectionsDialsAreBoundedAndEachHasOneAnswer) {
-  net::tcp::acceptor shut(io, any_port());
-  const std::string nowhere = text_of(shut.local_endpoint());
-  shut.close();
-  start(list_json(1, true, {{"s-1", nowhere}, {"s-2", nowhere}, {"s-o", nowhere, "origin"}}));
+TEST_F(IdleConnections, EveryServerRefusesConnections_AttemptsAreBounded) {
+  net::tcp::acceptor closed(io, any_port());
+  const std::string closed_address = text_of(closed.local_endpoint());
+  closed.close();
+  start(list_json(1, true,
+                  {{"s-1", closed_address}, {"s-2", closed_address}, {"s-o", closed_address, "origin"}}));
   const std::vector<std::string> requests = {
       request_text("GET", "/read/1", "read", "", "2.0"),
       request_text("PUT", "/save/1", "save", "x", "2.0", "Idempotency-Key: k\r\n"),
@@ -124,13 +126,13 @@
   quiet(300);
   for (const auto& one : clients) {
     EXPECT_EQ(one->answers.size(), 1U);
-    EXPECT_EQ(one->status(), 503);  // nothing of it ran
+    EXPECT_EQ(one->status(), 503);  // no server ran it
   }
   EXPECT_LE(host->counts().attempts, 9U);
   EXPECT_LE(host->upstream_resources().connect_attempts, 9U);
 }
 
-TEST_F(IdleConnections, WhereEveryServerResetsEachRequestAttemptsAreBoundedAndEachHasOneAnswer) {
+TEST_F(IdleConnections, EveryServerResetsEachRequest_AttemptsAreBounded) {
   FakeServer second(io);
   for (FakeServer* server : {&cache, &second, &origin}) server->close_after_request = true;
   start(list_json(
@@ -146,73 +148,74 @@
   EXPECT_LE(cache.requests.size() + second.requests.size() + origin.requests.size(), 15U);
 }
 
-// ---- A loop that is held up
+// ---- An event loop that is blocked
 
-// The system's clock; the thread is held up behind the reading that is asked for.
-class HeldUpClock final : public engine::TimeSource {
+// The system's clock. On demand it blocks the thread after the next reading.
+class BlockingClock final : public engine::TimeSource {
  public:
-  explicit HeldUpClock(net::Clock& clock) : clock_(clock) {}
+  explicit BlockingClock(net::Clock& clock) : clock_(clock) {}
   Time now() override {
     const Time out = clock_.now();
-    if (std::exchange(hold_up_next_, false)) hold_up();
+    if (std::exchange(block_next_, false)) block_loop();
     return out;
   }
   Time wall_time() override { return clock_.wall_time(); }
   std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
     return clock_.timer(std::move(due));
   }
-  void hold_up_next() { hold_up_next_ = true; }
+  void block_next() { block_next_ = true; }
 
  private:
   net::Clock& clock_;
-  bool hold_up_next_ = false;
+  bool block_next_ = false;
 };
 
-struct AttemptEnds final : engine::AttemptObserver {
+struct AttemptEndRecorder final : engine::AttemptObserver {
   void on_attempt_ended(engine::AttemptId, Outcome outcome, engine::Answer) override {
     ended.push_back(outcome);
   }
   std::vector<Outcome> ended;
 };
 
-class HeldUp : public Loopback {
+class BlockedLoop : public Loopback {
  protected:
-  HeldUp() {
+  BlockedLoop() {
     message_->target = "/read/1";
     message_->transaction_id = "9b1f03aa5c7e2d41";
     upstream_.set_address(cache.address());
   }
-  HeldUpClock held_{clock};
+  BlockingClock blocking_clock_{clock};
   net::UpstreamResources resources_;
-  AttemptEnds ends_;
+  AttemptEndRecorder attempt_ends_;
   std::shared_ptr<engine::Message> message_ = std::make_shared<engine::Message>();
-  http1::Upstream upstream_{io, held_, resources_, ends_, "s-1"};
+  http1::Upstream upstream_{io, blocking_clock_, resources_, attempt_ends_, "s-1"};
 };
 
-// What an attempt tells its server is counted from the clock's reading: by as much as the hold-up more than
-// is left, at most.
-TEST_F(HeldUp, BetweenItsClockAndItsWriteAnAttemptTellsAtMostTheHoldUpTooMuch) {
+// X-Remaining is computed from the clock's last reading, so it may exceed the time left by the blocked time
+// at most.
+TEST_F(BlockedLoop, BlockedBetweenClockAndWrite_RemainingTimeIsOverByTheBlockedTimeAtMost) {
   resources_.connections.set_limit(16);
   upstream_.send({1, 0}, message_, clock.now() + 1'000'000, kNever);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   cache.peers[0]->write(response(200, "x"));
-  ASSERT_TRUE(wait_for([&] { return ends_.ended.size() == 1; }));
+  ASSERT_TRUE(wait_for([&] { return attempt_ends_.ended.size() == 1; }));
   quiet(30);
   const auto asked = Steady::now();
   const Time expires = clock.now() + 1'000'000;
-  held_.hold_up_next();
+  blocking_clock_.block_next();
   upstream_.send({2, 0}, message_, expires, kNever);
   const double written = std::chrono::duration<double>(Steady::now() - asked).count();
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 2; }));
-  const double told = std::stod(value_of(cache.requests[1], "X-Remaining"));
+  const double remaining_s = std::stod(value_of(cache.requests[1], "X-Remaining"));
   EXPECT_GE(written, 0.15);
-  EXPECT_LE(told, 1.0 - written + 0.16);
-  EXPECT_GT(told, 0.9);
+  EXPECT_LE(remaining_s, 1.0 - written + 0.16);
+  EXPECT_GT(remaining_s, 0.9);
 }
 
-// Told of a drain while the loop stands: what was asked for in the same turn may still go out, and nothing
-// once the news is read, long before its grace is over.
-TEST_F(HeldUp, BehindTheNewsOfADrainNothingIsSentLaterThanTheHoldUp) {
+// The news of a server's drain arrives while the loop is blocked. Requests that the loop reads in the same
+// iteration may still go to the server. Once the news has been read, nothing is sent to it, long before the
+// end of the grace.
+TEST_F(BlockedLoop, DrainNewsDuringTheBlock_NothingIsSentAfterIt) {
   FakeServer other(io, [](const std::string&) { return response(200, "y"); });
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
@@ -227,36 +230,37 @@
   chunk(list_json(2, false, {{"s-cache", cache.address(), "box", "terminating"}, {"s-new", other.address()}})
             .dump() +
         "\n");
-  const auto told = Steady::now();
-  hold_up();
-  quiet(20);                                           // one turn for what had come
-  EXPECT_LT(Steady::now() - told, milliseconds(500));  // of a grace of 2 s
+  const auto drain_sent = Steady::now();
+  block_loop();
+  quiet(20);                                                 // the loop handles what has arrived
+  EXPECT_LT(Steady::now() - drain_sent, milliseconds(500));  // of a grace of 2 s
   const std::size_t until_read = cache.requests.size();
   for (int i = 0; i < 10; ++i) ask();
   for (const auto& one : clients) ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(cache.requests.size(), until_read);
 }
 
-// All is answered within the slack of 50 ms though the loop stands just before the deadline.
-TEST_F(HeldUp, JustBeforeADeadlineTheAnswerComesWithTheHoldUpAndOnce) {
+// The loop is blocked just before the deadline: the response is late by the blocked time and a slack of 50 ms
+// at most.
+TEST_F(BlockedLoop, BlockedBeforeTheDeadline_OneResponseWithoutFurtherDelay) {
   start();
   const auto one = client();
   const auto asked = Steady::now();
   one->ask(request_text("GET", "/read/1", "read", "", "0.5"));
   quiet(440);
-  hold_up();
+  block_loop();
   ASSERT_TRUE(wait_for([&] { return !one->answers.empty(); }));
-  EXPECT_LT(Steady::now() - asked, milliseconds(500) + kHoldUp + milliseconds(100));
+  EXPECT_LT(Steady::now() - asked, milliseconds(500) + kBlockTime + milliseconds(100));
   quiet(50);
   EXPECT_EQ(one->answers.size(), 1U);
   EXPECT_EQ(host->counts().deadline_guards, 0U);
 }
 
-// ---- The program: signals beside drains, servers that are gone or hang
+// ---- The program: signals during drains, servers that are gone or hang
 
-// All of them connected by the kernel while the loop stands: it has the end of accepting before it has taken
-// more than one.
-TEST_F(Loopback, ClientsInTheListenersQueueWhenAcceptingEndsAreAllServed) {
+// The kernel accepts all clients while the loop is blocked. When the loop continues, the time of accepting
+// has ended before the router has accepted more than one of them.
+TEST_F(Loopback, ClientsInTheListenQueueAtTheEndOfAccepting_AreServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   bool done = false;
@@ -267,7 +271,7 @@
     clients.push_back(client());
     clients.back()->ask(request_text("GET", "/read/" + std::to_string(i), "read"));
   }
-  std::this_thread::sleep_for(milliseconds(300));  // past the end of accepting
+  std::this_thread::sleep_for(milliseconds(300));  // longer than the router accepts connections
   for (const auto& one : clients) {
     ASSERT_TRUE(wait_for([&] { return !one->answers.empty() || one->peer->ended; }));
     ASSERT_EQ(one->answers.size(), 1U);
@@ -276,7 +280,7 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-class Production : public Running {
+class ProductionConditions : public RouterProgram {
  protected:
   void run_with(const nlohmann::json& known) {
     known_ = known;
@@ -291,7 +295,7 @@
     EXPECT_TRUE(wait_for([&] { return !one.answers.empty() || one.peer->ended; }));
     return one.answers.empty() ? 0 : one.status();
   }
-  // So that the class `look` is there, and `pay` is as told.
+  // A configuration with or without the class `look`, and with the given effect of `pay`.
   std::string config_with(bool look, const std::string& effect_of_pay) {
     nlohmann::json json = nlohmann::json::parse(config_text(text_of(discovery.local_endpoint())));
     nlohmann::json& profiles = json["settings"]["Profiles"];
@@ -306,15 +310,15 @@
   bool knows_look() { return status_of(request_text("GET", "/look/1", "look")) == 200; }
 };
 
-TEST_F(Production, ToldToStopWhileAServerDrainsAndAnotherIsGoneAllIsServedElsewhere) {
+TEST_F(ProductionConditions, ShutdownWhileAServerDrainsAndOneIsGone_AllIsServed) {
   const auto served = [](const std::string&) { return response(200, "x"); };
   FakeServer drains(io, served), stays(io, served);
-  net::tcp::acceptor gone(io, any_port());
-  const std::string nowhere = text_of(gone.local_endpoint());
-  gone.close();
+  net::tcp::acceptor closed(io, any_port());
+  const std::string closed_address = text_of(closed.local_endpoint());
+  closed.close();
   run_with(list_json(1, true,
                      {{"s-drains", drains.address()},
-                      {"s-gone", nowhere},
+                      {"s-gone", closed_address},
                       {"s-stays", stays.address()},
                       {"s-origin", origin.address(), "origin"}}));
   chunk(list_json(2, false, {{"s-drains", drains.address(), "box", "terminating"}}).dump() + "\n");
@@ -336,8 +340,8 @@
   EXPECT_EQ(drains.requests.size(), before);
 }
 
-// Five in a row, the third of them broken; signals that come behind one another count as one.
-TEST_F(Production, OfNewSettingsInARowTheLastGoodOnesHoldAndOpenRequestsKeepTheirs) {
+// Five reloads in a row, the third of them invalid. Signals in quick succession may be handled as one.
+TEST_F(ProductionConditions, ReloadsInARow_LastValidOneHoldsForNewRequests) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   run_with(list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}));
   FakeClient open(io, listen_);
@@ -351,12 +355,12 @@
   }
   EXPECT_TRUE(wait_for([&] { return knows_look(); }));
   const std::string unkeyed = request_text("PUT", "/pay/2", "pay", "x");
-  EXPECT_EQ(status_of(unkeyed), 400);  // it wants its key now
+  EXPECT_EQ(status_of(unkeyed), 400);  // an idempotency key is required now
   origin.peers[0]->close();
   ASSERT_TRUE(wait_for([&] { return open.answers.size() == 1; }));
-  EXPECT_EQ(open.status(), 502);  // may have run: as keyed it would have gone out again
+  EXPECT_EQ(open.status(), 502);  // may have run; as a keyed write it would have been retried
   EXPECT_EQ(origin.requests.size(), 1U);
-  // A broken one alone, read for certain: nothing of it holds.
+  // An invalid configuration alone, which is certainly read: no part of it is applied.
   configure(config_with(false, "sometimes"));
   signal(SIGHUP);
   quiet(200);
@@ -366,8 +370,9 @@
   EXPECT_EQ(exit_code_of_child(), 0);
 }
 
-// A client that asks again as soon as it is answered, on the same connection, until that ends. What crosses
-// the end is asked once more on a new connection, as the protocol has it, for as long as there is somebody.
+// A client that sends its next request on the same connection as soon as it has a response. When the
+// connection closes while a request waits, the client sends a new request on a new connection, as the
+// protocol allows, until the router no longer listens.
 class PersistentClient {
  public:
   PersistentClient(asio::io_context& io, const net::tcp::endpoint& to, std::string lane,
@@ -376,8 +381,8 @@
     connect();
     ask();
   }
-  // Where nobody listens any more, it has ended.
-  void look() {
+  // Handles what has arrived. The client ends when the router no longer listens.
+  void poll() {
     if (ended_) return;
     if (connection_->answers.size() > answered_) {
       ++answered_;
@@ -419,36 +424,36 @@
   bool ended_ = false;
 };
 
-// The kill comes 0.7 s behind the longest deadline, which is 1 s here. Clients come for 0.4 s more; some are
-// answered soon, and ask again.
-TEST_F(Production, WhereServersHangThroughTheShutdownAllThatWasTakenIsAnsweredBeforeTheKill) {
-  constexpr milliseconds kKill{1'700}, kComing{400};
+// The platform kills a process 0.7 s after the longest deadline, which is 1 s here. New clients connect for
+// 0.4 s after the signal; some get a response early and send another request.
+TEST_F(ProductionConditions, ServersHangDuringTheShutdown_AcceptedRequestsAreAnsweredBeforeTheKill) {
+  constexpr milliseconds kKillAfter{1'700}, kNewClientsFor{400};
   known_ = list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}});
-  longest_deadline_us_ = 1'000'000;
+  max_deadline_us_ = 1'000'000;
   run();
   std::vector<std::unique_ptr<PersistentClient>> clients;
-  const auto come = [&] {
+  const auto add_client = [&] {
     const std::string lane = clients.size() % 2 == 0 ? "read" : "pay";
     const std::string remaining = clients.size() % 4 < 2 ? "1.0" : "0.15";
     clients.push_back(std::make_unique<PersistentClient>(io, listen_, lane, remaining));
   };
-  for (int i = 0; i < 8; ++i) come();
+  for (int i = 0; i < 8; ++i) add_client();
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() + origin.requests.size() >= 4; }));
   signal(SIGTERM);
-  const auto told = Steady::now();
+  const auto signalled = Steady::now();
   const auto all_ended = [&] {
-    for (const auto& one : clients) one->look();
+    for (const auto& one : clients) one->poll();
     return std::ranges::all_of(clients, [](const auto& one) { return one->ended(); });
   };
-  while (Steady::now() - told < kComing) {
-    come();
+  while (Steady::now() - signalled < kNewClientsFor) {
+    add_client();
     quiet(40);
     all_ended();
   }
   ASSERT_TRUE(wait_for(all_ended));
-  EXPECT_LT(Steady::now() - told, kKill);
+  EXPECT_LT(Steady::now() - signalled, kKillAfter);
   EXPECT_EQ(exit_code_of_child(), 0);
-  // What had no answer crossed an end: no server has seen it.
+  // A request without a response crossed the end of its connection: no server has received it.
   std::set<std::string> seen;
   for (const FakeServer* server : {&cache, &origin})
     for (const std::string& request : server->requests) seen.insert(value_of(request, "X-Txn"));
@@ -461,9 +466,10 @@
   EXPECT_GT(answers, clients.size());
 }
 
-// A router with hardly more descriptors than it needs itself: idle clients hold all that they may while
-// discovery can't be had. On its return it is watched, and a server that only it names is reached.
-TEST_F(Production, IdleClientsThatFillFewDescriptorsKeepNeitherDiscoveryNorServersOut) {
+// A router with few descriptors beyond those it needs itself: idle clients take all that they may while
+// discovery is unreachable. Once discovery is back, the router must reach it, and a server that only
+// discovery names.
+TEST_F(ProductionConditions, IdleClientsFillFewDescriptors_DiscoveryAndServersAreReached) {
   FakeServer other(io, [](const std::string&) { return response(200, "y"); });
   sockets_ = 40;
   known_ = list_json(1, true, {});
@@ -483,11 +489,11 @@
   begin_watch();
   chunk(list_json(2, true, {{"s-new", other.address()}, {"s-origin", origin.address(), "origin"}}).dump() +
         "\n");
-  EXPECT_TRUE(serves());
+  EXPECT_TRUE(serves_a_read());
   EXPECT_EQ(other.requests.size(), 1U);
 }
 
-TEST_F(Production, ManyThatStartAtOnceAreReadyThoughDiscoveryIsDown) {
+TEST_F(ProductionConditions, SimultaneousStartsWithoutDiscovery_AreReady) {
   const std::string address = text_of(discovery.local_endpoint());
   discovery.close();
   EXPECT_LT(start_many(20, address), std::chrono::seconds(10));
--- a/tests/daemon/program_test.cpp
+++ b/tests/daemon/program_test.cpp
@@ -1,4 +1,4 @@
-// The program as it is started: its configuration and its signals.
+// The router program: its configuration and its signals.
 #include "daemon/running.h"
 
 namespace streampick::test {
@@ -9,7 +9,7 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(Program, ABadConfigurationEndsItWithOneLine) {
+TEST(RouterProgramExit, InvalidConfiguration_ExitsWithOneLine) {
   const auto folder = std::filesystem::path(::testing::TempDir());
   const std::string config = (folder / ("streampick_config_" + std::to_string(::getpid()))).string();
   const std::string log = config + ".err";
@@ -26,7 +26,7 @@
   EXPECT_EQ(exit_code("env -u NODE_CONFIG " STREAMPICK_ROUTER " 2> /dev/null"), 2);
 }
 
-TEST(Program, SigtermEndsItWithZero) {
+TEST(RouterProgramExit, Sigterm_ExitsWithZero) {
   const auto config =
       std::filesystem::path(::testing::TempDir()) / ("streampick_term_" + std::to_string(::getpid()));
   std::ofstream(config) << config_json("127.0.0.1:1", list_json(1, true, {})).dump();
@@ -35,31 +35,31 @@
             0);
 }
 
-TEST_F(Running, SighupTakesTheNewConfigurationAndABadOneChangesNothing) {
+TEST_F(RouterProgram, Sighup_AppliesAValidConfigurationOnly) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   run();
-  ASSERT_TRUE(watched(discovery));
+  ASSERT_TRUE(accepts_watch(discovery));
   net::tcp::acceptor next(io, any_port());
   configure(config_text(text_of(next.local_endpoint())));
   signal(SIGHUP);
-  EXPECT_TRUE(watched(next));
-  EXPECT_TRUE(serves());
+  EXPECT_TRUE(accepts_watch(next));
+  EXPECT_TRUE(serves_a_read());
   for (const std::string bad : {"", "{", "{\"settings\": 5}", "[]"}) {
     configure(bad);
     signal(SIGHUP);
-    EXPECT_TRUE(serves()) << bad;
+    EXPECT_TRUE(serves_a_read()) << bad;
   }
   std::filesystem::remove(config_);
   signal(SIGHUP);
-  EXPECT_TRUE(serves());
+  EXPECT_TRUE(serves_a_read());
   configure(config_text(text_of(discovery.local_endpoint())));
   signal(SIGHUP);
-  EXPECT_TRUE(watched(discovery));
+  EXPECT_TRUE(accepts_watch(discovery));
   signal(SIGTERM);
   EXPECT_EQ(exit_code_of_child(), 0);
 }
 
-TEST_F(Running, ASecondSigtermAndASighupWhileItStopsChangeNothing) {
+TEST_F(RouterProgram, RepeatedSignalsDuringShutdown_ChangeNothing) {
   run();
   FakeClient one(io, listen_);
   one.ask(a_read());
@@ -76,11 +76,11 @@
   EXPECT_EQ(exit_code_of_child(), 0);
 }
 
-// It knows no server, and discovery has accepted its watch and says nothing.
-TEST_F(Running, ToldToStopBeforeTheFirstListItAnswersAndEnds) {
+// The router has no list of servers: discovery accepts its watch and sends nothing.
+TEST_F(RouterProgram, SigtermBeforeTheFirstList_AnswersAndExits) {
   known_ = list_json(1, true, {});
   run();
-  ASSERT_TRUE(watched(discovery));
+  ASSERT_TRUE(accepts_watch(discovery));
   FakeClient one(io, listen_);
   one.ask(a_read());
   quiet(50);
@@ -90,9 +90,10 @@
   EXPECT_EQ(exit_code_of_child(), 0);
 }
 
-// Three times as many as there are descriptors rest with the router while discovery can't be had. On its
-// return the list is read, and requests are served by a server that only it names.
-TEST_F(Running, IdleClientsThatFillTheDescriptorsKeepNeitherDiscoveryNorServersOut) {
+// Idle clients take all descriptors while discovery is unreachable: three times as many connect as there are
+// descriptors. Once discovery is back, the router must still be able to read the list and to reach a server
+// that only this list names.
+TEST_F(RouterProgram, IdleClientsFillTheDescriptors_DiscoveryAndServersAreReached) {
   FakeServer other(io, [](const std::string&) { return response(200, "y"); });
   sockets_ = 128;
   known_ = list_json(1, true, {});
@@ -113,12 +114,13 @@
   begin_watch();
   chunk(list_json(2, true, {{"s-new", other.address()}, {"s-origin", origin.address(), "origin"}}).dump() +
         "\n");
-  EXPECT_TRUE(serves());
+  EXPECT_TRUE(serves_a_read());
   EXPECT_EQ(other.requests.size(), 1U);
 }
 
-// Twenty at once, and discovery takes their calls and answers none: what is needed to serve is known before.
-TEST_F(Running, ManyThatStartAtOnceAreReadyThoughDiscoveryIsSlow) {
+// Discovery accepts the connections of twenty routers and answers none: each serves with the list in its
+// configuration.
+TEST_F(RouterProgram, SimultaneousStartsWithSlowDiscovery_AreReady) {
   std::vector<std::shared_ptr<Peer>> watches;
   std::function<void()> accept = [&] {
     discovery.async_accept([&](net::error_code error, net::tcp::socket socket) {
@@ -133,13 +135,13 @@
   quiet(10);
 }
 
-TEST_F(Running, SighupWhileItStopsDoesNotEndIt) {
+TEST_F(RouterProgram, SighupDuringShutdown_DoesNotEndTheProcess) {
   run();
   FakeClient one(io, listen_);
   one.ask(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   signal(SIGTERM);
-  // It no longer calls itself ready, or no longer listens: it has taken the signal.
+  // The router has handled the signal once it reports that it is not ready, or no longer listens.
   ASSERT_TRUE(wait_for([&] { return !is_ready(listen_); }));
   signal(SIGHUP);
   quiet();
--- a/tests/daemon/slow_start_test.cpp
+++ b/tests/daemon/slow_start_test.cpp
@@ -1,6 +1,7 @@
-/// Twenty router processes and one starting cache server: what they send it together, counted at the server.
-/// All clients read one key whose server is the starting one, and one read in three at the others is
-/// rejected: a router that gives it the whole of its share, or retries there, is far over the bound.
+/// Twenty router processes and one cache server in slow start: the requests that all of them send it together
+/// are counted at the server. All clients read one key of the starting server, and one read in three at the
+/// other servers is rejected. A router that sends it the full share of a warm server, or sends retries to it
+/// without regard to the slow start, exceeds the bound.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,17 +25,17 @@
 
 constexpr std::size_t kRouters = 20;
 constexpr std::size_t kWarmServers = 19;
-constexpr milliseconds kPace{50};  // between two requests of one client
-constexpr int kRequestsOfAClient = 60;
-constexpr int kRestartsAfter = 30;  // requests of each client: then the server starts anew
+constexpr milliseconds kRequestInterval{50};  // of one client
+constexpr int kRequestsPerClient = 60;
+constexpr int kRestartAfter = 30;  // requests of each client, then the server restarts
 
 constexpr double kColdShare = 0.2;
 constexpr double kOverloadFactor = 3;
 constexpr seconds kColdTime{60};
 constexpr seconds kLoadWindow{1};
-constexpr double kUsualLoad = 0.45;  // of what a warm server can do, at the clients' pace over all servers
-constexpr double kPerSecond = static_cast<double>(kRouters) / 0.05;
-constexpr double kCapacity = kPerSecond / (kWarmServers + 1) / kUsualLoad;
+constexpr double kNormalLoad = 0.45;  // share of a warm server's capacity that the clients use on average
+constexpr double kRequestsPerSecond = static_cast<double>(kRouters) / 0.05;
+constexpr double kCapacity = kRequestsPerSecond / (kWarmServers + 1) / kNormalLoad;
 
 std::int64_t wall_clock_ms() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -45,7 +46,8 @@
   return request_text("GET", "/tile-read/" + key, "tile-read", "", "4.0");
 }
 
-// One client of one router: it asks at a steady pace, and leaves a turn out while it waits for an answer.
+// A client of one router: it sends requests at a constant interval and skips a turn while it waits for a
+// response.
 class PacedClient {
  public:
   PacedClient(asio::io_context& io, const net::tcp::endpoint& router, std::string text_key)
@@ -63,8 +65,8 @@
       ++asked_;
       client_.ask(read_of(key_));
     }
-    if (turns_ == kRequestsOfAClient) return;
-    timer_.expires_after(kPace);
+    if (turns_ == kRequestsPerClient) return;
+    timer_.expires_after(kRequestInterval);
     timer_.async_wait([this](net::error_code cancelled) {
       if (!cancelled) turn();
     });
@@ -84,7 +86,7 @@
       first_line_ = message.substr(0, message.find("\r\n"));
       return response(200, "x");
     };
-    // One read in three is turned away unseen, so that it is retried at another server.
+    // One read in three is rejected without execution, so that the router retries it at another server.
     warm_.answer = [this](const std::string&) {
       const bool rejected = rejects_ && ++warm_calls_ % 3 == 0;
       return rejected ? response(503, "", "X-Turned-Away: 1\r\n") : response(200, "x");
@@ -102,7 +104,7 @@
     return out;
   }
 
-  // Starts a router that knows the list from its first moment, and returns the clients' address of it.
+  // Starts a router whose configuration holds the list. Returns the address for clients.
   net::tcp::endpoint start_router(std::int64_t up_since_ms) {
     constexpr std::size_t kSockets = 256;
     const std::string listen = "127.0.0.1:" + std::to_string(standin::free_port(io_));
@@ -140,7 +142,7 @@
     });
   }
 
-  // A key whose server is the one that starts later: found through a router to which all servers are warm.
+  // Finds a key of the server that starts later, through a router to which all servers are warm.
   std::string find_key_of_starting_server() {
     const net::tcp::endpoint router = start_router(0);
     if (!wait_until_listening(router)) return {};
@@ -160,7 +162,8 @@
     discovery_->change(members(wall_clock_ms()));
   }
 
-  // The most calls that a window of the starting server may have, by what it can do at its begin.
+  // The maximum number of calls at the starting server within a window, by its capacity at the begin of the
+  // window.
   static double bound_at(SteadyTime at, SteadyTime started) {
     const double warm = std::min(1.0, std::chrono::duration<double>(at - started) / kColdTime);
     const double budget = kOverloadFactor * kCapacity * (kColdShare + (1 - kColdShare) * warm) *
@@ -184,7 +187,7 @@
   std::uint64_t warm_calls_ = 0;
 };
 
-TEST_F(SlowStartFleet, TwentyProcessesStayWithinTheBudgetOfAStartingServer) {
+TEST_F(SlowStartFleet, TwentyRouters_StayWithinTheBudgetOfAStartingServer) {
   const std::string key = find_key_of_starting_server();
   ASSERT_FALSE(key.empty());
   ASSERT_NE(first_line_.find(key), std::string::npos);
@@ -200,20 +203,20 @@
   std::vector<std::unique_ptr<PacedClient>> clients;
   for (const net::tcp::endpoint& router : routers)
     clients.push_back(std::make_unique<PacedClient>(io_, router, key));
-  const auto all_have_turned = [&](int turns) {
+  const auto all_have_taken = [&](int turns) {
     return std::all_of(clients.begin(), clients.end(),
                        [&](const auto& one) { return one->turns() >= turns; });
   };
-  ASSERT_TRUE(wait_for([&] { return all_have_turned(kRestartsAfter); }));
+  ASSERT_TRUE(wait_for([&] { return all_have_taken(kRestartAfter); }));
   start_server();
-  ASSERT_TRUE(wait_for([&] { return all_have_turned(kRequestsOfAClient); }));
+  ASSERT_TRUE(wait_for([&] { return all_have_taken(kRequestsPerClient); }));
   ASSERT_TRUE(wait_for([&] {
     return std::all_of(clients.begin(), clients.end(),
                        [](const auto& one) { return one->answered() == one->asked(); });
   }));
 
   std::size_t worst = 0;
-  double bound_there = 0;
+  double bound_of_worst = 0;
   for (std::size_t first = 0; first < calls_.size(); ++first) {
     std::size_t last = first;
     while (last < calls_.size() && calls_[last].at < calls_[first].at + kLoadWindow) ++last;
@@ -221,11 +224,11 @@
     EXPECT_LE(static_cast<double>(last - first), bound);
     if (last - first > worst) {
       worst = last - first;
-      bound_there = bound;
+      bound_of_worst = bound;
     }
   }
   std::printf("%zu calls, %zu of %.1f in the worst window; %llu at warm servers\n", calls_.size(), worst,
-              bound_there, static_cast<unsigned long long>(warm_calls_));
+              bound_of_worst, static_cast<unsigned long long>(warm_calls_));
   EXPECT_GT(calls_.size(), 0U);
   EXPECT_GT(warm_calls_, 0U);
 }
--- a/tests/management/command_test.cpp
+++ b/tests/management/command_test.cpp
@@ -1,4 +1,4 @@
-// An operator's line: its pieces, its end, its command.
+// The management protocol: lines in pieces, line ends and commands.
 #include "management/command.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +11,18 @@
 using State = LineReader::State;
 
 Command command_of(std::string_view line) {
-  const auto read = parse_command(line);
-  const Command* command = std::get_if<Command>(&read);
+  const auto parsed = parse_command(line);
+  const Command* command = std::get_if<Command>(&parsed);
   EXPECT_NE(command, nullptr) << line;
   return command != nullptr ? *command : Command{};
 }
 std::string error_of(std::string_view line) {
-  const auto read = parse_command(line);
-  const ParseError* error = std::get_if<ParseError>(&read);
+  const auto parsed = parse_command(line);
+  const ParseError* error = std::get_if<ParseError>(&parsed);
   return error != nullptr ? error->message : "";
 }
 
-TEST(ManagementLine, EachCallIsRead) {
+TEST(ManagementCommand, EachCommand_IsParsed) {
   EXPECT_EQ(command_of("HEALTH").kind, Command::Kind::health);
   EXPECT_EQ(command_of("DUMP").kind, Command::Kind::dump);
   EXPECT_EQ(command_of("LEAVE").kind, Command::Kind::leave);
@@ -34,7 +34,7 @@
   EXPECT_EQ(command_of("  ONLINE \t s-5be2a07c  ").endpoint_id, "s-5be2a07c");
 }
 
-TEST(ManagementLine, WhatIsNoCallIsToldWhy) {
+TEST(ManagementCommand, InvalidLine_GivesTheReason) {
   EXPECT_EQ(error_of(""), "the line is empty");
   EXPECT_EQ(error_of(" \t "), "the line is empty");
   EXPECT_NE(error_of("health").find("no such call"), std::string::npos);
@@ -47,7 +47,7 @@
   EXPECT_EQ(error_of("LEAVE\x7f"), "the line holds bytes that are no text");
 }
 
-TEST(ManagementLine, ItEndsWithLfOrCrLfInPiecesOfAnySize) {
+TEST(ManagementCommand, LfOrCrLf_EndsALineInPiecesOfAnySize) {
   for (const std::string end : {"\n", "\r\n"})
     for (std::size_t piece = 1; piece <= 12; ++piece) {
       const std::string text = "OFFLINE s-1" + end + "more";
@@ -60,7 +60,7 @@
     }
 }
 
-TEST(ManagementLine, WithoutAnEndItIsWholeWhenItsSenderStops) {
+TEST(ManagementCommand, EndOfInput_CompletesTheLine) {
   LineReader reader;
   EXPECT_EQ(reader.append("HEAL"), State::incomplete);
   EXPECT_EQ(reader.append("TH\r"), State::incomplete);
@@ -70,7 +70,7 @@
   EXPECT_EQ(none.finish(), State::incomplete);
 }
 
-TEST(ManagementLine, OneByteTooManyIsTooLongAndNothingGrows) {
+TEST(ManagementCommand, LineOverTheLimit_IsTooLongAndDoesNotGrow) {
   const std::string longest(LineReader::kMaxSize, 'x');
   LineReader fits;
   EXPECT_EQ(fits.append(longest + "\r"), State::incomplete);
@@ -82,26 +82,26 @@
   EXPECT_LE(over.line().size(), LineReader::kMaxSize + 2);
 }
 
-// Whatever comes, in whatever pieces: one verdict, the same in one piece, within the bound.
-TEST(ManagementLine, AnyBytesHaveOneVerdictHoweverTheyArePieced) {
+// Random bytes give the same result in pieces as in one piece.
+TEST(ManagementCommand, RandomBytes_GiveTheSameResultInAnyPieces) {
   std::mt19937 random(20261201);
   const std::string letters = "HEALTH DUMPOFFLINE\t\r\n\0\x7f\xff s-1";
   for (int i = 0; i < 5'000; ++i) {
     std::string text;
     for (unsigned length = random() % 40; text.size() < length;) text += letters[random() % letters.size()];
     LineReader whole, pieces;
-    const State at_once = whole.append(text);
+    const State expected = whole.append(text);
     State state = State::incomplete;
     for (std::size_t at = 0; at < text.size() && state == State::incomplete;) {
       const std::size_t piece = 1 + random() % 5;
       state = pieces.append(std::string_view(text).substr(at, piece));
       at += piece;
     }
-    ASSERT_EQ(state, at_once);
+    ASSERT_EQ(state, expected);
     if (state == State::complete) {
       ASSERT_EQ(pieces.line(), whole.line());
-      const auto read = parse_command(whole.line());
-      const ParseError* error = std::get_if<ParseError>(&read);
+      const auto parsed = parse_command(whole.line());
+      const ParseError* error = std::get_if<ParseError>(&parsed);
       ASSERT_TRUE(error == nullptr || !error->message.empty());
     }
   }
--- a/tests/management/operators_test.cpp
+++ b/tests/management/operators_test.cpp
@@ -1,4 +1,4 @@
-// Operators at work on a running router: calls, figures, cache servers out by hand, drains.
+// Management commands on a running router: answers, metrics, disabled cache servers, drains.
 #include <map>
 #include <thread>
 
@@ -9,7 +9,7 @@
 
 using json = nlohmann::json;
 
-class Managed : public Loopback {
+class ManagementServer : public Loopback {
  protected:
   void begin(const std::vector<MemberText>& members) { begin_with(list_json(1, true, members)); }
   void begin() {
@@ -24,43 +24,43 @@
     listen = any_port();
     host = std::make_unique<daemon::Host>(io, clock, settings);
   }
-  // What is answered to these bytes by the connection's end.
-  std::string says(const std::string& bytes, bool half_close = false) {
-    Caller caller(io, *host->operators().address());
-    caller.peer->write(bytes);
+  // Sends `bytes` on a new connection. Returns the answer when the connection has ended.
+  std::string answer_to(const std::string& bytes, bool half_close = false) {
+    Connection connection(io, *host->operators().address());
+    connection.peer->write(bytes);
     net::error_code ignored;
-    if (half_close) caller.peer->socket.shutdown(net::tcp::socket::shutdown_send, ignored);
-    EXPECT_TRUE(wait_for([&] { return caller.peer->ended; }));
-    return caller.peer->got;
+    if (half_close) connection.peer->socket.shutdown(net::tcp::socket::shutdown_send, ignored);
+    EXPECT_TRUE(wait_for([&] { return connection.peer->ended; }));
+    return connection.peer->got;
   }
-  std::string call(const std::string& line) { return says(line + "\n"); }
-  json figures() {
+  std::string call(const std::string& line) { return answer_to(line + "\n"); }
+  json metrics() {
     const std::string text = call("DUMP");
     EXPECT_EQ(text.substr(text.find('\n')), "\n--\n");
     return json::parse(text.substr(0, text.find('\n')));
   }
-  struct Caller {
-    Caller(asio::io_context& io, const net::tcp::endpoint& to) {
+  struct Connection {
+    Connection(asio::io_context& io, const net::tcp::endpoint& to) {
       net::tcp::socket socket(io);
       socket.connect(to);
       peer = std::make_shared<Peer>(std::move(socket));
       peer->read([](Peer&) {});
     }
-    ~Caller() {
+    ~Connection() {
       peer->muted = true;
       peer->close();
     }
     std::shared_ptr<Peer> peer;
   };
-  int up() {
+  int health_status() {
     const auto one = client();
     one->ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
     return one->answers.empty() ? 0 : one->status();
   }
   std::string read_of(int key) { return request_text("GET", "/read/" + std::to_string(key), "read"); }
-  // Asks for so many keys, one after the other, on one connection.
-  void ask_for(int keys) {
+  // Reads `keys` keys, one after another, on one connection.
+  void read_keys(int keys) {
     const auto one = client();
     for (int key = 0; key < keys; ++key) {
       one->ask(read_of(key));
@@ -72,22 +72,22 @@
   FakeServer second{io};
 };
 
-TEST_F(Managed, EachCallHasOneAnswerAndTheEndAndMistakesAreToldWhy) {
+TEST_F(ManagementServer, EachCommand_GetsOneAnswerAndInvalidOnesAReason) {
   begin();
   EXPECT_EQ(call("HEALTH"), "ACK serving\n");
-  EXPECT_EQ(says("HEALTH\r\n"), "ACK serving\n");
-  EXPECT_EQ(says("HEALTH", true), "ACK serving\n");
-  EXPECT_EQ(says("HEALTH\nHEALTH\n"), "ACK serving\n");
+  EXPECT_EQ(answer_to("HEALTH\r\n"), "ACK serving\n");
+  EXPECT_EQ(answer_to("HEALTH", true), "ACK serving\n");
+  EXPECT_EQ(answer_to("HEALTH\nHEALTH\n"), "ACK serving\n");
   for (const std::string bad : {"\n", "GET / HTTP/1.1\r\n\r\n", "OFFLINE\n", "ONLINE a b\n", "\x01\xff\n"})
-    EXPECT_EQ(says(bad).rfind("NAK ", 0), 0U) << bad;
-  EXPECT_EQ(says(std::string(5'000, 'x')), "NAK the line is too long\n");
-  EXPECT_EQ(says("", true), "");
+    EXPECT_EQ(answer_to(bad).rfind("NAK ", 0), 0U) << bad;
+  EXPECT_EQ(answer_to(std::string(5'000, 'x')), "NAK the line is too long\n");
+  EXPECT_EQ(answer_to("", true), "");
   EXPECT_EQ(host->operators().address()->address().to_string(), "127.0.0.1");
 }
 
-// What the version before the shared file became durable answered to the same calls in the same order.
-TEST_F(Managed, EachCallIsAnsweredInTheWordsOfEarlierVersions) {
-  const auto figures_with = [](int down) {
+// Answers recorded from the version before the shared file became durable, for the same sequence of commands.
+TEST_F(ManagementServer, Answers_AreTheSameAsInEarlierVersions) {
+  const auto metrics_with = [](int down) {
     return R"({"success":{"pay":0,"read":0,"save":0},"busy":{"pay":0,"read":0,"save":0},)"
            R"("failure":{"pay":0,"read":0,"save":0},"backend_calls":0,"inflight":0,"hosts_listed":2,"hosts_down":)" +
            std::to_string(down) +
@@ -96,7 +96,7 @@
   };
   const std::vector<std::pair<std::string, std::string>> recorded = {
       {"HEALTH\n", "ACK serving\n"},
-      {"DUMP\n", figures_with(0)},
+      {"DUMP\n", metrics_with(0)},
       {"FLEET\n", "NAK this router keeps no view of its fleet\n"},
       {"SHARES\n", "NAK this router shares no limits\n"},
       {"OFFLINE s-none\n", "NAK no cache server has the id s-none\n"},
@@ -106,7 +106,7 @@
       {"ONLINE s-cache\n", "ACK s-cache was not left out\n"},
       {"OFFLINE s-cache\n", "ACK s-cache is left out\n"},
       {"OFFLINE s-cache\n", "ACK s-cache is left out\n"},
-      {"DUMP\n", figures_with(1)},
+      {"DUMP\n", metrics_with(1)},
       {"ONLINE s-cache\n", "ACK s-cache is used again\n"},
       {"ONLINE s-cache\n", "ACK s-cache was not left out\n"},
       {"LEAVE\n", "ACK clients are sent away\n"},
@@ -114,7 +114,7 @@
       {"HEALTH\n", "ACK serving\n"},
       {"JOIN\n", "ACK clients are taken\n"},
       {"JOIN\n", "ACK clients are taken\n"},
-      {"DUMP\n", figures_with(0)},
+      {"DUMP\n", metrics_with(0)},
       {"\n", "NAK the line is empty\n"},
       {"health\n",
        "NAK no such call; there are HEALTH, DUMP, OFFLINE ID, ONLINE ID, LEAVE, JOIN, FLEET and SHARES\n"},
@@ -124,27 +124,27 @@
       {"LEAVE\t\x01\n", "NAK the line holds bytes that are no text\n"},
   };
   begin();
-  for (const auto& [sent, answer] : recorded) EXPECT_EQ(says(sent), answer) << sent;
+  for (const auto& [sent, answer] : recorded) EXPECT_EQ(answer_to(sent), answer) << sent;
 }
 
-TEST_F(Managed, CallersThatSayNothingKeepNobodyOut) {
+TEST_F(ManagementServer, IdleConnections_DoNotBlockCommands) {
   begin();
-  std::vector<std::unique_ptr<Caller>> silent;
+  std::vector<std::unique_ptr<Connection>> idle;
   for (int i = 0; i < 40; ++i) {
-    silent.push_back(std::make_unique<Caller>(io, *host->operators().address()));
-    if (i % 2 == 0) silent.back()->peer->write("HEAL");
+    idle.push_back(std::make_unique<Connection>(io, *host->operators().address()));
+    if (i % 2 == 0) idle.back()->peer->write("HEAL");
   }
   for (int i = 0; i < 5; ++i) EXPECT_EQ(call("HEALTH"), "ACK serving\n");
-  // Not because the others' time was up: some are still there.
-  EXPECT_FALSE(std::all_of(silent.begin(), silent.end(), [](const auto& one) { return one->peer->ended; }));
-  EXPECT_EQ(figures()["inflight"], 0);
-  // Each has its time.
+  // The commands were not answered because the idle connections timed out: some are still open.
+  EXPECT_FALSE(std::all_of(idle.begin(), idle.end(), [](const auto& one) { return one->peer->ended; }));
+  EXPECT_EQ(metrics()["inflight"], 0);
+  // All are closed at their timeout.
   EXPECT_TRUE(wait_for([&] {
-    return std::all_of(silent.begin(), silent.end(), [](const auto& one) { return one->peer->ended; });
+    return std::all_of(idle.begin(), idle.end(), [](const auto& one) { return one->peer->ended; });
   }));
 }
 
-TEST_F(Managed, WhatClientsGotAndServersSawIsWhatTheFiguresSay) {
+TEST_F(ManagementServer, Metrics_MatchClientsAndServers) {
   begin({{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}});
   int turn = 0;
   cache.answer = [&](const std::string&) {
@@ -154,54 +154,54 @@
   origin.answer = [](const std::string& message) {
     return message.rfind("PUT /pay", 0) == 0 ? response(500) : response(200, "o");
   };
-  ask_for(9);
+  read_keys(9);
   const auto one = client();
   one->ask(request_text("PUT", "/pay/1", "pay", "x"));
   one->ask(request_text("GET", "/nothing/1", "nothing"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
   EXPECT_EQ(one->status(0), 502);
   EXPECT_EQ(one->status(1), 400);
-  const json told = figures();
-  EXPECT_EQ(told["success"], (json{{"read", 9}, {"save", 0}, {"pay", 0}}));
-  EXPECT_EQ(told["failure"], (json{{"read", 0}, {"save", 0}, {"pay", 1}}));
-  EXPECT_EQ(told["busy"], (json{{"read", 0}, {"save", 0}, {"pay", 0}}));
-  EXPECT_EQ(told["backend_calls"], cache.requests.size() + origin.requests.size());
-  EXPECT_EQ(told["inflight"], 0);
-  EXPECT_EQ(told["hosts_listed"], 1);
-  EXPECT_EQ(told["hosts_down"], 0);
+  const json metrics_now = metrics();
+  EXPECT_EQ(metrics_now["success"], (json{{"read", 9}, {"save", 0}, {"pay", 0}}));
+  EXPECT_EQ(metrics_now["failure"], (json{{"read", 0}, {"save", 0}, {"pay", 1}}));
+  EXPECT_EQ(metrics_now["busy"], (json{{"read", 0}, {"save", 0}, {"pay", 0}}));
+  EXPECT_EQ(metrics_now["backend_calls"], cache.requests.size() + origin.requests.size());
+  EXPECT_EQ(metrics_now["inflight"], 0);
+  EXPECT_EQ(metrics_now["hosts_listed"], 1);
+  EXPECT_EQ(metrics_now["hosts_down"], 0);
 }
 
-TEST_F(Managed, WhatIsInWorkIsInFlightUntilItsAnswerIsOutAndLeftIsNoEnd) {
+TEST_F(ManagementServer, OpenRequests_AreInFlightUntilTheirResponseIsComplete) {
   begin({{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}});
   auto one = client();
   auto two = client();
   one->ask(a_read());
   two->ask(request_text("GET", "/read/2", "read"));
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 2; }));
-  EXPECT_EQ(figures()["inflight"], 2);
+  EXPECT_EQ(metrics()["inflight"], 2);
   two.reset();
   ASSERT_TRUE(wait_for([&] { return host->counts().cancelled_by_client == 1; }));
-  EXPECT_EQ(figures()["inflight"], 1);
-  // In parts: it ends with its last byte, and broken half-way it failed.
+  EXPECT_EQ(metrics()["inflight"], 1);
+  // A streamed response ends with its last byte; when the connection breaks before that, the request failed.
   std::string& first = cache.requests[0];
   const auto& peer = first.find("/read/2 ") == std::string::npos ? cache.peers[0] : cache.peers[1];
   peer->write("HTTP/1.1 200 X\r\nContent-Length: 2000000\r\n\r\n" + std::string(1'000'000, 'x'));
   ASSERT_TRUE(wait_for([&] { return one->peer->got.size() > 500'000; }));
-  EXPECT_EQ(figures()["inflight"], 1);
-  EXPECT_EQ(figures()["success"]["read"], 0);
+  EXPECT_EQ(metrics()["inflight"], 1);
+  EXPECT_EQ(metrics()["success"]["read"], 0);
   peer->close();
   ASSERT_TRUE(wait_for([&] { return one->peer->ended; }));
-  EXPECT_EQ(figures()["inflight"], 0);
-  EXPECT_EQ(figures()["failure"]["read"], 1);
-  EXPECT_EQ(figures()["success"]["read"], 0);
+  EXPECT_EQ(metrics()["inflight"], 0);
+  EXPECT_EQ(metrics()["failure"]["read"], 1);
+  EXPECT_EQ(metrics()["success"]["read"], 0);
 }
 
-TEST_F(Managed, AServerLeftOutGetsNothingWhateverTheListSaysAndIsUsedAgainWhenCalledBack) {
+TEST_F(ManagementServer, DisabledServer_GetsNothingUntilItIsEnabled) {
   cache.answer = second.answer = [](const std::string&) { return response(200, "x"); };
   begin();
   accept_watch();
   begin_watch();
-  ask_for(30);
+  read_keys(30);
   ASSERT_GT(cache.requests.size(), 0U);
   ASSERT_GT(second.requests.size(), 0U);
   EXPECT_EQ(call("OFFLINE s-none").rfind("NAK ", 0), 0U);
@@ -210,11 +210,11 @@
   EXPECT_EQ(call("ONLINE s-cache").rfind("ACK ", 0), 0U);
   EXPECT_EQ(call("OFFLINE s-cache").rfind("ACK ", 0), 0U);
   EXPECT_EQ(call("OFFLINE s-cache").rfind("ACK ", 0), 0U);
-  EXPECT_EQ(figures()["hosts_down"], 1);
-  EXPECT_EQ(figures()["hosts_listed"], 2);
+  EXPECT_EQ(metrics()["hosts_down"], 1);
+  EXPECT_EQ(metrics()["hosts_listed"], 2);
   const std::size_t before = cache.requests.size();
-  ask_for(30);
-  // The list tells it anew, loses it, and has it back.
+  read_keys(30);
+  // Lists repeat the server, omit it, and contain it again.
   for (const auto& members : std::vector<std::vector<MemberText>>{
            {{"s-cache", cache.address()},
             {"s-second", second.address()},
@@ -226,17 +226,18 @@
     static int revision = 10;
     chunk(list_json(static_cast<std::uint64_t>(++revision), true, members).dump() + "\n");
     quiet(50);
-    ask_for(30);
+    read_keys(30);
   }
   EXPECT_EQ(cache.requests.size(), before);
   EXPECT_EQ(call("ONLINE s-cache").rfind("ACK ", 0), 0U);
-  EXPECT_EQ(figures()["hosts_down"], 0);
-  ask_for(60);
+  EXPECT_EQ(metrics()["hosts_down"], 0);
+  read_keys(60);
   EXPECT_GT(cache.requests.size(), before);
 }
 
-// Restarted while it was out, and the list does not say so: it warms up.
-TEST_F(Managed, AServerThatIsCalledBackCountsAsCold) {
+// The server may have restarted while it was disabled, without a new start time in the list: it gets a slow
+// start.
+TEST_F(ManagementServer, EnabledServer_GetsASlowStart) {
   cache.answer = second.answer = [](const std::string&) { return response(200, "x"); };
   const auto known = list_json(1, true,
                                {{"s-cache", cache.address()},
@@ -248,18 +249,18 @@
   settings = platform::parse_settings(config.dump());
   settings.management.emplace() = any_port();
   host = std::make_unique<daemon::Host>(io, clock, settings);
-  ask_for(200);
+  read_keys(200);
   const std::size_t warm = cache.requests.size();
   ASSERT_GT(warm, 50U);
   call("OFFLINE s-cache");
   call("ONLINE s-cache");
-  ask_for(200);
+  read_keys(200);
   EXPECT_GT(cache.requests.size(), warm);
   EXPECT_LT(cache.requests.size() - warm, warm / 2);
 }
 
-struct ManagedClockSteps : Managed, ::testing::WithParamInterface<Time> {
-  // Two caches, of which one that starts takes ten minutes to warm up.
+struct ManagementServerClockSteps : ManagementServer, ::testing::WithParamInterface<Time> {
+  // Two caches with a slow start of ten minutes.
   void begin_with_slow_start() {
     cache.answer = second.answer = [](const std::string&) { return response(200, "x"); };
     const auto known = list_json(1, true,
@@ -273,36 +274,37 @@
     settings.management.emplace() = any_port();
     host = std::make_unique<daemon::Host>(io, clock, settings);
   }
-  // Of 200 reads, those that came to s-cache: half of them where both are warm.
-  std::size_t part_of_cache() {
+  // The number of reads, of 200, that s-cache receives: about half when both caches are warm.
+  std::size_t reads_at_cache() {
     const std::size_t before = cache.requests.size();
-    ask_for(200);
+    read_keys(200);
     return cache.requests.size() - before;
   }
 };
 
-TEST_P(ManagedClockSteps, AServerCalledBackAfterTheStepIsCold) {
+TEST_P(ManagementServerClockSteps, ServerEnabledAfterTheStep_IsCold) {
   begin_with_slow_start();
-  ASSERT_GT(part_of_cache(), 50U);
+  ASSERT_GT(reads_at_cache(), 50U);
   call("OFFLINE s-cache");
   wall_steps += GetParam();
   call("ONLINE s-cache");
-  EXPECT_LT(part_of_cache(), 50U);
+  EXPECT_LT(reads_at_cache(), 50U);
 }
 
-// With each OFFLINE what was said long ago is forgotten; by the wall clock alone this may seem so.
-TEST_P(ManagedClockSteps, AServerCalledBackBeforeTheStepStaysCold) {
+// Each OFFLINE removes old overrides of enabled servers. After a step of the wall clock a recent override
+// must not count as old.
+TEST_P(ManagementServerClockSteps, ServerEnabledBeforeTheStep_StaysCold) {
   begin_with_slow_start();
   call("OFFLINE s-cache");
   call("ONLINE s-cache");
   wall_steps += GetParam();
   call("OFFLINE s-second");
   call("ONLINE s-second");
-  // Two cold servers share what comes; a warm one would have nearly all of it.
-  EXPECT_LT(part_of_cache(), 150U);
+  // Two cold servers share the reads; a warm one would receive nearly all of them.
+  EXPECT_LT(reads_at_cache(), 150U);
 }
 
-INSTANTIATE_TEST_SUITE_P(By, ManagedClockSteps,
+INSTANTIATE_TEST_SUITE_P(By, ManagementServerClockSteps,
                          ::testing::Values(Time{5'000'000}, Time{-5'000'000}, Time{3'600'000'000},
                                            Time{-3'600'000'000}),
                          [](const auto& info) {
@@ -310,7 +312,7 @@
                            return (seconds < 0 ? "Back" : "Forth") + std::to_string(std::abs(seconds)) + "s";
                          });
 
-TEST_F(Managed, ADrainSaysNoEndsConnectionsAndServesAndJoinEndsIt) {
+TEST_F(ManagementServer, Drain_ClosesConnectionsAndServesUntilJoin) {
   cache.answer = second.answer = [](const std::string&) { return response(200, "x"); };
   begin();
   EXPECT_EQ(call("JOIN").rfind("ACK ", 0), 0U);
@@ -322,18 +324,18 @@
   EXPECT_EQ(call("LEAVE").rfind("ACK ", 0), 0U);
   EXPECT_EQ(call("LEAVE").rfind("ACK ", 0), 0U);
   ASSERT_TRUE(wait_for([&] { return idle->peer->ended && silent->peer->ended; }));
-  EXPECT_EQ(up(), 503);
-  // The listener stays, what comes is served, and its connection ends.
+  EXPECT_EQ(health_status(), 503);
+  // The router still listens: a request on a new connection is served, and the connection is closed.
   const auto late = client();
   late->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return late->answers.size() == 1 && late->peer->ended; }));
   EXPECT_EQ(late->status(), 200);
   EXPECT_NE(late->answers[0].find("Connection: close"), std::string::npos);
-  const auto says_nothing = client();
-  ASSERT_TRUE(wait_for([&] { return says_nothing->peer->ended; }));
+  const auto silent_client = client();
+  ASSERT_TRUE(wait_for([&] { return silent_client->peer->ended; }));
   EXPECT_EQ(call("HEALTH"), "ACK serving\n");
   EXPECT_EQ(call("JOIN").rfind("ACK ", 0), 0U);
-  EXPECT_EQ(up(), 200);
+  EXPECT_EQ(health_status(), 200);
   const auto again = client();
   again->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return again->answers.size() == 1; }));
@@ -341,30 +343,30 @@
   EXPECT_FALSE(again->peer->ended);
 }
 
-TEST_F(Managed, DuringTheStopBothCallsAreAnsweredAndTheRouterStillEnds) {
+TEST_F(ManagementServer, LeaveAndJoinDuringShutdown_AreAnsweredAndItEnds) {
   begin();
   bool done = false;
   host->drain([&] { done = true; });
   EXPECT_EQ(call("LEAVE").rfind("ACK ", 0), 0U);
   EXPECT_EQ(call("JOIN").rfind("ACK ", 0), 0U);
-  EXPECT_EQ(up(), 503);
+  EXPECT_EQ(health_status(), 503);
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-TEST_F(Managed, WhoDoesNotTakeItsAnswerAwayIsDropped) {
+TEST_F(ManagementServer, AnswerNotRead_ConnectionIsClosed) {
   begin();
-  std::vector<std::unique_ptr<net::tcp::socket>> deaf;
+  std::vector<std::unique_ptr<net::tcp::socket>> unread;
   for (int i = 0; i < 5; ++i) {
-    deaf.push_back(std::make_unique<net::tcp::socket>(io));
-    deaf.back()->connect(*host->operators().address());
-    asio::write(*deaf.back(), asio::buffer(std::string("DUMP\n")));
+    unread.push_back(std::make_unique<net::tcp::socket>(io));
+    unread.back()->connect(*host->operators().address());
+    asio::write(*unread.back(), asio::buffer(std::string("DUMP\n")));
   }
   ASSERT_TRUE(wait_for([&] { return host->operators().server()->counts().answered == 5; }));
   EXPECT_TRUE(wait_for([&] { return host->operators().server()->open_connections() == 0; }));
 }
 
-// Refused before the engine sees them, they are refused all the same.
-TEST_F(Managed, WhatIsTurnedAwayUnreadStandsUnderBusy) {
+// Requests that the load shedder rejects before the engine sees them must count as rejected too.
+TEST_F(ManagementServer, RequestsRejectedByTheLoadShedder_CountAsBusy) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   settings = platform::parse_settings(
       config_json(
@@ -375,27 +377,27 @@
   settings.overload.target_loop_lag = 2'000;
   host = std::make_unique<daemon::Host>(io, clock, settings);
   LoopLoad load(io);
-  std::size_t served = 0, refused = 0;
+  std::size_t served = 0, rejected = 0;
   const auto one = client();
-  for (std::size_t asked = 0; refused < 3 && asked < 400; ++asked) {
+  for (std::size_t asked = 0; rejected < 3 && asked < 400; ++asked) {
     one->ask(a_read());
     ASSERT_TRUE(wait_for([&] { return one->answers.size() == asked + 1; }));
-    ++(one->status(asked) == 200 ? served : refused);
+    ++(one->status(asked) == 200 ? served : rejected);
   }
-  // The loop is as far behind for operators: they are answered.
+  // The loop is equally late for operators, and their commands are answered.
   EXPECT_EQ(call("HEALTH"), "ACK serving\n");
   load.end();
-  ASSERT_EQ(refused, 3U);
+  ASSERT_EQ(rejected, 3U);
   EXPECT_EQ(host->load_shedder().rejected(), 3U);
-  const json told = figures();
-  EXPECT_EQ(told["success"]["read"], served);
-  EXPECT_EQ(told["busy"]["read"], 3);
-  EXPECT_EQ(told["backend_calls"], cache.requests.size());
+  const json metrics_now = metrics();
+  EXPECT_EQ(metrics_now["success"]["read"], served);
+  EXPECT_EQ(metrics_now["busy"]["read"], 3);
+  EXPECT_EQ(metrics_now["backend_calls"], cache.requests.size());
 }
 
-// Many clients at once, of which some leave, over servers that miss, fail, break and turn away: each end that
-// a client saw stands once, and each attempt that a server had.
-TEST_F(Managed, UnderManyClientsTheFiguresAreWhatTheyGotAndWhatServersHad) {
+// Many concurrent clients over servers that miss, fail and reject: the metrics count each result that a
+// client saw once, and each attempt that a server received.
+TEST_F(ManagementServer, ManyClients_MetricsMatchClientsAndServers) {
   begin();
   int turn = 0;
   const auto answer = [&](const std::string&) {
@@ -410,7 +412,7 @@
   constexpr std::size_t kClients = 40, kEach = 10;
   std::vector<std::unique_ptr<FakeClient>> all;
   for (std::size_t i = 0; i < kClients; ++i) all.push_back(client());
-  std::map<std::string, engine::RequestMetrics::ClassCounts> got;
+  std::map<std::string, engine::RequestMetrics::ClassCounts> client_results;
   for (std::size_t round = 0; round < kEach; ++round) {
     for (std::size_t i = 0; i < kClients; ++i) {
       const std::string lane = i % 3 == 0 ? "save" : i % 3 == 1 ? "pay" : "read";
@@ -424,12 +426,14 @@
                          [&](const auto& one) { return one->answers.size() == round + 1; });
     }));
     for (std::size_t i = 0; i < kClients; ++i) {
-      engine::RequestMetrics::ClassCounts& ends = got[i % 3 == 0 ? "save" : i % 3 == 1 ? "pay" : "read"];
+      engine::RequestMetrics::ClassCounts& ends = client_results[i % 3 == 0   ? "save"
+                                                                 : i % 3 == 1 ? "pay"
+                                                                              : "read"];
       const int status = all[i]->status(round);
       ++(status == 200 ? ends.served : status == 503 || status == 429 ? ends.rejected : ends.failed);
     }
   }
-  // Cancelled copies may still be on their way to where they are counted.
+  // Cancelled hedges may not have been counted yet.
   ASSERT_TRUE(wait_for([&] {
     const auto dump = host->operators().dump();
     return dump.inflight == 0 &&
@@ -437,12 +441,12 @@
   }));
   const auto dump = host->operators().dump();
   for (const std::string name : {"read", "save", "pay"}) {
-    EXPECT_EQ(dump.classes.at(name).served, got[name].served) << name;
-    EXPECT_EQ(dump.classes.at(name).rejected, got[name].rejected) << name;
-    EXPECT_EQ(dump.classes.at(name).failed, got[name].failed) << name;
+    EXPECT_EQ(dump.classes.at(name).served, client_results[name].served) << name;
+    EXPECT_EQ(dump.classes.at(name).rejected, client_results[name].rejected) << name;
+    EXPECT_EQ(dump.classes.at(name).failed, client_results[name].failed) << name;
   }
-  EXPECT_GT(got["pay"].failed, 0U);
-  EXPECT_GT(got["read"].served, 0U);
+  EXPECT_GT(client_results["pay"].failed, 0U);
+  EXPECT_GT(client_results["read"].served, 0U);
 }
 
 }  // namespace
