--- a/tests/platform/node_settings_test.cpp
+++ b/tests/platform/node_settings_test.cpp
@@ -1,10 +1,10 @@
-// The configuration as it is read.
+// Parsing of the platform's configuration.
 #include "support/loopback.h"
 
 namespace streampick::test {
 namespace {
 
-TEST(NodeSettings, AreReadAsTheWiresAreAndUnknownKeysAreSkipped) {
+TEST(NodeSettings, ValidConfiguration_IsParsedAndUnknownKeysAreIgnored) {
   const platform::NodeSettings settings = platform::parse_settings(
       config_json("127.0.0.1:9",
                   list_json(41, true, {{"s-1", "127.0.0.1:8", "origin", "terminating", 1'700}}))
@@ -27,20 +27,20 @@
   EXPECT_EQ(settings.known.members[0].member.started, 1'700'000);
 }
 
-// What a configuration that can't be used is told as. `at` is a JSON pointer; no `value`: the key is taken
-// out.
-struct Mistake {
+// An invalid configuration and the expected error message. `at` is a JSON pointer; without a `value` the key
+// is removed.
+struct InvalidValue {
   const char* at;
   const char* value;
-  const char* told;
+  const char* message;
 };
-void PrintTo(const Mistake& mistake, std::ostream* out) {
-  *out << mistake.at << " = " << (mistake.value == nullptr ? "nothing" : mistake.value);
+void PrintTo(const InvalidValue& invalid, std::ostream* out) {
+  *out << invalid.at << " = " << (invalid.value == nullptr ? "nothing" : invalid.value);
 }
 
-class Mistakes : public ::testing::TestWithParam<Mistake> {};
+class InvalidNodeSettings : public ::testing::TestWithParam<InvalidValue> {};
 
-TEST_P(Mistakes, NameTheKeyWhatStandsThereAndWhatWasExpected) {
+TEST_P(InvalidNodeSettings, InvalidValue_IsReportedWithKeyValueAndExpectation) {
   nlohmann::json config = config_json(
       "127.0.0.1:9", list_json(41, true, {{"s-1", "127.0.0.1:8", "origin", "terminating", 1'700}}));
   config["settings"]["Tenants"] = {{{"Name", "acme"}, {"QuotaPerS", 10}}};
@@ -51,155 +51,166 @@
   } else {
     config.at(at.parent_pointer()).erase(at.back());
   }
-  std::string told;
+  std::string message;
   try {
     platform::parse_settings(config.dump());
   } catch (const std::exception& error) {
-    told = error.what();
+    message = error.what();
   }
-  EXPECT_EQ(told, GetParam().told);
+  EXPECT_EQ(message, GetParam().message);
 }
 
 #define ADDRESS "expected an address and a port, as 10.0.0.4:3000"
 INSTANTIATE_TEST_SUITE_P(
-    TopLevel, Mistakes,
+    TopLevel, InvalidNodeSettings,
     ::testing::Values(
-        Mistake{"", "[]",
-                "the document: there is an empty list, expected an object with the keys settings, listen and "
-                "discovery"},
-        Mistake{"", "null",
-                "the document: there is null, expected an object with the keys settings, listen and "
-                "discovery"},
-        Mistake{"", R"({"a":1})", "settings: missing, expected an object with the settings"},
-        Mistake{"/settings", "[1]", "settings: there is a list, expected an object with the settings"},
-        Mistake{"/name", "7", "name: there is 7, expected a text"},
-        Mistake{"/listen", nullptr, "listen: missing, " ADDRESS},
-        Mistake{"/listen", "3000", "listen: there is 3000, " ADDRESS},
-        Mistake{"/listen", R"("localhost")", "listen: there is \"localhost\", " ADDRESS},
-        Mistake{"/discovery", "null", "discovery: missing, " ADDRESS},
-        Mistake{"/discovery", "{}", "discovery: there is an empty object, " ADDRESS},
-        Mistake{"/discovery", R"("127.0.0.1:99999")", "discovery: there is \"127.0.0.1:99999\", " ADDRESS},
-        Mistake{"/seed", "[1]", "seed: there is a list, expected a whole number, or a text"},
-        Mistake{"/limits", "5", "limits: there is 5, expected an object"},
-        Mistake{"/limits/cores", "0", "limits.cores: there is 0, expected a number above 0"},
-        Mistake{"/limits/cores", R"("1")", "limits.cores: there is \"1\", expected a number above 0"},
-        Mistake{"/limits/memory_mb", "-1",
-                "limits.memory_mb: there is -1, expected a whole number from 1 to 1073741824"},
-        Mistake{"/limits/sockets", "true",
-                "limits.sockets: there is true, expected a whole number from 1 to 1073741824"},
-        Mistake{"/limits/sockets", "1.5",
-                "limits.sockets: there is 1.5, expected a whole number from 1 to 1073741824"}));
+        InvalidValue{
+            "", "[]",
+            "the document: there is an empty list, expected an object with the keys settings, listen and "
+            "discovery"},
+        InvalidValue{"", "null",
+                     "the document: there is null, expected an object with the keys settings, listen and "
+                     "discovery"},
+        InvalidValue{"", R"({"a":1})", "settings: missing, expected an object with the settings"},
+        InvalidValue{"/settings", "[1]", "settings: there is a list, expected an object with the settings"},
+        InvalidValue{"/name", "7", "name: there is 7, expected a text"},
+        InvalidValue{"/listen", nullptr, "listen: missing, " ADDRESS},
+        InvalidValue{"/listen", "3000", "listen: there is 3000, " ADDRESS},
+        InvalidValue{"/listen", R"("localhost")", "listen: there is \"localhost\", " ADDRESS},
+        InvalidValue{"/discovery", "null", "discovery: missing, " ADDRESS},
+        InvalidValue{"/discovery", "{}", "discovery: there is an empty object, " ADDRESS},
+        InvalidValue{"/discovery", R"("127.0.0.1:99999")",
+                     "discovery: there is \"127.0.0.1:99999\", " ADDRESS},
+        InvalidValue{"/seed", "[1]", "seed: there is a list, expected a whole number, or a text"},
+        InvalidValue{"/limits", "5", "limits: there is 5, expected an object"},
+        InvalidValue{"/limits/cores", "0", "limits.cores: there is 0, expected a number above 0"},
+        InvalidValue{"/limits/cores", R"("1")", "limits.cores: there is \"1\", expected a number above 0"},
+        InvalidValue{"/limits/memory_mb", "-1",
+                     "limits.memory_mb: there is -1, expected a whole number from 1 to 1073741824"},
+        InvalidValue{"/limits/sockets", "true",
+                     "limits.sockets: there is true, expected a whole number from 1 to 1073741824"},
+        InvalidValue{"/limits/sockets", "1.5",
+                     "limits.sockets: there is 1.5, expected a whole number from 1 to 1073741824"}));
 INSTANTIATE_TEST_SUITE_P(
-    Known, Mistakes,
+    Known, InvalidNodeSettings,
     ::testing::Values(
-        Mistake{"/known", "3", "known: there is 3, expected an object"},
-        Mistake{"/known/revision", nullptr, "known.revision: missing, expected a whole number"},
-        Mistake{"/known/revision", "-3", "known.revision: there is -3, expected a whole number from 0 on"},
-        Mistake{"/known/complete", "1", "known.complete: there is 1, expected true or false"},
-        Mistake{"/known/members", nullptr, "known.members: missing, expected a list of servers"},
-        Mistake{"/known/members", "{}",
-                "known.members: there is an empty object, expected a list of servers"},
-        Mistake{"/known/members/0", "1", "known.members[0]: there is 1, expected an object"},
-        Mistake{"/known/members/0/id", R"("")",
-                "known.members[0].id: there is \"\", expected a text of 1 to 256 bytes"},
-        Mistake{"/known/members/0/host_port", R"("x:1")",
-                "known.members[0].host_port: there is \"x:1\", expected an address and a port, as "
-                "10.1.0.18:3000"},
-        Mistake{"/known/members/0/phase", R"("up")",
-                "known.members[0].phase: there is \"up\", expected in_service, terminating or terminated"},
-        Mistake{"/known/members/0/locality", "1",
-                "known.members[0].locality: there is 1, expected a zone's name"},
-        Mistake{"/known/members/0/flavor", "[]",
-                "known.members[0].flavor: there is an empty list, expected a kind's name"},
-        Mistake{"/known/members/0/cell", "-1",
-                "known.members[0].cell: there is -1, expected a whole number from 0 to 4294967295"},
-        Mistake{"/known/members/0/size", "-0.5",
-                "known.members[0].size: there is -0.5, expected a number of 0 or more"},
-        Mistake{"/known/members/0/up_since_ms", R"("now")",
-                "known.members[0].up_since_ms: there is \"now\", expected milliseconds"}));
+        InvalidValue{"/known", "3", "known: there is 3, expected an object"},
+        InvalidValue{"/known/revision", nullptr, "known.revision: missing, expected a whole number"},
+        InvalidValue{"/known/revision", "-3",
+                     "known.revision: there is -3, expected a whole number from 0 on"},
+        InvalidValue{"/known/complete", "1", "known.complete: there is 1, expected true or false"},
+        InvalidValue{"/known/members", nullptr, "known.members: missing, expected a list of servers"},
+        InvalidValue{"/known/members", "{}",
+                     "known.members: there is an empty object, expected a list of servers"},
+        InvalidValue{"/known/members/0", "1", "known.members[0]: there is 1, expected an object"},
+        InvalidValue{"/known/members/0/id", R"("")",
+                     "known.members[0].id: there is \"\", expected a text of 1 to 256 bytes"},
+        InvalidValue{"/known/members/0/host_port", R"("x:1")",
+                     "known.members[0].host_port: there is \"x:1\", expected an address and a port, as "
+                     "10.1.0.18:3000"},
+        InvalidValue{
+            "/known/members/0/phase", R"("up")",
+            "known.members[0].phase: there is \"up\", expected in_service, terminating or terminated"},
+        InvalidValue{"/known/members/0/locality", "1",
+                     "known.members[0].locality: there is 1, expected a zone's name"},
+        InvalidValue{"/known/members/0/flavor", "[]",
+                     "known.members[0].flavor: there is an empty list, expected a kind's name"},
+        InvalidValue{"/known/members/0/cell", "-1",
+                     "known.members[0].cell: there is -1, expected a whole number from 0 to 4294967295"},
+        InvalidValue{"/known/members/0/size", "-0.5",
+                     "known.members[0].size: there is -0.5, expected a number of 0 or more"},
+        InvalidValue{"/known/members/0/up_since_ms", R"("now")",
+                     "known.members[0].up_since_ms: there is \"now\", expected milliseconds"}));
 #define LIMIT "/settings/PolicyLimits/"
-#define PROMISE "/settings/Guarantees/"
-#define FIRST "/settings/Profiles/0/"
+#define GUARANTEE "/settings/Guarantees/"
+#define FIRST_CLASS "/settings/Profiles/0/"
 INSTANTIATE_TEST_SUITE_P(
-    Settings, Mistakes,
+    Settings, InvalidNodeSettings,
     ::testing::Values(
-        Mistake{"/settings/Zones", R"({"a":1})",
-                "settings.Zones: there is 'an object or a list of them', expected a text"},
-        Mistake{"/settings/FamilyInfo", "5", "settings.FamilyInfo: there is '5', expected an object"},
-        Mistake{"/settings/FamilyInfo/OriginKind", nullptr,
-                "settings.FamilyInfo.OriginKind: missing, expected the place of the origin's kind in Shapes"},
-        Mistake{"/settings/FamilyInfo/OriginKind", R"("origin")",
-                "settings.FamilyInfo.OriginKind: there is 'origin', expected a number of -1 or more"},
-        Mistake{"/settings/Balancers", "-1",
-                "settings.Balancers: there is '-1', expected a whole number of 0 or more"},
-        Mistake{"/settings/PolicyLimits", R"("none")",
-                "settings.PolicyLimits: there is 'none', expected an object"},
-        Mistake{LIMIT "MaxAttempts", R"({"a":1})",
-                "settings.PolicyLimits.MaxAttempts: there is 'an object or a list of them', expected a whole "
-                "number of 0 or more"},
-        Mistake{LIMIT "SecondCopies", "2",
-                "settings.PolicyLimits.SecondCopies: there is '2', expected true or false"},
-        Mistake{LIMIT "Cancelling", R"("on")",
-                "settings.PolicyLimits.Cancelling: there is 'on', expected true or false"},
-        Mistake{LIMIT "RetryAfter", "[1,2]",
-                "settings.PolicyLimits.RetryAfter: there is '1,2', expected true or false"},
-        Mistake{LIMIT "MaxRetryAfterUs", "-1",
-                "settings.PolicyLimits.MaxRetryAfterUs: there is '-1', expected a whole number of 0 or more"},
-        Mistake{LIMIT "DialTimeoutUs", R"("0.25s")",
-                "settings.PolicyLimits.DialTimeoutUs: there is '0.25s', expected a whole number of 0 or "
-                "more"},
-        Mistake{LIMIT "KeepaliveUs", "true",
-                "settings.PolicyLimits.KeepaliveUs: there is 'true', expected a whole number of 0 or more"},
-        Mistake{"/settings/Costs", R"({"Connection":-2})",
-                "settings.Costs.Connection: there is '-2', expected a number of 0 or more"},
-        Mistake{PROMISE "AnswerSlackUs", "-5",
-                "settings.Guarantees.AnswerSlackUs: there is '-5', expected a whole number of 0 or more"},
-        Mistake{PROMISE "StopSendingWithinUs", R"("soon")",
-                "settings.Guarantees.StopSendingWithinUs: there is 'soon', expected a whole number of 0 or "
-                "more"},
-        Mistake{PROMISE "ColdUs", "-1",
-                "settings.Guarantees.ColdUs: there is '-1', expected a whole number of 0 or more"},
-        Mistake{"/settings/Tenants", "[1,2]", "settings.Tenants: there is '1,2', expected a list of objects"},
-        Mistake{"/settings/Tenants/0/QuotaPerS", "-1",
-                "settings.Tenants[0].QuotaPerS: there is '-1', expected a number of 0 or more"}));
+        InvalidValue{"/settings/Zones", R"({"a":1})",
+                     "settings.Zones: there is 'an object or a list of them', expected a text"},
+        InvalidValue{"/settings/FamilyInfo", "5", "settings.FamilyInfo: there is '5', expected an object"},
+        InvalidValue{
+            "/settings/FamilyInfo/OriginKind", nullptr,
+            "settings.FamilyInfo.OriginKind: missing, expected the place of the origin's kind in Shapes"},
+        InvalidValue{"/settings/FamilyInfo/OriginKind", R"("origin")",
+                     "settings.FamilyInfo.OriginKind: there is 'origin', expected a number of -1 or more"},
+        InvalidValue{"/settings/Balancers", "-1",
+                     "settings.Balancers: there is '-1', expected a whole number of 0 or more"},
+        InvalidValue{"/settings/PolicyLimits", R"("none")",
+                     "settings.PolicyLimits: there is 'none', expected an object"},
+        InvalidValue{
+            LIMIT "MaxAttempts", R"({"a":1})",
+            "settings.PolicyLimits.MaxAttempts: there is 'an object or a list of them', expected a whole "
+            "number of 0 or more"},
+        InvalidValue{LIMIT "SecondCopies", "2",
+                     "settings.PolicyLimits.SecondCopies: there is '2', expected true or false"},
+        InvalidValue{LIMIT "Cancelling", R"("on")",
+                     "settings.PolicyLimits.Cancelling: there is 'on', expected true or false"},
+        InvalidValue{LIMIT "RetryAfter", "[1,2]",
+                     "settings.PolicyLimits.RetryAfter: there is '1,2', expected true or false"},
+        InvalidValue{
+            LIMIT "MaxRetryAfterUs", "-1",
+            "settings.PolicyLimits.MaxRetryAfterUs: there is '-1', expected a whole number of 0 or more"},
+        InvalidValue{LIMIT "DialTimeoutUs", R"("0.25s")",
+                     "settings.PolicyLimits.DialTimeoutUs: there is '0.25s', expected a whole number of 0 or "
+                     "more"},
+        InvalidValue{
+            LIMIT "KeepaliveUs", "true",
+            "settings.PolicyLimits.KeepaliveUs: there is 'true', expected a whole number of 0 or more"},
+        InvalidValue{"/settings/Costs", R"({"Connection":-2})",
+                     "settings.Costs.Connection: there is '-2', expected a number of 0 or more"},
+        InvalidValue{
+            GUARANTEE "AnswerSlackUs", "-5",
+            "settings.Guarantees.AnswerSlackUs: there is '-5', expected a whole number of 0 or more"},
+        InvalidValue{
+            GUARANTEE "StopSendingWithinUs", R"("soon")",
+            "settings.Guarantees.StopSendingWithinUs: there is 'soon', expected a whole number of 0 or "
+            "more"},
+        InvalidValue{GUARANTEE "ColdUs", "-1",
+                     "settings.Guarantees.ColdUs: there is '-1', expected a whole number of 0 or more"},
+        InvalidValue{"/settings/Tenants", "[1,2]",
+                     "settings.Tenants: there is '1,2', expected a list of objects"},
+        InvalidValue{"/settings/Tenants/0/QuotaPerS", "-1",
+                     "settings.Tenants[0].QuotaPerS: there is '-1', expected a number of 0 or more"}));
 INSTANTIATE_TEST_SUITE_P(
-    Profiles, Mistakes,
+    Profiles, InvalidNodeSettings,
     ::testing::Values(
-        Mistake{"/settings/Profiles", nullptr,
-                "settings.Profiles: missing, expected a list of at least one class"},
-        Mistake{"/settings/Profiles", "[]",
-                "settings.Profiles: missing, expected a list of at least one class"},
-        Mistake{FIRST "AimUs", "0",
-                "settings.Profiles[0].AimUs: there is '0', expected a whole number of 1 or more"},
-        Mistake{FIRST "HardLimitUs", nullptr,
-                "settings.Profiles[0].HardLimitUs: missing, expected a whole number of 1 or more"},
-        Mistake{FIRST "Worth", R"("much")",
-                "settings.Profiles[0].Worth: there is 'much', expected a number of 0 or more"},
-        Mistake{FIRST "WindowUs", "-1",
-                "settings.Profiles[0].WindowUs: there is '-1', expected a whole number of 0 or more"},
-        Mistake{FIRST "Effect", nullptr,
-                "settings.Profiles[0].Effect: missing, expected safe, keyed or unsafe"},
-        Mistake{FIRST "Effect", R"("sometimes")",
-                "settings.Profiles[0].Effect: there is 'sometimes', expected safe, keyed or unsafe"},
-        Mistake{FIRST "Group", R"("rack")",
-                "settings.Profiles[0].Group: there is 'rack', expected all, zone or cell"}));
+        InvalidValue{"/settings/Profiles", nullptr,
+                     "settings.Profiles: missing, expected a list of at least one class"},
+        InvalidValue{"/settings/Profiles", "[]",
+                     "settings.Profiles: missing, expected a list of at least one class"},
+        InvalidValue{FIRST_CLASS "AimUs", "0",
+                     "settings.Profiles[0].AimUs: there is '0', expected a whole number of 1 or more"},
+        InvalidValue{FIRST_CLASS "HardLimitUs", nullptr,
+                     "settings.Profiles[0].HardLimitUs: missing, expected a whole number of 1 or more"},
+        InvalidValue{FIRST_CLASS "Worth", R"("much")",
+                     "settings.Profiles[0].Worth: there is 'much', expected a number of 0 or more"},
+        InvalidValue{FIRST_CLASS "WindowUs", "-1",
+                     "settings.Profiles[0].WindowUs: there is '-1', expected a whole number of 0 or more"},
+        InvalidValue{FIRST_CLASS "Effect", nullptr,
+                     "settings.Profiles[0].Effect: missing, expected safe, keyed or unsafe"},
+        InvalidValue{FIRST_CLASS "Effect", R"("sometimes")",
+                     "settings.Profiles[0].Effect: there is 'sometimes', expected safe, keyed or unsafe"},
+        InvalidValue{FIRST_CLASS "Group", R"("rack")",
+                     "settings.Profiles[0].Group: there is 'rack', expected all, zone or cell"}));
 #undef ADDRESS
 #undef LIMIT
-#undef PROMISE
-#undef FIRST
+#undef GUARANTEE
+#undef FIRST_CLASS
 
-TEST(NodeSettings, ThatAreNoJsonAreToldByTheirLine) {
-  const auto told = [](const std::string& text) -> std::string {
+TEST(NodeSettings, TextThatIsNotJson_IsReportedWithItsLine) {
+  const auto message_of = [](const std::string& text) -> std::string {
     try {
       platform::parse_settings(text);
     } catch (const std::exception& error) {
       return error.what();
     }
-    return "taken";
+    return "accepted";
   };
-  EXPECT_EQ(told("{\"listen\":\n  nonsense}"), "line 2: byte 14 can't be read, expected JSON");
-  EXPECT_EQ(told("{\"listen\":"), "line 1: the text ends, expected JSON");
-  EXPECT_EQ(told(""), "line 1: the text ends, expected JSON");
+  EXPECT_EQ(message_of("{\"listen\":\n  nonsense}"), "line 2: byte 14 can't be read, expected JSON");
+  EXPECT_EQ(message_of("{\"listen\":"), "line 1: the text ends, expected JSON");
+  EXPECT_EQ(message_of(""), "line 1: the text ends, expected JSON");
 }
 
 }  // namespace
--- a/tests/platform/reload_test.cpp
+++ b/tests/platform/reload_test.cpp
@@ -1,4 +1,5 @@
-// New settings while it serves: taken whole or turned down whole, and open requests keep their rules.
+// Reload of the configuration: it is applied or rejected as a whole, and open requests keep their former
+// rules.
 #include <unistd.h>
 
 #include <filesystem>
@@ -39,53 +40,54 @@
     EXPECT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
     return one->answers.empty() ? 0 : one->status();
   }
-  json& profile(std::size_t i) { return config_["settings"]["Profiles"][i]; }
+  json& class_settings(std::size_t i) { return config_["settings"]["Profiles"][i]; }
   std::filesystem::path file_;
   json config_;
 };
 
-TEST_F(Reload, ClassesAreAddedAndDroppedAndAnotherEffectHoldsForNewRequests) {
+TEST_F(Reload, AddedRemovedAndChangedClasses_HoldForNewRequests) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   begin();
   EXPECT_EQ(status_of(request_text("GET", "/look/1", "look")), 400);
-  json look = profile(0);
+  json look = class_settings(0);
   look["Name"] = "look";
   json without = config_;
   config_["settings"]["Profiles"].push_back(look);
   ASSERT_TRUE(reload(config_));
   EXPECT_EQ(status_of(request_text("GET", "/look/1", "look")), 200);
   EXPECT_EQ(status_of(request_text("PUT", "/pay/1", "pay", "x")), 200);
-  profile(2)["Effect"] = "keyed";
+  class_settings(2)["Effect"] = "keyed";
   ASSERT_TRUE(reload(config_));
-  EXPECT_EQ(status_of(request_text("PUT", "/pay/1", "pay", "x")), 400);  // it wants its key now
+  EXPECT_EQ(status_of(request_text("PUT", "/pay/1", "pay", "x")), 400);  // an idempotency key is required now
   EXPECT_EQ(status_of(request_text("PUT", "/pay/1", "pay", "x", "8.0", "Idempotency-Key: k\r\n")), 200);
   ASSERT_TRUE(reload(without));
   EXPECT_EQ(status_of(request_text("GET", "/look/1", "look")), 400);
-  const auto figures = host->operators().dump();
-  EXPECT_EQ(figures.classes.at("look").served, 1U);
-  EXPECT_EQ(figures.classes.at("pay").served, 2U);
-  EXPECT_EQ(figures.reconfig_ok, 3U);
-  EXPECT_EQ(figures.reconfig_failed, 0U);
+  const auto metrics = host->operators().dump();
+  EXPECT_EQ(metrics.classes.at("look").served, 1U);
+  EXPECT_EQ(metrics.classes.at("pay").served, 2U);
+  EXPECT_EQ(metrics.reconfig_ok, 3U);
+  EXPECT_EQ(metrics.reconfig_failed, 0U);
 }
 
-// An unsafe write that may have run fails; under its new class, keyed, it would have gone out again.
-TEST_F(Reload, AnOpenRequestKeepsTheRulesItWasTakenUnder) {
+// An unsafe write that may have run is not retried, though its class is keyed after the reload: its request
+// began before.
+TEST_F(Reload, OpenRequest_KeepsTheRulesOfItsStart) {
   begin();
   const auto one = client();
   one->ask(request_text("PUT", "/pay/1", "pay", "x"));
   ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 1; }));
-  profile(2)["Effect"] = "keyed";
-  profile(2)["HardLimitUs"] = 3'000'000;
+  class_settings(2)["Effect"] = "keyed";
+  class_settings(2)["HardLimitUs"] = 3'000'000;
   ASSERT_TRUE(reload(config_));
   origin.peers[0]->close();
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->status(), 502);
   EXPECT_EQ(origin.requests.size(), 1U);
-  // And the other way: kept as keyed, though the class is unsafe by now.
+  // The reverse: a keyed write is retried, though its class is unsafe after the reload.
   const auto two = client();
   two->ask(request_text("PUT", "/pay/1", "pay", "x", "3.0", "Idempotency-Key: k\r\n"));
   ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 2; }));
-  profile(2)["Effect"] = "unsafe";
+  class_settings(2)["Effect"] = "unsafe";
   ASSERT_TRUE(reload(config_));
   origin.answer = [](const std::string&) { return response(200, "done"); };
   origin.peers[1]->close();
@@ -94,24 +96,24 @@
   EXPECT_EQ(origin.requests.size(), 3U);
 }
 
-TEST_F(Reload, FewerAttemptsHoldForNewRequestsOnly) {
+TEST_F(Reload, LowerAttemptLimit_HoldsForNewRequestsOnly) {
   begin();
-  const auto turned_away = [](const std::string&) { return response(503, "", "X-Turned-Away: 1\r\n"); };
+  const auto rejected_response = [](const std::string&) { return response(503, "", "X-Turned-Away: 1\r\n"); };
   const auto one = client();
   one->ask(request_text("PUT", "/pay/1", "pay", "x", "2.0"));
   ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 1; }));
   config_["settings"]["PolicyLimits"]["MaxAttempts"] = 1;
   ASSERT_TRUE(reload(config_));
   origin.peers[0]->write(response(503, "", "X-Turned-Away: 1\r\n"));
-  ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 2; }));  // of the three that it had
+  ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 2; }));  // it keeps its limit of three attempts
   origin.peers[0]->write(response(200, "x"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  origin.answer = turned_away;
+  origin.answer = rejected_response;
   EXPECT_EQ(status_of(request_text("PUT", "/pay/1", "pay", "x", "2.0")), 503);
   EXPECT_EQ(origin.requests.size(), 3U);
 }
 
-TEST_F(Reload, AFileThatCanNotBeUsedIsTurnedDownWholeAndCounted) {
+TEST_F(Reload, InvalidFile_IsRejectedAsAWholeAndCounted) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   begin();
   const std::string good = config_.dump();
@@ -119,7 +121,7 @@
   const auto with = [&](const std::function<void(json&)>& change) {
     json next = config_;
     change(next);
-    // What would show if any of it were taken.
+    // An added class shows whether any part of the configuration was applied.
     json look = next["settings"]["Profiles"].is_array() ? next["settings"]["Profiles"][0] : json();
     if (look.is_object()) look["Name"] = "look", next["settings"]["Profiles"].push_back(look);
     bad.push_back(next.dump());
@@ -142,17 +144,17 @@
   std::string nan = good;
   nan.replace(nan.find("8000000"), 7, "NaN");
   bad.push_back(nan);
-  std::vector<std::string> said;
+  std::vector<std::string> logged;
   {
-    net::ScopedLogSink sink([&](std::string_view text) { said.emplace_back(text); });
-    // So many lines a second at most are logged: those of other tests are not to count.
+    net::ScopedLogSink sink([&](std::string_view text) { logged.emplace_back(text); });
+    // The log limits the lines per second: wait for a second without lines of other tests.
     quiet(1'100);
     net::log("a new second");
     for (const std::string& text : bad) {
-      said.clear();
+      logged.clear();
       EXPECT_FALSE(reload(text)) << text;
-      ASSERT_EQ(said.size(), 1U) << text;
-      EXPECT_NE(said[0].find(file_.string()), std::string::npos) << said[0];
+      ASSERT_EQ(logged.size(), 1U) << text;
+      EXPECT_NE(logged[0].find(file_.string()), std::string::npos) << logged[0];
     }
   }
   EXPECT_EQ(host->operators().dump().reconfig_failed, bad.size());
@@ -162,12 +164,12 @@
   EXPECT_EQ(host->operators().dump().reconfig_ok, 1U);
 }
 
-TEST_F(Reload, ManyReloadsUnderRequestsStayBounded) {
+TEST_F(Reload, ManyReloadsUnderLoad_KeepClassesBounded) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   begin();
   const auto one = client();
   for (int i = 0; i < 200; ++i) {
-    profile(0)["HardLimitUs"] = 4'000'000 + i;
+    class_settings(0)["HardLimitUs"] = 4'000'000 + i;
     ASSERT_TRUE(reload(config_));
     one->ask(a_read());
     ASSERT_TRUE(wait_for([&] { return one->answers.size() == static_cast<std::size_t>(i) + 1; }));
--- a/tests/storage/durable_file_test.cpp
+++ b/tests/storage/durable_file_test.cpp
@@ -1,4 +1,5 @@
-// Files that are replaced as a whole: each call of the system failed, cut short, interrupted and killed.
+// Atomic replacement of files while each system call fails, is short, is interrupted or is the last one
+// before the process is killed.
 #include "storage/durable_file.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   DurableFile() { folder_.put("file", kOld); }
   std::string path() const { return folder_.path_of("file"); }
   std::optional<FileError> replace() { return replace_file(path(), kNew, calls_); }
-  bool holds_old_or_new_whole() const {
+  bool holds_complete_old_or_new_text() const {
     const std::string text = folder_.text_of("file");
     return text == kOld || text == kNew;
   }
@@ -29,7 +30,7 @@
   FaultyFileCalls calls_;
 };
 
-TEST_F(DurableFile, TheTextIsOnTheDiskBeforeItsNameIsAndTheNameBeforeItIsReported) {
+TEST_F(DurableFile, Replace_SyncsTheFileBeforeTheRenameAndTheFolderAfterIt) {
   EXPECT_FALSE(replace());
   EXPECT_EQ(folder_.text_of("file"), kNew);
   EXPECT_EQ(calls_.made, (std::vector<Call>{Call::open, Call::write, Call::sync, Call::close, Call::rename,
@@ -48,7 +49,7 @@
     {Call::close, 0, FileStep::close},      {Call::rename, 0, FileStep::rename},
     {Call::open, 1, FileStep::open_folder}, {Call::sync, 1, FileStep::sync_folder}};
 
-TEST_F(DurableFile, EachStepThatFailsIsReportedAndTheOldTextStaysWhole) {
+TEST_F(DurableFile, FailureOfEachStep_IsReportedAndLeavesACompleteText) {
   calls_.largest_write = kNew.size() / 2;
   for (const Failure& failure : kFailures) {
     for (const int error : {ENOSPC, EIO, EDQUOT, EROFS, EACCES, EMFILE}) {
@@ -68,12 +69,12 @@
   }
 }
 
-TEST_F(DurableFile, ShortWritesAreContinuedAndInterruptedCallsMadeAgain) {
+TEST_F(DurableFile, ShortWritesAndInterruptedCalls_AreContinued) {
   calls_.largest_write = 7;
   EXPECT_FALSE(replace());
   EXPECT_EQ(folder_.text_of("file"), kNew);
   for (const Failure& failure : kFailures) {
-    if (failure.call == Call::rename) continue;  // is never interrupted
+    if (failure.call == Call::rename) continue;  // rename() does not fail with EINTR
     folder_.put("file", kOld);
     calls_.fail(failure.call, failure.number, EINTR);
     EXPECT_FALSE(replace()) << static_cast<int>(failure.step);
@@ -81,8 +82,8 @@
   }
 }
 
-// What a signal leaves behind: killed before each call, and once more within the text.
-TEST_F(DurableFile, KilledAtEachStepItLeavesTheOldTextOrTheNewOneWholeAndTheNextStartClearsUp) {
+// The process is killed before each system call; in the second round also between two writes of the text.
+TEST_F(DurableFile, KilledAtEachStep_LeavesACompleteTextAndARemovableTemporary) {
   for (const std::size_t largest_write : {std::size_t{0}, kNew.size() / 3}) {
     for (int kill_at = 0;; ++kill_at) {
       folder_.put("file", kOld);
@@ -101,20 +102,20 @@
         break;
       }
       ASSERT_EQ(end, 1000 + SIGKILL);
-      EXPECT_TRUE(holds_old_or_new_whole()) << kill_at;
+      EXPECT_TRUE(holds_complete_old_or_new_text()) << kill_at;
       remove_stale_temporaries(path());
       EXPECT_EQ(folder_.names(), (std::set<std::string>{"file"})) << kill_at;
     }
   }
 }
 
-TEST_F(DurableFile, OnlyWhatKilledWritersLeftIsRemoved) {
+TEST_F(DurableFile, StaleTemporaries_AreRemovedAndOtherFilesKept) {
   const pid_t ended = start_process([] {});
   ASSERT_EQ(end_of(ended), 0);
   const std::string running = "file." + std::to_string(::getppid());
   folder_.put("file." + std::to_string(ended), "x");
-  folder_.put("file." + std::to_string(::getpid()), "of an earlier process with our number");
-  folder_.put("file.new", "of a version before");
+  folder_.put("file." + std::to_string(::getpid()), "of an earlier process with the same id");
+  folder_.put("file.new", "of an earlier version");
   folder_.put(running, "x");
   for (const char* foreign : {"file.txt", "file.12x", "file.", "other.1", "file.-1"})
     folder_.put(foreign, "x");
@@ -126,7 +127,7 @@
   EXPECT_EQ(remove_stale_temporaries("/nonexistent/folder/file"), 0U);
 }
 
-TEST_F(DurableFile, ReadingIsBoundedTypedAndNeverWaits) {
+TEST_F(DurableFile, Read_IsBoundedAndReportsErrorsWithoutBlocking) {
   EXPECT_EQ(std::get<std::string>(read_file(path(), 1'000, calls_)), kOld);
   EXPECT_EQ(std::get<std::string>(read_file(path(), 3, calls_)), kOld.substr(0, 4));
   EXPECT_EQ(std::get<FileError>(read_file(folder_.path_of("none"), 10, calls_)),
@@ -141,7 +142,7 @@
   EXPECT_EQ(std::get<FileError>(read_file(pipe, 10, calls_)), (FileError{FileStep::read, EINVAL, pipe}));
 }
 
-TEST_F(DurableFile, AnErrorIsOneLineWithPathStepAndReason) {
+TEST_F(DurableFile, ErrorText_IsOneLineWithPathStepAndReason) {
   EXPECT_EQ(to_string(FileError{FileStep::sync_folder, ENOSPC, "/a"}),
             "/a: sync folder: No space left on device");
   EXPECT_EQ(to_string(FileError{FileStep::lock, EWOULDBLOCK, "/l"}),
--- a/tests/storage/faulty_file_calls.h
+++ b/tests/storage/faulty_file_calls.h
@@ -1,4 +1,4 @@
-/// File calls that fail, are interrupted or kill the process on demand, for tests of what is written to disk.
+/// File calls that fail, are interrupted or kill the process on demand, for tests of files on disk.
 #pragma once
 
 #include <array>
@@ -19,23 +19,23 @@
 
 class FaultyFileCalls final : public FileCalls {
  public:
-  /// Told each call before it is made, with a number that counts calls of its kind from 0. An `errno` in
-  /// place of 0 makes it fail.
+  /// Called before each system call with the call's index, from 0, among calls of its kind. The system call
+  /// fails with the `errno` that the hook returns, unless that is 0.
   using Hook = std::function<int(Call call, int number, const std::string& path)>;
   Hook hook;
-  /// At most so many bytes of a write are taken; 0: all.
+  /// Maximum number of bytes that one write accepts; 0: no limit.
   std::size_t largest_write = 0;
   std::vector<Call> made;
 
-  /// Fails the call of that kind and number, counted from now on.
+  /// Makes the call of this kind and index fail, counted from this moment.
   void fail(Call call, int number, int error) {
     numbers_.clear();
-    hook = [=](Call made_now, int at, const std::string&) {
-      return made_now == call && at == number ? error : 0;
+    hook = [=](Call current, int at, const std::string&) {
+      return current == call && at == number ? error : 0;
     };
   }
   void fail_always(Call call, int error) {
-    hook = [=](Call made_now, int, const std::string&) { return made_now == call ? error : 0; };
+    hook = [=](Call current, int, const std::string&) { return current == call ? error : 0; };
   }
   void succeed() { hook = {}; }
 
--- a/tests/storage/temporary_folder.h
+++ b/tests/storage/temporary_folder.h
@@ -1,4 +1,4 @@
-/// A folder of a test's own that goes with it, and processes that are killed on the way.
+/// A folder that is removed at the end of its test, and child processes for tests that kill them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -49,7 +49,7 @@
   std::filesystem::path path_;
 };
 
-/// Runs `body` in a process of its own, which ends with status 0 behind it. Returns that process.
+/// Runs `body` in a child process that then exits with status 0. Returns the id of the process.
 inline pid_t start_process(const std::function<void()>& body) {
   const pid_t child = ::fork();
   if (child != 0) return child;
@@ -57,7 +57,7 @@
   ::_exit(0);
 }
 
-/// Waits for its end: the exit status, or 1000 and the signal.
+/// Waits for the end of the process. Returns the exit status, or 1000 plus the number of the signal.
 inline int end_of(pid_t child) {
   int status = 0;
   if (::waitpid(child, &status, 0) != child) return -1;
--- a/tests/takeover/override_store_test.cpp
+++ b/tests/takeover/override_store_test.cpp
@@ -1,4 +1,4 @@
-// What operators say while the shared file can't be written, or another process has its lock.
+// Operators' changes while the shared file cannot be written or another process holds its lock.
 #include "takeover/override_store.h"
 
 #include <fcntl.h>
@@ -28,9 +28,9 @@
 
 constexpr const char* kFile = "streampick.overrides";
 
-class Store : public ::testing::Test {
+class OverrideStoreTest : public ::testing::Test {
  protected:
-  explicit Store() { begin(); }
+  explicit OverrideStoreTest() { begin(); }
   void begin() {
     store_.reset();
     const auto log = [this](std::string_view line) { logged_.emplace_back(line); };
@@ -65,7 +65,7 @@
   std::unique_ptr<OverrideStore> store_;
 };
 
-TEST_F(Store, WhatCanBeStoredIsStoredBeforeItIsAnswered) {
+TEST_F(OverrideStoreTest, WritableFolder_StoresAChangeBeforeItsAnswer) {
   disable("s-1");
   ASSERT_EQ(outcomes_.size(), 1U);
   EXPECT_EQ(outcomes_[0].result, ApplyResult::applied);
@@ -79,7 +79,7 @@
   EXPECT_TRUE(logged_.empty());
 }
 
-TEST_F(Store, WithoutAFolderAChangeHoldsHere) {
+TEST_F(OverrideStoreTest, NoFolder_ChangeTakesEffectInThisProcess) {
   OverrideStore alone(
       io_, nullptr, [](std::string_view) {}, [this](const AdminOverrides& now) { effective_ = now; });
   bool is_answered = false;
@@ -89,11 +89,11 @@
   EXPECT_TRUE(is_answered && effective_.is_disabled("s-1"));
 }
 
-// Each step, each error: it holds here at once, is answered as not stored, and is stored once that is
-// possible.
-TEST_F(Store, WhatFailsToBeStoredHoldsHereIsReportedAndStoredLater) {
+// For each step and error: a change takes effect in this process at once, is answered as not stored, and is
+// stored once that is possible.
+TEST_F(OverrideStoreTest, FailedWrite_ChangeTakesEffectAndIsStoredLater) {
   disable("s-0");
-  int number = 0;
+  int count = 0;
   for (const auto& [call, step] : std::vector<std::pair<Call, FileStep>>{{Call::open, FileStep::open_lock},
                                                                          {Call::try_lock, FileStep::lock},
                                                                          {Call::read, FileStep::read},
@@ -101,12 +101,12 @@
                                                                          {Call::sync, FileStep::sync},
                                                                          {Call::rename, FileStep::rename}}) {
     for (const int error : {ENOSPC, EIO}) {
-      const std::string id = "s-" + std::to_string(++number);
+      const std::string id = "s-" + std::to_string(++count);
       logged_.clear();
       outcomes_.clear();
       calls_.fail_always(call, error);
-      disable(id, number);
-      ASSERT_EQ(outcomes_.size(), 1U);  // at once
+      disable(id, count);
+      ASSERT_EQ(outcomes_.size(), 1U);  // answered at once
       ASSERT_TRUE(outcomes_[0].not_stored);
       EXPECT_EQ(outcomes_[0].not_stored->step, step);
       EXPECT_EQ(outcomes_[0].not_stored->error_number, error);
@@ -116,7 +116,7 @@
       EXPECT_EQ(store_->pending(), 1U);
       const auto tries = [&] { return std::count(calls_.made.begin(), calls_.made.end(), call); };
       const auto before = tries();
-      ASSERT_TRUE(run_until([&] { return tries() >= before + 2; }));  // again, and again
+      ASSERT_TRUE(run_until([&] { return tries() >= before + 2; }));  // retried more than once
       EXPECT_EQ(logged_.size(), 1U);
       EXPECT_NE(logged_[0].find("not stored yet: " + folder_.path()), std::string::npos) << logged_[0];
       calls_.succeed();
@@ -127,23 +127,23 @@
   }
 }
 
-TEST_F(Store, WhatIsOwedIsTriedLessAndLessOftenAndStaysBounded) {
+TEST_F(OverrideStoreTest, PendingChanges_AreRetriedWithBackoffAndStayBounded) {
   calls_.fail_always(Call::sync, ENOSPC);
   disable("s-1");
-  const auto begun = Steady::now();
+  const auto start = Steady::now();
   ASSERT_TRUE(run_until([&] { return std::count(calls_.made.begin(), calls_.made.end(), Call::sync) >= 4; }));
-  EXPECT_GE(Steady::now() - begun, 700ms);  // 100, 200 and 400 ms
+  EXPECT_GE(Steady::now() - start, 700ms);  // 100, 200 and 400 ms
   for (int i = 0; i < 50; ++i) {
     submit(Kind::disable_endpoint, "s-1", 10 + i);
     submit(Kind::enable_endpoint, "s-1", 10 + i);
   }
   EXPECT_LE(store_->pending(), 2U);
   EXPECT_FALSE(effective_.is_disabled("s-1"));
-  // They are answered at once each.
+  // Each change is answered at once.
   EXPECT_EQ(outcomes_.size(), 101U);
 }
 
-TEST_F(Store, TheLastChangeOfAnEndpointIsTheOneThatIsStored) {
+TEST_F(OverrideStoreTest, SeveralPendingChangesOfAnEndpoint_LastOneIsStored) {
   calls_.fail_always(Call::rename, EIO);
   disable("s-1", 1);
   submit(Kind::enable_endpoint, "s-1", 2);
@@ -154,21 +154,21 @@
   ASSERT_TRUE(run_until([&] { return store_->pending() == 0; }));
   EXPECT_EQ(stored(), effective_);
   EXPECT_FALSE(stored().is_disabled("s-1"));
-  EXPECT_EQ(stored().endpoints().at("s-1").changed_at, 2);  // known as restarted since
+  EXPECT_EQ(stored().endpoints().at("s-1").changed_at, 2);  // from then on it counts as started
   EXPECT_TRUE(stored().is_disabled("s-2") && stored().is_draining());
 }
 
-// The other process is called later than ours, and stores first.
-TEST_F(Store, WhatTheOtherProcessIsToldLaterStandsAndTheRestOfWhatIsOwedIsAdded) {
+// The other process receives its commands later than this one, and stores them first.
+TEST_F(OverrideStoreTest, LaterChangeOfTheOtherProcess_PrevailsOverAPendingOne) {
   disable("s-1", 1);
   calls_.fail_always(Call::write, ENOSPC);
   disable("s-2", 10);
   submit(Kind::enable_endpoint, "s-1", 10);
   SharedFolder other(folder_.path(), [](std::string_view) {});
-  other.update({}, [](AdminOverrides& all) {
-    all.disable("s-2", 11);
-    all.enable("s-2", 12);
-    all.disable("s-3", 12);
+  other.update({}, [](AdminOverrides& overrides) {
+    overrides.disable("s-2", 11);
+    overrides.enable("s-2", 12);
+    overrides.disable("s-3", 12);
   });
   store_->refresh();
   EXPECT_FALSE(effective_.is_disabled("s-1") || effective_.is_disabled("s-2"));
@@ -180,7 +180,7 @@
   EXPECT_TRUE(stored().is_disabled("s-3"));
 }
 
-TEST_F(Store, AMalformedFileChangesNothingAndIsLoggedOnce) {
+TEST_F(OverrideStoreTest, MalformedFile_ChangesNothingAndIsLoggedOnce) {
   disable("s-1");
   for (const char* malformed : {"", "{", "no list", "{\"format\":\"streampick overrides\",\"version\":2}"}) {
     logged_.clear();
@@ -190,15 +190,15 @@
     ASSERT_EQ(logged_.size(), 1U) << malformed;
     EXPECT_NE(logged_[0].find(folder_.path_of(kFile) + " is not used: "), std::string::npos);
     EXPECT_EQ(logged_[0].find('\n'), std::string::npos);
-    disable("s-2", 2);  // the last good state is stored anew
+    disable("s-2", 2);  // the last valid state is stored again
     EXPECT_TRUE(stored().is_disabled("s-1") && stored().is_disabled("s-2"));
   }
 }
 
-TEST_F(Store, AFileThatCanNotBeReadIsLoggedOnceChangesNothingAndIsReadOnceItCan) {
+TEST_F(OverrideStoreTest, UnreadableFile_ChangesNothingUntilItCanBeRead) {
   disable("s-1");
   SharedFolder other(folder_.path(), [](std::string_view) {});
-  other.update({}, [](AdminOverrides& all) { all.disable("s-2", 2); });
+  other.update({}, [](AdminOverrides& overrides) { overrides.disable("s-2", 2); });
   for (const Call call : {Call::open, Call::read}) {
     logged_.clear();
     calls_.fail_always(call, EIO);
@@ -212,7 +212,7 @@
   EXPECT_TRUE(effective_.is_disabled("s-1") && effective_.is_disabled("s-2"));
 }
 
-TEST_F(Store, WhatIsOwedAtTheEndIsTriedOnceMore) {
+TEST_F(OverrideStoreTest, PendingChangeAtDestruction_IsTriedOnceMore) {
   calls_.fail_always(Call::write, ENOSPC);
   disable("s-1");
   calls_.succeed();
@@ -223,11 +223,11 @@
   EXPECT_TRUE(effective_.is_disabled("s-1"));
 }
 
-// ---- The lock
+// ---- Contention for the lock
 
-class LockedStore : public Store {
+class LockedOverrideStoreTest : public OverrideStoreTest {
  protected:
-  /// Another process that has the lock and does no more.
+  /// Starts a process that takes the lock and stops.
   void hold_lock_in_stopped_process() {
     std::array<int, 2> ready{};
     ASSERT_EQ(::pipe(ready.data()), 0);
@@ -250,25 +250,25 @@
     ::kill(holder_, SIGKILL);
     EXPECT_EQ(storage::test::end_of(std::exchange(holder_, 0)), 1000 + SIGKILL);
   }
-  ~LockedStore() override { kill_holder(); }
+  ~LockedOverrideStoreTest() override { kill_holder(); }
   using FileCalls = storage::FileCalls;
   pid_t holder_ = 0;
 };
 
-TEST_F(LockedStore, AStoppedProcessWithTheLockHoldsUpNeitherTheLoopNorTheAnswerAndNothingIsWrittenWithoutIt) {
+TEST_F(LockedOverrideStoreTest, StoppedLockHolder_AnswerIsTimelyAndNothingIsWritten) {
   hold_lock_in_stopped_process();
-  const auto begun = Steady::now();
+  const auto start = Steady::now();
   disable("s-1");
-  EXPECT_LT(Steady::now() - begun, 50ms);      // the loop goes on
-  EXPECT_TRUE(effective_.is_disabled("s-1"));  // and it holds
+  EXPECT_LT(Steady::now() - start, 50ms);      // submit() does not block
+  EXPECT_TRUE(effective_.is_disabled("s-1"));  // and the change is in effect
   EXPECT_TRUE(outcomes_.empty());
   ASSERT_TRUE(run_until([&] { return outcomes_.size() == 1; }));
-  EXPECT_GE(Steady::now() - begun, OverrideStore::kMaxLockWait);
-  EXPECT_LT(Steady::now() - begun, 1s);
+  EXPECT_GE(Steady::now() - start, OverrideStore::kMaxLockWait);
+  EXPECT_LT(Steady::now() - start, 1s);
   EXPECT_EQ(*outcomes_[0].not_stored,
             (FileError{FileStep::lock, EWOULDBLOCK, folder_.path_of("streampick.lock")}));
   EXPECT_EQ(outcomes_[0].result, ApplyResult::applied);
-  // The next need not wait to hear the same.
+  // The next change is answered without another wait.
   disable("s-2");
   EXPECT_EQ(outcomes_.size(), 2U);
   EXPECT_FALSE(folder_.names().contains(kFile));
@@ -277,7 +277,7 @@
   EXPECT_TRUE(stored().is_disabled("s-1") && stored().is_disabled("s-2"));
 }
 
-TEST_F(LockedStore, ALockThatComesFreeInTimeIsWaitedForAndTheAnswerIsWhole) {
+TEST_F(LockedOverrideStoreTest, LockReleasedWithinTheWait_ChangeIsStoredBeforeItsAnswer) {
   hold_lock_in_stopped_process();
   disable("s-1");
   disable("s-2");
@@ -289,21 +289,21 @@
   EXPECT_TRUE(logged_.empty());
 }
 
-// The other process is in the middle of its change for longer than the lock used to be waited for.
-TEST_F(LockedStore, AChangeThatIsMadeWhileAnotherIsUnderWayLosesNeither) {
+// The other process takes 200 ms for its change, between reading the file and writing it.
+TEST_F(LockedOverrideStoreTest, ChangeDuringAnotherProcesssChange_BothAreStored) {
   std::array<int, 2> ready{};
   ASSERT_EQ(::pipe(ready.data()), 0);
   const pid_t other = storage::test::start_process([&] {
     FaultyFileCalls slow;
     slow.hook = [&](Call call, int, const std::string&) {
-      if (call != Call::write) return 0;  // it has read
+      if (call != Call::write) return 0;  // after it has read the file
       if (::write(ready[1], "x", 1) != 1) ::_exit(1);
       ::usleep(200'000);
       return 0;
     };
     SharedFolder folder(
         folder_.path(), [](std::string_view) {}, slow);
-    folder.update({}, [](AdminOverrides& all) { all.disable("s-other", 1); });
+    folder.update({}, [](AdminOverrides& overrides) { overrides.disable("s-other", 1); });
   });
   char byte = 0;
   ASSERT_EQ(::read(ready[0], &byte, 1), 1);
@@ -316,12 +316,12 @@
   ::close(ready[1]);
 }
 
-TEST_F(LockedStore, OfManyChangesThatFourProcessesMakeAtOnceNoneIsLost) {
+TEST_F(LockedOverrideStoreTest, ManyConcurrentChangesOfFourProcesses_NoneIsLost) {
   constexpr int kProcesses = 4, kEach = 50;
   std::vector<pid_t> children;
   for (int process = 0; process < kProcesses; ++process)
     children.push_back(storage::test::start_process([&] {
-      boost::asio::io_context io;  // the event loop of a process is no other's
+      boost::asio::io_context io;  // not the one inherited from the parent process
       OverrideStore store(
           io, std::make_unique<SharedFolder>(folder_.path(), [](std::string_view) {}),
           [](std::string_view) {}, [](const AdminOverrides&) {});
--- a/tests/takeover/shared_folder_test.cpp
+++ b/tests/takeover/shared_folder_test.cpp
@@ -1,4 +1,4 @@
-// Two processes of one router and the folder between them.
+// The folder that two processes of one router share.
 #include "takeover/shared_folder.h"
 
 #include <fcntl.h>
@@ -20,7 +20,7 @@
 using storage::test::Call;
 using storage::test::FaultyFileCalls;
 
-class Shared : public ::testing::Test {
+class SharedFolderTest : public ::testing::Test {
  protected:
   SharedFolder open() {
     return {folder_.path(), [this](std::string_view text) { logged_.emplace_back(text); }, calls_};
@@ -32,7 +32,7 @@
     return std::get<AdminOverrides>(result);
   }
   static FileError error_of(SharedFolder& folder) {
-    const auto result = folder.update({}, [](AdminOverrides& all) { all.disable("s-new", 9); });
+    const auto result = folder.update({}, [](AdminOverrides& overrides) { overrides.disable("s-new", 9); });
     const auto* error = std::get_if<FileError>(&result);
     return error != nullptr ? *error : FileError{};
   }
@@ -42,28 +42,28 @@
   std::vector<std::string> logged_;
 };
 
-TEST_F(Shared, WhatOneIsToldTheOtherFindsAndEachChangeIsMadeToWhatStandsThere) {
+TEST_F(SharedFolderTest, UpdateOfOneProcess_IsReadAndExtendedByTheOther) {
   SharedFolder first = open(), second = open();
   EXPECT_FALSE(first.read_if_changed());
-  update(first, {}, [](AdminOverrides& all) { all.disable("s-1", 1); });
-  EXPECT_FALSE(first.read_if_changed());  // its own
+  update(first, {}, [](AdminOverrides& overrides) { overrides.disable("s-1", 1); });
+  EXPECT_FALSE(first.read_if_changed());  // written by itself
   const auto seen = second.read_if_changed();
   ASSERT_TRUE(seen);
   EXPECT_TRUE(seen->is_disabled("s-1"));
   EXPECT_FALSE(second.read_if_changed());
-  // The second has not looked since the first was told more.
-  update(first, {}, [](AdminOverrides& all) { all.disable("s-2", 2); });
-  const auto both = update(second, {}, [](AdminOverrides& all) { all.set_draining(true); });
+  // The second updates without having read the change that the first makes now.
+  update(first, {}, [](AdminOverrides& overrides) { overrides.disable("s-2", 2); });
+  const auto both = update(second, {}, [](AdminOverrides& overrides) { overrides.set_draining(true); });
   EXPECT_TRUE(both.is_disabled("s-1") && both.is_disabled("s-2") && both.is_draining());
-  const auto told = first.read_if_changed();
-  ASSERT_TRUE(told);
-  EXPECT_EQ(*told, both);
+  const auto changed = first.read_if_changed();
+  ASSERT_TRUE(changed);
+  EXPECT_EQ(*changed, both);
   EXPECT_TRUE(logged_.empty());
-  // Nothing is left lying about.
+  // No temporary file is left.
   EXPECT_EQ(folder_.names(), (std::set<std::string>{"streampick.lock", "streampick.overrides"}));
 }
 
-TEST_F(Shared, ADamagedOrForeignFileIsToldOfOnceAndCountsAsNone) {
+TEST_F(SharedFolderTest, MalformedFile_IsLoggedOnceAndCountsAsMissing) {
   folder_.put("streampick.overrides", "#!/bin/sh\n");
   SharedFolder one = open();
   EXPECT_FALSE(one.read_if_changed());
@@ -75,13 +75,13 @@
   EXPECT_EQ(logged_[0].find('\n'), std::string::npos);
   AdminOverrides own;
   own.disable("s-1", 1);
-  const auto now = update(one, own, [](AdminOverrides& all) { all.disable("s-2", 2); });
-  EXPECT_TRUE(now.is_disabled("s-1") && now.is_disabled("s-2"));
-  EXPECT_EQ(*open().read_if_changed(), now);
+  const auto stored = update(one, own, [](AdminOverrides& overrides) { overrides.disable("s-2", 2); });
+  EXPECT_TRUE(stored.is_disabled("s-1") && stored.is_disabled("s-2"));
+  EXPECT_EQ(*open().read_if_changed(), stored);
 }
 
-// Texts as the versions before wrote them.
-TEST_F(Shared, AFileOfAnEarlierVersionIsRead) {
+// A file in the format that earlier versions wrote.
+TEST_F(SharedFolderTest, FileOfAnEarlierVersion_IsRead) {
   folder_.put("streampick.overrides",
               "{\"format\":\"streampick overrides\",\"version\":1,\"clients_away\":true,\"servers\":["
               "{\"id\":\"s-1\",\"out\":true,\"since_us\":1764670742000001},"
@@ -94,16 +94,16 @@
   EXPECT_EQ(read->serialize(), folder_.text_of("streampick.overrides"));
 }
 
-TEST_F(Shared, EachStepThatFailsIsTypedAndTheFileStaysAsItWas) {
+TEST_F(SharedFolderTest, FailureOfEachStep_IsReportedAndTheFileIsUnchanged) {
   SharedFolder one = open();
-  update(one, {}, [](AdminOverrides& all) { all.disable("s-1", 1); });
+  update(one, {}, [](AdminOverrides& overrides) { overrides.disable("s-1", 1); });
   const std::string before = folder_.text_of("streampick.overrides");
   struct Failure {
     Call call;
     int number;
     FileStep step;
   };
-  // Opened in turn: the lock, the file to be read, the temporary file, the folder.
+  // Order of the open() calls: the lock file, the overrides, the temporary file, the folder.
   for (const Failure& failure : std::vector<Failure>{{Call::open, 0, FileStep::open_lock},
                                                      {Call::try_lock, 0, FileStep::lock},
                                                      {Call::open, 1, FileStep::open},
@@ -129,9 +129,9 @@
   EXPECT_EQ(error_of(one).error_number, 0);
 }
 
-TEST_F(Shared, WithoutTheLockNothingIsWritten) {
+TEST_F(SharedFolderTest, LockHeldByAnother_NothingIsWritten) {
   SharedFolder one = open();
-  update(one, {}, [](AdminOverrides& all) { all.disable("s-1", 1); });
+  update(one, {}, [](AdminOverrides& overrides) { overrides.disable("s-1", 1); });
   const std::string before = folder_.text_of("streampick.overrides");
   const storage::Descriptor other(calls_, folder_.path_of("streampick.lock"), O_RDWR);
   ASSERT_EQ(calls_.try_lock(other.number()), 0);
@@ -139,13 +139,13 @@
   EXPECT_EQ(folder_.text_of("streampick.overrides"), before);
 }
 
-TEST_F(Shared, KilledAtEachStepItLeavesTheOldFileOrTheNewOneAndNoLock) {
+TEST_F(SharedFolderTest, KilledAtEachStep_LeavesACompleteFileAndNoLock) {
   for (int kill_at = 0;; ++kill_at) {
     {
       SharedFolder one = open();
-      const auto result = one.update({}, [](AdminOverrides& all) {
-        all = {};
-        all.disable("s-old", 1);
+      const auto result = one.update({}, [](AdminOverrides& overrides) {
+        overrides = {};
+        overrides.disable("s-old", 1);
       });
       ASSERT_TRUE(std::holds_alternative<AdminOverrides>(result)) << kill_at;
     }
@@ -160,7 +160,7 @@
       (void)error_of(one);
     });
     const int end = storage::test::end_of(child);
-    SharedFolder next = open();  // clears up
+    SharedFolder next = open();  // removes stale temporary files
     const auto read = next.read_if_changed();
     ASSERT_TRUE(read) << kill_at;
     EXPECT_TRUE(folder_.text_of("streampick.overrides") == before || read->is_disabled("s-new")) << kill_at;
@@ -176,7 +176,7 @@
   EXPECT_TRUE(logged_.empty());
 }
 
-TEST_F(Shared, EachKnowsWhetherAnotherRunsAsLongAsItRuns) {
+TEST_F(SharedFolderTest, ProcessPresence_TellsWhetherAnotherProcessRuns) {
   const ProcessPresence first(folder_.path());
   EXPECT_TRUE(first.is_only_process());
   {
