--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -43,7 +43,7 @@
       return std::make_unique<Loop>();
     } catch (const boost::system::system_error& error) {
       if (!net::is_transient(error.code()) || std::chrono::steady_clock::now() >= give_up_at) throw;
-      net::log(std::string("event loop: ") + error.what() + "; retrying");
+      net::log(std::string("event loop: ") + error.what() + "; trying again");
     }
     std::this_thread::sleep_for(kLoopCreationBackoff);
   }
--- a/src/platform/options.cpp
+++ b/src/platform/options.cpp
@@ -33,7 +33,7 @@
 
 Options load_options(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw options::Error(path + ": cannot be read");
+  if (!file) throw options::Error(path + ": it can't be read");
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   return parse_options(text, path);
 }
--- a/tests/daemon/production_test.cpp
+++ b/tests/daemon/production_test.cpp
@@ -256,7 +256,7 @@
   EXPECT_EQ(host->counts().deadline_guards, 0U);
 }
 
-// ---- The program: signals during drains, servers that are gone or hang
+// ---- The program: signals during drains, servers that are unreachable or hang
 
 // The kernel accepts all clients while the loop is blocked. When the loop continues, the time of accepting
 // has ended before the router has accepted more than one of them.
