--- a/bench/roster/roster.cpp
+++ b/bench/roster/roster.cpp
@@ -1,5 +1,6 @@
-// How long a change in etcd takes to reach the event loop, against a bare loop on a gRPC watch in the same
-// run; what the client costs in memory and processor; how a fleet of routers lists anew after a compaction.
+// Measures the time from a change in etcd to its arrival on the event loop, next to a plain gRPC watch in the
+// same run; the client's memory and CPU cost; and how a fleet of routers spreads its listings after a
+// compaction.
 //
 //   bench_roster --members 2000 --changes 300
 #include <grpcpp/grpcpp.h>
@@ -36,7 +37,7 @@
   file >> all >> resident;
   return resident * (::sysconf(_SC_PAGESIZE) / 1024);
 }
-// What passed over the loopback device, heads of packets included; other programs' too.
+// Bytes that passed over the loopback device, including packet headers and other programs' traffic.
 long long loopback_bytes() {
   std::ifstream file("/proc/net/dev");
   for (std::string name; file >> name; file.ignore(4'096, '\n')) {
@@ -62,36 +63,36 @@
          R"(,"phase":"in_service","size":1.0,"up_since_ms":0})";
 }
 
-// When each change, told by its cell number, came.
-struct Seen {
+// Records when a change, identified by its cell number, arrived.
+struct Arrivals {
   std::mutex mutex;
-  std::condition_variable some;
-  std::uint32_t last = 0;
+  std::condition_variable arrived;
+  std::uint32_t last_cell = 0;
   Steady::time_point at{};
-  void see(std::uint32_t cell) {
+  void record(std::uint32_t cell) {
     const std::lock_guard lock(mutex);
-    last = cell;
+    last_cell = cell;
     at = Steady::now();
-    some.notify_all();
+    arrived.notify_all();
   }
   double wait(std::uint32_t cell, Steady::time_point from) {
     std::unique_lock lock(mutex);
-    if (!some.wait_for(lock, 5s, [&] { return last == cell; })) return -1;
+    if (!arrived.wait_for(lock, 5s, [&] { return last_cell == cell; })) return -1;
     return std::chrono::duration<double, std::micro>(at - from).count();
   }
 };
 
-struct Reader final : engine::EndpointListObserver {
+struct Observer final : engine::EndpointListObserver {
   void on_endpoint_list(const engine::EndpointList& list) override {
     if (list.complete) {
       members = list.members.size();
       return;
     }
-    for (const auto& one : list.members) seen.see(one.member.cell);
+    for (const auto& one : list.members) arrivals.record(one.member.cell);
   }
   void on_discovery_failed() override {}
   std::atomic<std::size_t> members{0};
-  Seen seen;
+  Arrivals arrivals;
 };
 
 void print(const char* name, std::vector<double> us) {
@@ -107,7 +108,7 @@
   out.on = true;
   out.prefix = kPrefix;
   out.endpoints = {address};
-  out.watcher.answer = 5'000'000;
+  out.watcher.response_timeout = 5'000'000;
   return out;
 }
 
@@ -124,18 +125,18 @@
   std::thread loop([&] { io.run(); });
   const long before_kb = resident_kb();
   const double cpu = cpu_seconds();
-  const auto begin = Steady::now();
-  Reader reader;
+  const auto start = Steady::now();
+  Observer observer;
   {
     etcd::EtcdRoster roster(
-        io, names, options_for(server.address()), 7, reader, [] { return false; }, [](std::string_view) {});
-    while (reader.members < static_cast<std::size_t>(members) || server.open_watches == 0)
+        io, names, options_for(server.address()), 7, observer, [] { return false; }, [](std::string_view) {});
+    while (observer.members < static_cast<std::size_t>(members) || server.open_watches == 0)
       std::this_thread::sleep_for(1ms);
-    std::printf("%d members: listed in %.0f ms, %.0f ms of processor (stand-in included), %ld KB\n", members,
-                std::chrono::duration<double, std::milli>(Steady::now() - begin).count(),
+    std::printf("%d members: listed in %.0f ms, %.0f ms of CPU time (stand-in included), %ld KB\n", members,
+                std::chrono::duration<double, std::milli>(Steady::now() - start).count(),
                 (cpu_seconds() - cpu) * 1e3, resident_kb() - before_kb);
-    // The bare loop: a blocking read of the same watch.
-    Seen bare;
+    // For comparison: blocking reader_thread of a plain gRPC watch.
+    Arrivals plain_arrivals;
     grpc::ClientContext context;
     const auto stub = etcdserverpb::Watch::NewStub(
         grpc::CreateChannel(server.address(), grpc::InsecureChannelCredentials()));
@@ -144,67 +145,69 @@
     request.mutable_create_request()->set_key(kPrefix);
     request.mutable_create_request()->set_range_end("/bench0");
     stream->Write(request);
-    std::thread reads([&] {
+    std::thread reader_thread([&] {
       etcdserverpb::WatchResponse reply;
       while (stream->Read(&reply))
         for (const auto& event : reply.events()) {
           const std::string& text = event.kv().value();
-          bare.see(static_cast<std::uint32_t>(std::atoi(text.c_str() + text.find("\"cell\":") + 7)));
+          plain_arrivals.record(
+              static_cast<std::uint32_t>(std::atoi(text.c_str() + text.find("\"cell\":") + 7)));
         }
     });
     while (server.open_watches < 2) std::this_thread::sleep_for(1ms);
-    std::vector<double> ours, plain;
+    std::vector<double> router_us, plain_us;
     for (int i = 0; i < changes; ++i) {
       const auto cell = static_cast<std::uint32_t>(i + 2);
       const auto from = Steady::now();
       server.put(key(i % members), value(i % members, static_cast<int>(cell)));
-      ours.push_back(reader.seen.wait(cell, from));
-      plain.push_back(bare.wait(cell, from));
-      std::this_thread::sleep_for(25ms);  // longer than changes are gathered
+      router_us.push_back(observer.arrivals.wait(cell, from));
+      plain_us.push_back(plain_arrivals.wait(cell, from));
+      std::this_thread::sleep_for(25ms);  // longer than the client coalesces changes
     }
-    print("router", ours);
-    print("bare watch", plain);
+    print("router", router_us);
+    print("plain watch", plain_us);
     context.TryCancel();
-    reads.join();
+    reader_thread.join();
     const double idle = cpu_seconds();
     const long long bytes = loopback_bytes();
-    const std::uint64_t asked = server.progress_asked;
+    const std::uint64_t requests = server.progress_asked;
     std::this_thread::sleep_for(20s);
     std::printf(
-        "  idle: %.2f%% of a core (stand-in included), progress asked %.2f times a second, %.2f MB an hour\n",
-        (cpu_seconds() - idle) / 20 * 100, static_cast<double>(server.progress_asked - asked) / 20,
+        "  idle: %.2f%% of a core (stand-in included), %.2f progress requests a second, %.2f MB an hour\n",
+        (cpu_seconds() - idle) / 20 * 100, static_cast<double>(server.progress_asked - requests) / 20,
         static_cast<double>(loopback_bytes() - bytes) * 180 / 1e6);
   }
   io.stop();
   loop.join();
 }
 
-// Watchers without sockets, all cut by one compaction: how many ask in each tenth of a second.
-void storm(int routers) {
-  struct Silent final : etcd::WatcherActions {
-    void range(std::uint64_t of, std::size_t, const std::string&, std::int64_t, std::size_t) override {
-      turn = of;
+// Runs watchers without sockets whose watches are all cancelled by one compaction, and prints how many
+// listings begin in each tenth of a second.
+void relist_after_compaction(int routers) {
+  struct IdleActions final : etcd::WatcherActions {
+    void range(std::uint64_t id, std::size_t, const std::string&, std::int64_t, std::size_t) override {
+      operation_id = id;
     }
-    void watch(std::uint64_t of, std::size_t, std::int64_t) override { turn = of; }
-    void ask_progress(std::uint64_t) override {}
-    void drop(std::uint64_t) override {}
+    void watch(std::uint64_t id, std::size_t, std::int64_t) override { operation_id = id; }
+    void request_progress(std::uint64_t) override {}
+    void cancel(std::uint64_t) override {}
     void publish(const etcd::Publication&) override {}
-    void knowledge(const etcd::Knowledge&) override {}
-    void said(const std::string&) override {}
-    std::uint64_t turn = 0;
+    void on_freshness(const etcd::Freshness&) override {}
+    void log_line(const std::string&) override {}
+    std::uint64_t operation_id = 0;
   };
-  std::map<long long, int> tenths;
+  std::map<long long, int> listings_by_tenth;
   for (int i = 0; i < routers; ++i) {
-    Silent actions;
+    IdleActions actions;
     etcd::Watcher watcher({}, static_cast<std::uint64_t>(i + 1) * 7919, actions);
     watcher.start(0);
-    watcher.page(0, actions.turn, {1, 40}, {}, false);
-    watcher.created(0, actions.turn, {1, 40});
-    watcher.cancelled(0, actions.turn, "compacted", 50);
-    ++tenths[watcher.next_time() / 100'000];
+    watcher.page(0, actions.operation_id, {1, 40}, {}, false);
+    watcher.created(0, actions.operation_id, {1, 40});
+    watcher.cancelled(0, actions.operation_id, "compacted", 50);
+    ++listings_by_tenth[watcher.next_time() / 100'000];
   }
-  std::printf("%d routers cut at once list anew, in tenths of a second:", routers);
-  for (const auto& [tenth, many] : tenths) std::printf(" %d", many);
+  std::printf("%d routers list again after one compaction, in tenths of a second:", routers);
+  for (const auto& [tenth, count] : listings_by_tenth) std::printf(" %d", count);
   std::printf("\n");
 }
 
@@ -213,11 +216,11 @@
 int main(int argc, char** argv) {
   std::vector<int> members = {100, 2'000, 20'000};
   int changes = 200;
-  CLI::App app("What the roster from etcd costs.", "bench_roster");
-  app.add_option("--members", members, "sizes of the roster");
-  app.add_option("--changes", changes, "changes timed at each");
+  CLI::App app("Measures the cost of the roster from etcd.", "bench_roster");
+  app.add_option("--members", members, "roster sizes");
+  app.add_option("--changes", changes, "changes measured at each size");
   CLI11_PARSE(app, argc, argv);
-  for (const int many : members) latency(many, changes);
-  storm(200);
+  for (const int count : members) latency(count, changes);
+  relist_after_compaction(200);
   return 0;
 }
--- a/src/roster/discovery.h
+++ b/src/roster/discovery.h
@@ -1,4 +1,5 @@
-// The watch on the list of servers: one long answer, one JSON object after another.
+// Watches the platform's list of servers: one long-lived HTTP response that carries a sequence of JSON
+// objects.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,38 +20,40 @@
 
 class Discovery final : public engine::EndpointDiscovery {
  public:
-  // Watches from after `revision` on. With `again`, a watch that ended is set up anew by itself;
-  // otherwise the next call of watch() does that.
+  // Asks for the changes after `revision`. With `reconnect`, a watch that ended is restarted after a
+  // back-off; otherwise the next call of watch() restarts it.
   Discovery(boost::asio::io_context& io, const Names& names, const boost::asio::ip::tcp::endpoint& address,
-            std::uint64_t revision, bool again, std::uint64_t seed, engine::EndpointListObserver& reader);
+            std::uint64_t revision, bool reconnect, std::uint64_t seed,
+            engine::EndpointListObserver& observer);
   ~Discovery() override;
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
   void watch() override;
-  // Another discovery, whose revisions may start anew: it is asked at once, for all it has.
+  // Switches to another discovery service. Its revisions are independent of the former one's, so the complete
+  // list is requested at once.
   void move_to(const boost::asio::ip::tcp::endpoint& address);
-  // Asks for the whole list now, whatever is known.
+  // Requests the complete list now, whatever revision is known.
   void read_anew();
-  // Ends the watch without a word, until the next watch() or read_anew().
+  // Closes the watch without reporting a failure, until the next watch() or read_anew().
   void pause();
   void stop();
 
  private:
   class Watch;
-  void ended(const std::string& why);
-  void take(const std::string& list);
-  bool is_old(const engine::EndpointList& list);
+  void on_watch_ended(const std::string& reason);
+  void apply_list(const std::string& list);
+  bool is_outdated(const engine::EndpointList& list);
 
   boost::asio::io_context& io_;
   const Names& names_;
   boost::asio::ip::tcp::endpoint address_;
   std::uint64_t revision_;
-  bool again_, stopped_ = false;
+  bool reconnect_, stopped_ = false;
   roster::WatchTimes times_;
-  std::optional<std::chrono::steady_clock::time_point> lags_since_;  // since when whole lists are older
-  std::uint64_t turn_ = 0;                                           // of addresses
-  engine::EndpointListObserver& reader_;
+  std::optional<std::chrono::steady_clock::time_point> outdated_since_;  // first outdated complete list
+  std::uint64_t retry_generation_ = 0;  // a retry scheduled in an earlier one is ignored
+  engine::EndpointListObserver& observer_;
   std::minstd_rand random_;
   std::shared_ptr<Watch> watch_;
   boost::asio::steady_timer retry_;
--- a/src/roster/etcd/client.h
+++ b/src/roster/etcd/client.h
@@ -1,6 +1,6 @@
-// The roster from etcd over gRPC: the watcher on a thread of its own, its channels and calls, the seed file;
-// what it learns is handed to the event loop through a mailbox that holds one entry a server. Heavy: linked
-// only where STREAMPICK_ETCD is on.
+// The roster from etcd over gRPC. A worker thread runs the watcher with its channels and calls, and the seed
+// file. It passes changes to the event loop through a mailbox with one entry for each server. Linked only if
+// STREAMPICK_ETCD is on, because of its dependency on gRPC.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,11 +26,12 @@
 
 class EtcdRoster {
  public:
-  // On the loop of `io`, `reader` is told lists, and on_discovery_failed() when they count as stale.
-  // `use_seed` is asked there whether a list from the seed file is wanted, once etcd has not answered in its
-  // first time. `log` is called there too. All outlive it; nothing is told after its end.
+  // `observer` receives the lists, and on_discovery_failed() when they count as stale. If etcd hasn't
+  // answered within the first response timeout, `use_seed` decides whether the list from the seed file is
+  // used. These and `log` are called on the event loop of `io` and not after the destructor; all must outlive
+  // this object.
   EtcdRoster(boost::asio::io_context& io, const Names& names, const Options& options, std::uint64_t seed,
-             engine::EndpointListObserver& reader, std::function<bool()> use_seed,
+             engine::EndpointListObserver& observer, std::function<bool()> use_seed,
              std::function<void(std::string_view)> log);
   ~EtcdRoster();
   EtcdRoster(const EtcdRoster&) = delete;
--- a/src/roster/etcd/options.cpp
+++ b/src/roster/etcd/options.cpp
@@ -29,14 +29,14 @@
   table.integer("seed_most_age_s", out.seed_most_age_ms, 1, 30LL * 24 * 3600, 1000);
   WatcherSettings& watcher = out.watcher;
   watcher.endpoints = out.endpoints.size();
-  table.number("least_share", watcher.least_share, 0, 1);
-  table.integer("page", watcher.page, 1, 10'000);
-  table.integer("most_keys", watcher.most_keys, 1, 1'000'000);
-  table.integer("answer_ms", watcher.answer, 100, 60'000, 1'000);
-  table.integer("silence_ms", watcher.silence, 100, 60'000, 1'000);
-  table.integer("stale_after_ms", watcher.fresh_for, 200, 600'000, 1'000);
-  table.integer("backoff_most_ms", watcher.backoff_most, 100, 60'000, 1'000);
-  if (watcher.fresh_for <= watcher.silence + watcher.answer)
+  table.number("least_share", watcher.min_key_share, 0, 1);
+  table.integer("page", watcher.page_size, 1, 10'000);
+  table.integer("most_keys", watcher.max_keys, 1, 1'000'000);
+  table.integer("answer_ms", watcher.response_timeout, 100, 60'000, 1'000);
+  table.integer("silence_ms", watcher.progress_request_delay, 100, 60'000, 1'000);
+  table.integer("stale_after_ms", watcher.stale_after, 200, 600'000, 1'000);
+  table.integer("backoff_most_ms", watcher.max_backoff, 100, 60'000, 1'000);
+  if (watcher.stale_after <= watcher.progress_request_delay + watcher.response_timeout)
     table.wrong("stale_after_ms", "expected more than silence_ms and answer_ms together");
   table.no_others();
   return out;
@@ -49,8 +49,8 @@
   out += options.ca_file.empty()     ? ", plain"
          : options.cert_file.empty() ? ", TLS"
                                      : ", TLS with a certificate";
-  out += ", prefix " + options.prefix + ", stale after " + std::to_string(options.watcher.fresh_for / 1000) +
-         " ms";
+  out += ", prefix " + options.prefix + ", stale after " +
+         std::to_string(options.watcher.stale_after / 1000) + " ms";
   out += options.seed_file.empty() ? ", no seed file\n" : ", seed file " + options.seed_file + "\n";
   return out;
 }
--- a/src/roster/etcd/options.h
+++ b/src/roster/etcd/options.h
@@ -1,4 +1,4 @@
-// The table [roster.etcd] of the operator's options file.
+// Reads the table [roster.etcd] of the operator's options file.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 struct Options {
   bool on = false;
-  std::vector<std::string> endpoints;  // "host:port", addresses or names
+  std::vector<std::string> endpoints;  // "host:port", where host is an IP address or a name
   std::string prefix = "/streampick/servers/";
   bool require_leader = true;
   std::string user, password_file;
--- a/src/roster/etcd/registration.h
+++ b/src/roster/etcd/registration.h
@@ -1,6 +1,6 @@
-// One server's entry in etcd: a key under a lease that is kept alive, so that it goes when the server dies;
-// marked as draining before the server stops, and taken out by revoking the lease. No I/O: what is asked of
-// etcd and what comes back pass through here.
+// Keeps one server's entry in etcd: a key under a lease that is kept alive, so that the key is removed when
+// the server dies. Before the server stops, the entry is marked as draining; revoking the lease removes it.
+// No I/O: the class issues requests through RegistrationActions and is told their results.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 namespace streampick::etcd {
 
 struct RegistrationSettings {
-  long long ttl_s = 5;  // of the lease: how long after its last word a dead server's key stays
-  Time retry_first = 200'000, retry_most = 2'000'000;
+  long long ttl_s = 5;  // of the lease: a dead server's key stays this long after its last keep-alive
+  Time retry_first = 200'000, retry_most = 2'000'000;  // us, first and longest delay between two attempts
 };
 
 class RegistrationActions {
  public:
   virtual ~RegistrationActions() = default;
   virtual void grant(long long ttl_s) = 0;
-  // The entry under the lease; `draining`: with the phase terminating.
+  // Writes the entry under the lease; `draining`: with the phase "terminating".
   virtual void put(std::int64_t lease, bool draining) = 0;
   virtual void keep_alive(std::int64_t lease) = 0;
   virtual void revoke(std::int64_t lease) = 0;
@@ -32,43 +32,43 @@
   enum class State : std::uint8_t { waiting, granting, putting, registered, revoking, ended };
 
   Registration(const RegistrationSettings& settings, RegistrationActions& actions)
-      : settings_(settings), actions_(actions), retry_(settings.retry_first) {}
+      : settings_(settings), actions_(actions), retry_delay_(settings.retry_first) {}
 
   void start(Time now) { grant(now); }
-  // From here on the entry says draining; one that is not there yet begins so.
+  // Marks the entry as draining, now or when it is first written.
   void drain(Time now) {
     if (draining_ || state_ == State::revoking || state_ == State::ended) return;
     draining_ = true;
-    if (state_ == State::putting) again_ = true;
+    if (state_ == State::putting) put_again_ = true;
     if (state_ == State::registered) put(now);
   }
-  // Takes the entry out, and ends.
+  // Removes the entry and ends the registration.
   void end(Time now) {
     if (state_ == State::revoking || state_ == State::ended) return;
     if (lease_ == 0) {
-      // One that is being granted has no key yet; it runs out by itself.
+      // A lease that is being granted has no key yet and expires by itself.
       state_ = State::ended;
       return;
     }
     state_ = State::revoking;
-    due_ = now + kAnswer;
+    next_time_ = now + kRequestTimeout;
     actions_.revoke(lease_);
   }
 
   void granted(Time now, std::int64_t lease) {
     if (state_ != State::granting) return;
     lease_ = lease;
-    heard_ = now;
+    lease_confirmed_at_ = now;
     put(now);
   }
   void was_put(Time now) {
     if (state_ != State::putting) return;
-    retry_ = settings_.retry_first;
-    if (std::exchange(again_, false)) return put(now);
+    retry_delay_ = settings_.retry_first;
+    if (std::exchange(put_again_, false)) return put(now);
     state_ = State::registered;
-    due_ = now + beat();
+    next_time_ = now + keep_alive_interval();
   }
-  // `ttl_s` 0: there is no such lease any more, nor its key.
+  // `ttl_s` 0: the lease and its key no longer exist.
   void kept(Time now, long long ttl_s) {
     if (state_ != State::registered && state_ != State::putting) return;
     if (ttl_s <= 0) {
@@ -76,69 +76,69 @@
       ++lost_;
       return grant(now);
     }
-    heard_ = now;
-    if (state_ == State::registered) due_ = now + beat();
+    lease_confirmed_at_ = now;
+    if (state_ == State::registered) next_time_ = now + keep_alive_interval();
   }
   void revoked() {
     if (state_ == State::revoking) state_ = State::ended;
   }
-  // What was asked last failed, or its connection did.
+  // The last request or its connection failed.
   void failed(Time now) {
     if (state_ == State::revoking) {
-      state_ = State::ended;  // it runs out by itself
+      state_ = State::ended;  // the lease expires by itself
       return;
     }
     if (state_ == State::ended) return;
-    wait(now);
+    retry_later(now);
   }
 
   void on_time(Time now) {
-    if (now < due_) return;
+    if (now < next_time_) return;
     switch (state_) {
       case State::waiting:
-        // The lease may have outlived the trouble: then its key is there still, and only the word is due.
-        if (lease_ != 0 && now - heard_ < settings_.ttl_s * 1'000'000) return put(now);
+        // The lease may have outlived the failure. Then its key still exists and is only written again.
+        if (lease_ != 0 && now - lease_confirmed_at_ < settings_.ttl_s * 1'000'000) return put(now);
         lease_ = 0;
         return grant(now);
       case State::granting:
       case State::putting:
       case State::revoking: return failed(now);
-      case State::registered: due_ = now + beat(); return actions_.keep_alive(lease_);
+      case State::registered: next_time_ = now + keep_alive_interval(); return actions_.keep_alive(lease_);
       case State::ended: return;
     }
   }
-  Time next_time() const { return state_ == State::ended ? kNever : due_; }
+  Time next_time() const { return state_ == State::ended ? kNever : next_time_; }
 
   State state() const { return state_; }
   bool draining() const { return draining_; }
-  std::uint64_t lost() const { return lost_; }  // leases that ran out
+  std::uint64_t lost() const { return lost_; }  // leases that expired
 
  private:
-  static constexpr Time kAnswer = 1'000'000;
-  Time beat() const { return std::max<Time>(100'000, settings_.ttl_s * 1'000'000 / 3); }
+  static constexpr Time kRequestTimeout = 1'000'000;  // us
+  Time keep_alive_interval() const { return std::max<Time>(100'000, settings_.ttl_s * 1'000'000 / 3); }
   void grant(Time now) {
     state_ = State::granting;
-    due_ = now + kAnswer;
+    next_time_ = now + kRequestTimeout;
     actions_.grant(settings_.ttl_s);
   }
   void put(Time now) {
     state_ = State::putting;
-    due_ = now + kAnswer;
+    next_time_ = now + kRequestTimeout;
     actions_.put(lease_, draining_);
   }
-  void wait(Time now) {
+  void retry_later(Time now) {
     state_ = State::waiting;
-    due_ = now + retry_;
-    retry_ = std::min(2 * retry_, settings_.retry_most);
+    next_time_ = now + retry_delay_;
+    retry_delay_ = std::min(2 * retry_delay_, settings_.retry_most);
   }
 
   RegistrationSettings settings_;
   RegistrationActions& actions_;
   State state_ = State::waiting;
-  bool draining_ = false, again_ = false;
+  bool draining_ = false, put_again_ = false;
   std::int64_t lease_ = 0;
   std::uint64_t lost_ = 0;
-  Time due_ = 0, heard_ = 0, retry_;
+  Time next_time_ = 0, lease_confirmed_at_ = 0, retry_delay_;
 };
 
 }  // namespace streampick::etcd
--- a/src/roster/etcd/registry.cpp
+++ b/src/roster/etcd/registry.cpp
@@ -11,7 +11,7 @@
 namespace streampick::etcd {
 namespace {
 
-constexpr std::size_t kLongestValue = 4 * 1024, kLongestFault = 200;
+constexpr std::size_t kMaxValueSize = 4 * 1024, kMaxFaultSize = 200;  // bytes
 
 bool same(const engine::ListedEndpoint& a, const engine::ListedEndpoint& b) {
   const auto all = [](const engine::ListedEndpoint& one) {
@@ -22,15 +22,16 @@
 }
 
 // Throws JsonError.
-engine::ListedEndpoint read(const std::string& value, const Names& names) {
-  if (value.size() > kLongestValue)
+engine::ListedEndpoint parse_entry(const std::string& value, const Names& names) {
+  if (value.size() > kMaxValueSize)
     throw JsonError("", "there are " + std::to_string(value.size()) + " bytes",
-                    "at most " + std::to_string(kLongestValue));
+                    "at most " + std::to_string(kMaxValueSize));
   const nlohmann::json json = parse_json(value);
   const JsonValue entry(json);
   engine::ListedEndpoint out = discovery::parse_member(entry, names);
-  // Discovery's own lists may name what the settings don't; what operators write by hand must not.
-  const auto known = [&](const char* key, const std::vector<std::string>& all) {
+  // The platform's lists may contain names that the settings lack. Entries in etcd are written by operators,
+  // so that an unknown name there is an error.
+  const auto check_name = [&](const char* key, const std::vector<std::string>& all) {
     const auto named = entry.find(key);
     if (named && !all.empty() && index_of(all, named->text("a name")) == kNone) {
       std::string expected = "one of";
@@ -38,8 +39,8 @@
       named->wrong(expected);
     }
   };
-  known("locality", names.zones);
-  known("flavor", names.kinds);
+  check_name("locality", names.zones);
+  check_name("flavor", names.kinds);
   return out;
 }
 
@@ -47,30 +48,31 @@
 
 std::vector<engine::EndpointList> Registry::apply(const Publication& publication) {
   revision_ = publication.revision;
-  engine::EndpointList gone, changed;
-  gone.revision = changed.revision = static_cast<std::uint64_t>(publication.revision);
-  for (const Departure& departure : publication.departed) remove(departure.key, gone);
-  std::vector<std::string> look_at;
+  engine::EndpointList departed, changed;
+  departed.revision = changed.revision = static_cast<std::uint64_t>(publication.revision);
+  for (const Departure& departure : publication.departed) remove(departure.key, departed);
+  std::vector<std::string> updated_keys;
   for (const KeyValue& kv : publication.puts) {
     Entry& entry = entries_[kv.key];
-    if (entry.kv == kv) continue;
-    entry.kv = kv;
-    look_at.push_back(kv.key);
+    if (entry.latest == kv) continue;
+    entry.latest = kv;
+    updated_keys.push_back(kv.key);
   }
-  for (const std::string& key : look_at) take(key, changed);
-  // What was held back by a clash may hold now. Each round makes at least one good, or ends.
-  for (bool again = true; again;) {
-    again = false;
-    for (const std::string& key : std::set<std::string>(faulty_)) {
-      if (std::find(look_at.begin(), look_at.end(), key) != look_at.end()) continue;
+  for (const std::string& key : updated_keys) evaluate(key, changed);
+  // Keys that were quarantined because of a conflict may be valid now. The loop ends with the first pass that
+  // accepts no further key.
+  for (bool changed_any = true; changed_any;) {
+    changed_any = false;
+    for (const std::string& key : std::set<std::string>(quarantined_)) {
+      if (std::find(updated_keys.begin(), updated_keys.end(), key) != updated_keys.end()) continue;
       const std::size_t before = changed.members.size();
-      take(key, changed);
-      again = again || changed.members.size() > before;
+      evaluate(key, changed);
+      changed_any = changed_any || changed.members.size() > before;
     }
-    look_at.clear();
+    updated_keys.clear();
   }
   std::vector<engine::EndpointList> out;
-  if (!gone.members.empty()) out.push_back(std::move(gone));
+  if (!departed.members.empty()) out.push_back(std::move(departed));
   if (publication.complete) {
     out.push_back(list());
   } else if (!changed.members.empty()) {
@@ -79,64 +81,64 @@
   return out;
 }
 
-std::string Registry::clash(const std::string& key, const engine::ListedEndpoint& listed) const {
-  const auto taken = [&key](const std::map<std::string, std::string>& all, const std::string& what) {
+std::string Registry::find_conflict(const std::string& key, const engine::ListedEndpoint& listed) const {
+  const auto owner_of = [&key](const std::map<std::string, std::string>& all, const std::string& what) {
     const auto found = all.find(what);
     return found != all.end() && found->second != key ? found->second : std::string();
   };
-  if (const std::string other = taken(by_id_, listed.id); !other.empty())
-    return "id: there is \"" + listed.id + "\", which " + other + " has";
-  if (const std::string other = taken(by_address_, listed.address); !other.empty())
-    return "host_port: there is \"" + listed.address + "\", which " + other + " has";
+  if (const std::string other = owner_of(by_id_, listed.id); !other.empty())
+    return "id: \"" + listed.id + "\" is already used by " + other;
+  if (const std::string other = owner_of(by_address_, listed.address); !other.empty())
+    return "host_port: \"" + listed.address + "\" is already used by " + other;
   return {};
 }
 
-// The newest value of a key, if it is good, in the place of what held before.
-void Registry::take(const std::string& key, engine::EndpointList& out) {
+// Replaces a key's accepted entry by its newest value if that is valid; otherwise quarantines the key.
+void Registry::evaluate(const std::string& key, engine::EndpointList& out) {
   Entry& entry = entries_.at(key);
   std::string fault;
   std::optional<engine::ListedEndpoint> listed;
   try {
-    listed = read(entry.kv.value, names_);
-    fault = clash(key, *listed);
+    listed = parse_entry(entry.latest.value, names_);
+    fault = find_conflict(key, *listed);
   } catch (const JsonError& error) {
     fault = error.what();
   }
   if (!fault.empty()) {
-    if (fault.size() > kLongestFault) fault.resize(kLongestFault);
+    if (fault.size() > kMaxFaultSize) fault.resize(kMaxFaultSize);
     if (fault != entry.fault) new_faults_.push_back({key, fault});
-    faulty_.insert(key);
+    quarantined_.insert(key);
     entry.fault = std::move(fault);
     return;
   }
   entry.fault.clear();
-  faulty_.erase(key);
-  if (entry.good) {
-    if (same(*entry.good, *listed)) return;
-    if (entry.good->id != listed->id) {
-      // Another member in its place: the one before departs.
-      out.members.push_back(*entry.good);
+  quarantined_.erase(key);
+  if (entry.accepted) {
+    if (same(*entry.accepted, *listed)) return;
+    if (entry.accepted->id != listed->id) {
+      // The key names another member now, so that the previous member departs.
+      out.members.push_back(*entry.accepted);
       out.members.back().member.phase = Phase::gone;
     }
-    by_id_.erase(entry.good->id);
-    by_address_.erase(entry.good->address);
+    by_id_.erase(entry.accepted->id);
+    by_address_.erase(entry.accepted->address);
   }
   by_id_[listed->id] = by_address_[listed->address] = key;
   out.members.push_back(*listed);
-  entry.good = std::move(listed);
+  entry.accepted = std::move(listed);
 }
 
 void Registry::remove(const std::string& key, engine::EndpointList& out) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) return;
-  if (const auto& good = found->second.good) {
-    by_id_.erase(good->id);
-    by_address_.erase(good->address);
-    out.members.push_back(*good);
+  if (const auto& accepted = found->second.accepted) {
+    by_id_.erase(accepted->id);
+    by_address_.erase(accepted->address);
+    out.members.push_back(*accepted);
     out.members.back().member.phase = Phase::gone;
   }
   entries_.erase(found);
-  faulty_.erase(key);
+  quarantined_.erase(key);
 }
 
 engine::EndpointList Registry::list() const {
@@ -144,7 +146,7 @@
   out.revision = static_cast<std::uint64_t>(revision_);
   out.complete = true;
   for (const auto& [key, entry] : entries_)
-    if (entry.good && entry.good->member.phase != Phase::gone) out.members.push_back(*entry.good);
+    if (entry.accepted && entry.accepted->member.phase != Phase::gone) out.members.push_back(*entry.accepted);
   return out;
 }
 
--- a/src/roster/etcd/registry.h
+++ b/src/roster/etcd/registry.h
@@ -1,9 +1,10 @@
-// Members out of etcd's keys: one key a member, its value an entry as discovery words it. No I/O.
+// Parses the members from etcd's keys: each key holds one member, in the JSON form of a discovery entry. No
+// I/O.
 //
-// A mistaken value never makes half a roster: it is quarantined, the member's last good value stays, and it
-// is looked at again when what it clashes with has gone. Mistaken is: no JSON, a key missing or of a wrong
-// type or out of bounds, a zone or kind that the settings do not name, an id or an address that another key
-// has.
+// An invalid value never removes a member: its key is quarantined, the member's last valid entry stays in
+// use, and the value is checked again when the key that it conflicts with is removed. A value is invalid if
+// it is not JSON, lacks a key, has a key of a wrong type or out of bounds, names a zone or kind that the
+// settings don't have, or has the id or address of another key.
 #pragma once
 
 #include <cstdint>
@@ -25,35 +26,35 @@
   // `names` outlives it.
   explicit Registry(const Names& names) : names_(names) {}
 
-  // What the engine is to be told, in this order: departures before what has come in their place. The last
-  // list of a complete publication is complete.
+  // Returns the lists for the engine, in this order: departures, then additions and changes. For a complete
+  // publication the last list is complete.
   std::vector<engine::EndpointList> apply(const Publication& publication);
 
   struct Fault {
-    std::string key, why;
+    std::string key, reason;
   };
-  // Found since the last call; a fault that stays is told once.
+  // Returns the faults found since the last call; a fault that persists is reported once.
   std::vector<Fault> take_faults() { return std::exchange(new_faults_, {}); }
-  std::size_t quarantined() const { return faulty_.size(); }
+  std::size_t quarantined() const { return quarantined_.size(); }
   std::size_t members() const { return by_id_.size(); }
-  // All that is good, as a complete list.
+  // Returns all accepted members as a complete list.
   engine::EndpointList list() const;
 
  private:
   struct Entry {
-    KeyValue kv;                                 // the newest
-    std::optional<engine::ListedEndpoint> good;  // what holds
-    std::string fault;                           // of the newest; empty: none
+    KeyValue latest;
+    std::optional<engine::ListedEndpoint> accepted;  // the entry in use
+    std::string fault;                               // of `latest`; empty if it is valid
   };
-  void take(const std::string& key, engine::EndpointList& out);
+  void evaluate(const std::string& key, engine::EndpointList& out);
   void remove(const std::string& key, engine::EndpointList& out);
-  std::string clash(const std::string& key, const engine::ListedEndpoint& listed) const;
+  std::string find_conflict(const std::string& key, const engine::ListedEndpoint& listed) const;
 
   const Names& names_;
   std::int64_t revision_ = 0;
   std::map<std::string, Entry> entries_;                   // by key
-  std::map<std::string, std::string> by_id_, by_address_;  // of what is good, to its key
-  std::set<std::string> faulty_;                           // keys whose newest value is not used
+  std::map<std::string, std::string> by_id_, by_address_;  // of accepted entries, mapped to their keys
+  std::set<std::string> quarantined_;                      // keys whose newest value is invalid
   std::vector<Fault> new_faults_;
 };
 
--- a/src/roster/etcd/seed.cpp
+++ b/src/roster/etcd/seed.cpp
@@ -66,14 +66,14 @@
   using Kind = SeedError::Kind;
   constexpr std::size_t kHeaderSize = kMagic.size() + kChecksumSize + 1;
   if (text.size() > kMaxSeedSize || text.size() < kHeaderSize || !text.starts_with(kMagic))
-    return SeedError{Kind::no_seed, "it is no roster of this form"};
+    return SeedError{Kind::no_seed, "it is not a roster of format version 1"};
   const std::string content = text.substr(kHeaderSize);
   if (text.compare(kMagic.size(), kChecksumSize + 1, checksum_of(content) + " ") != 0)
-    return SeedError{Kind::wrong_checksum, "its checksum does not hold"};
+    return SeedError{Kind::wrong_checksum, "its checksum does not match"};
   const std::size_t line_end = content.find('\n');
   const auto written_ms = parse_number(std::string_view(content).substr(0, line_end));
   if (line_end == std::string::npos || !written_ms)
-    return SeedError{Kind::malformed_time, "its time can't be read"};
+    return SeedError{Kind::malformed_time, "its time of writing is malformed"};
   const std::chrono::milliseconds age(unix_ms - *written_ms);
   if (age > max_age) {
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(age);
--- a/src/roster/etcd/seed.h
+++ b/src/roster/etcd/seed.h
@@ -1,10 +1,10 @@
-/// The last trusted roster as a file's text: for a start while etcd is out of reach. No I/O.
+/// Text form of the last accepted roster, stored for a start while etcd is unreachable. No I/O.
 ///
 ///   streampick-roster 1 CHECKSUM UNIX_MS\n
-///   LIST, in the form that discovery sends it\n
+///   LIST, in the JSON form of discovery\n
 ///
-/// CHECKSUM: XXH3 of all that stands behind it, 16 hex digits. A text that is cut short, malformed or too old
-/// is not used.
+/// CHECKSUM: XXH3 of the text after it and one space, 16 hex digits. A text that is truncated, malformed or
+/// too old is not used.
 #pragma once
 
 #include <chrono>
@@ -18,19 +18,20 @@
 
 namespace streampick::etcd {
 
-constexpr std::size_t kMaxSeedSize = std::size_t{64} * 1024 * 1024;  ///< bytes of a file's text
+constexpr std::size_t kMaxSeedSize = std::size_t{64} * 1024 * 1024;  ///< bytes
 
-/// Why a text is not used.
+/// The reason why a text is not used.
 struct SeedError {
   enum class Kind : std::uint8_t { no_seed, wrong_checksum, malformed_time, too_old, malformed_list };
   Kind kind = Kind::no_seed;
   std::string message;  ///< one line
 };
 
-/// Endpoints that have gone are left out.
+/// Encodes the endpoints of `list` except those in phase "gone".
 std::string encode_seed(const engine::EndpointList& list, const Names& names, long long unix_ms);
 
-/// `max_age`: older is not taken; what is from the future, as after a step of the clock, counts as new.
+/// Rejects a text older than `max_age`. A text with a time in the future, as after the wall clock was set
+/// back, is accepted.
 std::variant<engine::EndpointList, SeedError> decode_seed(const std::string& text, const Names& names,
                                                           long long unix_ms,
                                                           std::chrono::milliseconds max_age);
--- a/src/roster/etcd/seed_file.cpp
+++ b/src/roster/etcd/seed_file.cpp
@@ -42,7 +42,7 @@
   backoff_ = std::min(backoff_ * 2, kMaxBackoff);
   std::string problem = storage::to_string(error);
   if (problem == last_problem_) return;
-  log_("etcd: the seed file is not written and tried again: " + problem);
+  log_("etcd: writing the seed file failed, to be retried: " + problem);
   last_problem_ = std::move(problem);
 }
 
--- a/src/roster/etcd/seed_file.h
+++ b/src/roster/etcd/seed_file.h
@@ -1,6 +1,5 @@
-/// The seed file on the disk: read once at the start, replaced as a whole as the roster changes. One that
-/// can't be written is logged once for each reason and tried again with backoff. For one thread; calls block
-/// for as long as the disk does.
+/// The seed file on disk: read once at the start, replaced atomically when the roster changes. A failed write
+/// is logged once for each reason and retried with backoff. Not thread-safe; calls block on disk I/O.
 #pragma once
 
 #include <chrono>
@@ -20,19 +19,19 @@
   static constexpr Time kWriteInterval = 5'000'000;  ///< us
   static constexpr Time kMaxBackoff = 60'000'000;    ///< us
 
-  /// `path`: empty where no seed file is kept; then nothing here does anything.
+  /// `path`: empty if no seed file is configured; then every call is a no-op.
   SeedFile(std::string path, Log log, storage::FileCalls& calls = storage::FileCalls::system());
 
-  /// Reads the file. A file that can't be used is logged with its path and the reason.
+  /// Reads the file. If it can't be used, logs its path and the reason.
   std::optional<engine::EndpointList> load(const Names& names, long long unix_ms,
                                            std::chrono::milliseconds max_age);
 
-  /// There is a newer roster than the file's.
+  /// Records that the roster is newer than the file.
   void mark_changed() { has_changed_ = true; }
   /// Whether store() should be called at `now`.
   [[nodiscard]] bool is_due(Time now) const { return !path_.empty() && has_changed_ && now >= next_write_; }
   [[nodiscard]] bool has_changed() const { return !path_.empty() && has_changed_; }
-  /// Replaces the file. Where that fails it stays as it was, and is_due() again after a backoff.
+  /// Replaces the file. On failure the file is unchanged and is_due() becomes true again after a backoff.
   void store(Time now, const engine::EndpointList& list, const Names& names, long long unix_ms);
 
  private:
--- a/src/roster/etcd/steady_alarm.h
+++ b/src/roster/etcd/steady_alarm.h
@@ -1,7 +1,7 @@
-// Calls a function at a time of the monotonic clock, on a thread of its own.
+// Calls a function at a time of the monotonic clock, on its own thread.
 //
-// For what must not wait in gRPC: it tells its waits to the system as times of the wall clock, so that one
-// that has begun lasts an hour longer where that clock is set back by an hour meanwhile.
+// Replaces waits in gRPC, which passes them to the system as wall-clock times: if that clock is set back by
+// an hour during a wait, the wait lasts an hour longer.
 #pragma once
 
 #include <chrono>
@@ -18,9 +18,10 @@
  public:
   using Steady = std::chrono::steady_clock;
 
-  /// `due` is called on the alarm's thread, which inherits the maker's mask of signals; never after the
-  /// alarm's end.
-  explicit SteadyAlarm(std::function<void()> due) : due_(std::move(due)), thread_([this] { run(); }) {}
+  /// `on_due` is called on the alarm's thread, which inherits the signal mask of the constructing thread. It
+  /// is not called after the destructor has returned.
+  explicit SteadyAlarm(std::function<void()> on_due)
+      : on_due_(std::move(on_due)), thread_([this] { run(); }) {}
   ~SteadyAlarm() {
     {
       const std::lock_guard lock(mutex_);
@@ -32,7 +33,7 @@
   SteadyAlarm(const SteadyAlarm&) = delete;
   SteadyAlarm& operator=(const SteadyAlarm&) = delete;
 
-  /// Due once at `at`, or at the time set before if that is sooner and has not come.
+  /// Schedules one call at `at`. An earlier time that is already set and not reached yet stays in force.
   void set(Steady::time_point at) {
     {
       const std::lock_guard lock(mutex_);
@@ -53,18 +54,18 @@
       } else {
         at_.reset();
         lock.unlock();
-        due_();
+        on_due_();
         lock.lock();
       }
     }
   }
 
-  std::function<void()> due_;
+  std::function<void()> on_due_;
   std::mutex mutex_;
   std::condition_variable changed_;
   std::optional<Steady::time_point> at_;
   bool ended_ = false;
-  std::thread thread_;  // last: it uses all of the above
+  std::thread thread_;  // declared last, as it uses the members above
 };
 
 }  // namespace streampick::etcd
--- a/src/roster/list_framer.cpp
+++ b/src/roster/list_framer.cpp
@@ -4,39 +4,39 @@
 
 namespace streampick::roster {
 
-ListFramer::Found ListFramer::put(std::string_view bytes) {
-  Found out;
+ListFramer::Result ListFramer::put(std::string_view bytes) {
+  Result out;
   const auto finish = [&] {
-    out.lists.push_back(std::exchange(text_, {}));
-    out.alive = true;
+    out.lists.push_back(std::exchange(pending_, {}));
+    out.received_line = true;
   };
   for (const char c : bytes) {
-    const bool blank = c == ' ' || c == '\t' || c == '\r' || c == '\n';
-    if (text_.empty() && blank) {
-      out.alive = out.alive || c == '\n';
+    const bool is_whitespace = c == ' ' || c == '\t' || c == '\r' || c == '\n';
+    if (pending_.empty() && is_whitespace) {
+      out.received_line = out.received_line || c == '\n';
       continue;
     }
     if (depth_ == 0 && c == '\n') {
-      finish();  // no object
+      finish();  // the line is not an object
       continue;
     }
-    const bool object = depth_ > 0 || text_.empty();
-    text_ += c;
-    if (text_.size() > longest_) {
+    const bool in_object = depth_ > 0 || pending_.empty();
+    pending_ += c;
+    if (pending_.size() > max_size_) {
       out.too_long = true;
       return out;
     }
-    if (!object) continue;
-    if (quoted_) {
+    if (!in_object) continue;
+    if (in_string_) {
       if (escaped_) {
         escaped_ = false;
       } else if (c == '\\') {
         escaped_ = true;
       } else if (c == '"') {
-        quoted_ = false;
+        in_string_ = false;
       }
     } else if (c == '"') {
-      quoted_ = depth_ > 0;
+      in_string_ = depth_ > 0;
     } else if (c == '{' || c == '[') {
       ++depth_;
     } else if ((c == '}' || c == ']') && depth_ > 0 && --depth_ == 0) {
--- a/src/roster/list_framer.h
+++ b/src/roster/list_framer.h
@@ -1,8 +1,9 @@
-// Cuts what a watch sends into its lists. No I/O.
+// Splits the byte stream of a watch into its lists. No I/O.
 //
-// A list is one JSON object. It may stand on one line or be indented over several, come in any pieces, and be
-// followed by the next at once; a line with nothing on it is a sign of life. What begins like no object is
-// given out as it stands, up to the end of its line, for whoever reads it to refuse.
+// A list is one JSON object. It may be on one line or indented over several, may arrive in fragments of any
+// size, and the next list may follow it without a separator. An empty line is a heartbeat. Input that doesn't
+// begin with an opening bracket is returned unchanged up to the end of its line, so that the parser rejects
+// it.
 #pragma once
 
 #include <cstddef>
@@ -14,20 +15,20 @@
 
 class ListFramer {
  public:
-  explicit ListFramer(std::size_t longest) : longest_(longest) {}
+  explicit ListFramer(std::size_t max_size) : max_size_(max_size) {}
 
-  struct Found {
+  struct Result {
     std::vector<std::string> lists;
-    bool alive = false;     // a list, or an empty line
-    bool too_long = false;  // a list without end: nothing more is to be put in
+    bool received_line = false;  // a complete list or an empty line
+    bool too_long = false;       // a list exceeds the limit; the framer must not be used any more
   };
-  Found put(std::string_view bytes);
+  Result put(std::string_view bytes);
 
  private:
-  std::size_t longest_;
-  std::string text_;  // of the list that has begun
-  int depth_ = 0;     // of brackets; 0 while text_ is not an object
-  bool quoted_ = false, escaped_ = false;
+  std::size_t max_size_;
+  std::string pending_;  // the incomplete list
+  int depth_ = 0;        // of brackets; 0 while pending_ is not an object
+  bool in_string_ = false, escaped_ = false;
 };
 
 }  // namespace streampick::roster
--- a/src/roster/members.cpp
+++ b/src/roster/members.cpp
@@ -8,7 +8,7 @@
 namespace streampick::discovery {
 namespace {
 
-// 0 stays 0, which means long ago.
+// 0 or less (an unknown start) becomes 0, which counts as started long ago.
 Time unix_ms(std::int64_t ms) { return ms <= 0 ? 0 : ms * 1000; }
 
 }  // namespace
--- a/src/roster/members.h
+++ b/src/roster/members.h
@@ -1,4 +1,4 @@
-// The platform's list of servers as JSON.
+// Parses the platform's JSON list of servers.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace streampick::discovery {
 
-// All throw JsonError.
+// Each throws JsonError if the JSON is malformed.
 engine::ListedEndpoint parse_member(const JsonValue& entry, const Names& names);
 engine::EndpointList parse_members(const JsonValue& list, const Names& names);
 engine::EndpointList parse_members(const std::string& json, const Names& names);
--- a/src/roster/watch_times.h
+++ b/src/roster/watch_times.h
@@ -1,22 +1,24 @@
-// How old news of the list can get: the one place where all waits between two looks at discovery are added
-// up. No I/O.
+// Bounds the age of discovery data: the one place that adds up all delays between two answers of discovery.
+// No I/O.
 //
-// The rule: a change counts as told 6 s after discovery had it and could be reached, whatever calls failed,
-// were refused or given up meanwhile. A watch can end in any way, and the first attempt after that can fail
-// too. An attempt is all from the dial to the first whole line. The longest way from a change to its news is
+// Requirement: the router knows a change at most 6 s after discovery has it and can be reached, whichever
+// calls failed, were refused or timed out in between. A watch can end in any way, and the first attempt after
+// that can fail too. An attempt lasts from the connect to the first complete line. The longest delay between
+// a change and its arrival is
 //
 //   silence + back-off + failing + back-off + attempt
 //
-// where the watch falls silent just behind its last line and just before the change; one attempt fails; the
-// next has the list at the very end of its time. However long discovery was down, from its return on it is
+// when the watch stalls just after its last line and just before the change, one attempt fails, and the next
+// attempt receives the list just before it times out. After an outage of discovery of any length, the longest
+// delay from its return is
 //
 //   attempt + back-off + failing + back-off + attempt
 //
-// where one that was begun just before the return hangs. `failing` is how long an attempt takes that fails
-// though discovery can be reached: with an agent it may hang for all of its time; a service for all routers
-// refuses or resets what it can't take. Where the list must be asked for, the decision module spaces the
-// attempts
-// (`policy/discovery_polling.cpp`, kPollInterval), and discovery lets calls wait in turn for up to 2 s.
+// when an attempt that began just before the return hangs. `failing` is the duration of an attempt that fails
+// although discovery can be reached: an attempt at a local agent may hang until its timeout; a service shared
+// by all routers refuses or resets calls that it has no capacity for. Where the decision module polls for the
+// list, it spaces the attempts (`policy/discovery_polling.cpp`, kPollInterval), and discovery queues calls
+// for up to 2 s.
 #pragma once
 
 #include <algorithm>
@@ -27,24 +29,24 @@
 using std::chrono::milliseconds;
 
 struct WatchTimes {
-  milliseconds silence;  // without a whole line on a watch; an empty one comes every 2 s
-  milliseconds attempt, failing;
-  milliseconds backoff_first, backoff_most;  // between two attempts, jitter included
+  milliseconds silence;  // longest time without a complete line on a watch; a heartbeat is due every 2 s
+  milliseconds attempt, failing;             // timeout of an attempt; longest duration of one that fails
+  milliseconds backoff_first, backoff_most;  // between two attempts, including jitter
 
-  constexpr milliseconds oldest_news() const {
+  constexpr milliseconds max_update_delay() const {
     return std::max(silence + backoff_first, attempt + backoff_most) + failing + backoff_most + attempt;
   }
 };
 
-// An agent on the router's own machine answers at once, and calls cost nothing.
+// For an agent on the router's own host, which answers at once and whose calls are cheap.
 inline constexpr WatchTimes kPushed{milliseconds(2'400), milliseconds(1'000), milliseconds(1'000),
                                     milliseconds(100), milliseconds(300)};
-// One service for all routers; the back-offs are the module's.
+// For one service shared by all routers; the decision module determines the back-offs.
 inline constexpr WatchTimes kAsked{milliseconds(2'400), milliseconds(2'100), milliseconds(100),
                                    milliseconds(450), milliseconds(450)};
 
-inline constexpr milliseconds kToldWithin{6'000}, kMargin{500};
-static_assert(kPushed.oldest_news() + kMargin <= kToldWithin);
-static_assert(kAsked.oldest_news() + kMargin <= kToldWithin);
+inline constexpr milliseconds kRequiredUpdateDelay{6'000}, kSafetyMargin{500};
+static_assert(kPushed.max_update_delay() + kSafetyMargin <= kRequiredUpdateDelay);
+static_assert(kAsked.max_update_delay() + kSafetyMargin <= kRequiredUpdateDelay);
 
 }  // namespace streampick::roster
--- a/tests/roster/etcd/client_test.cpp
+++ b/tests/roster/etcd/client_test.cpp
@@ -65,9 +65,9 @@
     names.kinds = {"cache", "origin"};
     options.on = true;
     options.prefix = kPrefix;
-    options.watcher.answer = 500'000;
-    options.watcher.silence = 200'000;
-    options.watcher.fresh_for = 1'000'000;
+    options.watcher.response_timeout = 500'000;
+    options.watcher.progress_request_delay = 200'000;
+    options.watcher.stale_after = 1'000'000;
     // Beside the prefix nothing counts.
     server.put("/test/serverr", "below");
     server.put("/test/servers0", "above");
@@ -95,7 +95,7 @@
       io.run_one_for(10ms);
     }
   }
-  bool said(const std::string& part) const {
+  bool logged(const std::string& part) const {
     return std::any_of(log.begin(), log.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
@@ -119,7 +119,7 @@
 
 TEST_F(EtcdClient, ReadsInPagesWatchesAndTellsWhatCameChangedAndWent) {
   put(0, 25);
-  options.watcher.page = 10;
+  options.watcher.page_size = 10;
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 25; }));
   EXPECT_EQ(server.ranges, 3U);
@@ -131,7 +131,7 @@
   ASSERT_TRUE(wait_for([&] { return there() == 25 && reader.there.contains("s-30"); }));
   EXPECT_EQ(reader.gone, std::vector<std::string>{"s-3"});
   server.put(key(4), "{");
-  ASSERT_TRUE(wait_for([&] { return said("not used as it stands"); }));
+  ASSERT_TRUE(wait_for([&] { return logged("has an invalid value, which is ignored"); }));
   EXPECT_TRUE(reader.there.contains("s-4"));
   EXPECT_EQ(server.ranges, 3U);
 }
@@ -157,7 +157,7 @@
   ASSERT_TRUE(wait_for([&] { return there() == 7; }));
   EXPECT_TRUE(reader.there.contains("s-2") && reader.there.contains("s-9"));
   EXPECT_EQ(server.ranges, 2U);
-  EXPECT_TRUE(said("compacted up to revision"));
+  EXPECT_TRUE(logged("compacted up to revision"));
 }
 
 TEST_F(EtcdClient, ABreakBetweenTwoEventsOfATransactionTellsNoHalfOfIt) {
@@ -220,7 +220,7 @@
   options.password_file = folder;
   server.set({.password = "right", .token_calls = 2});
   start();
-  ASSERT_TRUE(wait_for([&] { return said("not let in as router"); }));
+  ASSERT_TRUE(wait_for([&] { return logged("authentication as router failed"); }));
   EXPECT_EQ(there(), 0U);
   std::ofstream(folder) << "right\n";
   ASSERT_TRUE(wait_for([&] { return there() == 3 && server.open_watches == 1; }));
@@ -246,7 +246,7 @@
 
 TEST_F(EtcdClient, ARosterOfTwentyThousandIsReadAndADepartureInItSeen) {
   put(0, 20'000);
-  options.watcher.answer = 5'000'000;
+  options.watcher.response_timeout = 5'000'000;
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 20'000; }));
   ASSERT_TRUE(wait_for([&] { return server.open_watches == 1; }));
@@ -270,7 +270,7 @@
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 5; }));
   EXPECT_EQ(reader.failed, 1);  // and it counts as old
-  EXPECT_TRUE(said("5 servers of the seed file are used"));
+  EXPECT_TRUE(logged("using 5 servers from the seed file"));
   server.remove(key(2));
   server.set({});
   ASSERT_TRUE(wait_for([&] { return there() == 4; }));
@@ -301,7 +301,7 @@
     ASSERT_TRUE(wait_for([&] { return next.watches > before; }));
     ASSERT_TRUE(wait_for([&] { return watched.open_watches == 1 && next.open_watches == 0; }));
     quiet(100ms);
-    EXPECT_TRUE(said("the watch began on another cluster, or on one that lags"));
+    EXPECT_TRUE(logged("the watch was created on another cluster or on a member that lags"));
     EXPECT_TRUE(reader.gone.empty());
     EXPECT_EQ(there(), 4U);
     next.set({});
@@ -309,7 +309,7 @@
 }
 
 TEST_F(EtcdClient, ARestoreFromAnOlderBackupIsTakenOnceItIsSureAndWhatItLacksDeparts) {
-  options.watcher.confirm_history = 400'000;
+  options.watcher.history_confirm_duration = 400'000;
   put(0, 4);
   std::int64_t backup = 0;
   server.on([&](standin::EtcdHistory& history) { backup = history.revision(); });
@@ -321,7 +321,7 @@
   ASSERT_TRUE(wait_for([&] { return reader.gone.size() == 4; }));
   EXPECT_EQ(reader.gone, (std::vector<std::string>{"s-4", "s-5", "s-6", "s-7"}));
   EXPECT_EQ(there(), 4U);
-  EXPECT_TRUE(said("suspect, to be read again"));
+  EXPECT_TRUE(logged("listing again to confirm it"));
   put(9, 10);  // and it is watched
   ASSERT_TRUE(wait_for([&] { return there() == 5; }));
 }
--- a/tests/roster/etcd/history_test.cpp
+++ b/tests/roster/etcd/history_test.cpp
@@ -22,7 +22,7 @@
   explicit World(std::uint64_t seed) : seed_(seed), random_(static_cast<unsigned>(seed * 2654435761U + 1)) {
     WatcherSettings settings;
     settings.endpoints = kEndpoints;
-    settings.page = 1 + draw(7);
+    settings.page_size = 1 + draw(7);
     watcher_.emplace(settings, seed, *this);
     for (unsigned i = 0, many = 2 + draw(10); i < many; ++i) {
       history_.put(key(i), "v");
@@ -53,7 +53,7 @@
     // In calm it has caught up, wherever it was.
     EXPECT_EQ(state_at(), plain(history_.now())) << told();
     EXPECT_EQ(watcher_->revision(), history_.revision()) << told();
-    EXPECT_EQ(watcher_->knowledge().state, Knowledge::State::fresh) << told();
+    EXPECT_EQ(watcher_->freshness().state, Freshness::State::fresh) << told();
     EXPECT_EQ(departed_.size(), departures_) << told();
     // Each incarnation that was published and is not there any more was published as departed.
     for (const auto& [incarnation, epoch] : present_)
@@ -109,7 +109,7 @@
       deliver();
     });
   }
-  void ask_progress(std::uint64_t turn) override {
+  void request_progress(std::uint64_t turn) override {
     if (turn != stream_ || silent_ || !stream_live_) return;
     later(1 + draw(10) * kMs, [this, turn] {
       if (turn != stream_ || silent_ || !stream_live_) return;
@@ -118,7 +118,7 @@
         watcher_->progress(now_, turn, {history_.cluster_id, history_.revision()});
     });
   }
-  void drop(std::uint64_t turn) override {
+  void cancel(std::uint64_t turn) override {
     if (turn == stream_) stream_ = 0;
     if (turn == listing_) listing_ = 0;
   }
@@ -151,8 +151,8 @@
                 (before != states_.end() && before->second == folded))
         << told() << "at revision " << publication.revision;
   }
-  void knowledge(const Knowledge&) override {}
-  void said(const std::string&) override {}
+  void on_freshness(const Freshness&) override {}
+  void log_line(const std::string&) override {}
 
  private:
   using Plain = std::map<std::string, std::pair<std::string, std::int64_t>>;
@@ -215,7 +215,7 @@
       case 7: away_.clear(); break;
       case 8: silent_ = true; break;  // half open: nothing comes, nobody says so
       case 9:
-        if (stream_ != 0) watcher_->broken(now_, stream_, "reset");
+        if (stream_ != 0) watcher_->stream_failed(now_, stream_, "reset");
         break;
       case 10: lags_ = draw(kEndpoints + 1); break;
       case 12:
@@ -256,7 +256,7 @@
     if (chance(300)) {
       // In fragments, which may break off.
       for (std::size_t i = 0; i < all.size(); ++i) {
-        if (chance(60)) return watcher_->broken(now_, turn, "in the middle");
+        if (chance(60)) return watcher_->stream_failed(now_, turn, "in the middle");
         watcher_->events(now_, turn, header, {all[i]}, i + 1 < all.size());
         if (turn != stream_) return;
         if (i + 1 < all.size()) progress_between_fragments(turn, header);
@@ -264,7 +264,7 @@
       return;
     }
     watcher_->events(now_, turn, header, all, false);
-    if (chance(30) && turn == stream_) watcher_->broken(now_, turn, "after");
+    if (chance(30) && turn == stream_) watcher_->stream_failed(now_, turn, "after");
   }
 
   /// A progress notice that names the revision of an answer whose events have not all come yet.
--- a/tests/roster/etcd/registry_test.cpp
+++ b/tests/roster/etcd/registry_test.cpp
@@ -66,7 +66,7 @@
     const auto faults = registry.take_faults();
     ASSERT_EQ(faults.size(), 1U) << bad.substr(0, 80);
     EXPECT_EQ(faults[0].key, "/c/1");
-    EXPECT_NE(faults[0].why.find("expected"), std::string::npos) << faults[0].why;
+    EXPECT_NE(faults[0].reason.find("expected"), std::string::npos) << faults[0].reason;
     put("/c/1", bad);
     EXPECT_TRUE(registry.take_faults().empty());
   }
--- a/tests/roster/etcd/watcher_test.cpp
+++ b/tests/roster/etcd/watcher_test.cpp
@@ -26,14 +26,14 @@
   void watch(std::uint64_t turn, std::size_t endpoint, std::int64_t from) override {
     watches.push_back({turn, endpoint, "", from});
   }
-  void ask_progress(std::uint64_t) override { ++progress; }
-  void drop(std::uint64_t) override { ++drops; }
+  void request_progress(std::uint64_t) override { ++progress; }
+  void cancel(std::uint64_t) override { ++drops; }
   void publish(const Publication& publication) override { published.push_back(publication); }
-  void knowledge(const Knowledge& knowledge) override { told.push_back(knowledge); }
-  void said(const std::string& line) override { log.push_back(line); }
+  void on_freshness(const Freshness& freshness) override { told.push_back(freshness); }
+  void log_line(const std::string& line) override { log.push_back(line); }
   std::vector<Asked> ranges, watches;
   std::vector<Publication> published;
-  std::vector<Knowledge> told;
+  std::vector<Freshness> told;
   std::vector<std::string> log;
   int progress = 0, drops = 0;
 };
@@ -81,7 +81,7 @@
 };
 
 TEST_F(EtcdWatcher, ReadsAllPagesAtOneRevisionAndWatchesFromTheNext) {
-  settings.page = 2;
+  settings.page_size = 2;
   watcher.emplace(settings, 1, actions);
   watcher->start(now);
   EXPECT_EQ(actions.ranges[0].revision, 0);
@@ -100,7 +100,7 @@
 
 TEST_F(EtcdWatcher, ACompactionOfWhatItWatchesFromLosesNoDepartureInTheGap) {
   set_up({kv("a", 3), kv("b", 4), kv("c", 5)}, 40);
-  watcher->broken(now, stream(), "reset");
+  watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
   EXPECT_EQ(actions.watches[1].revision, 41);
   watcher->created(now, stream(), {cluster, 60});
@@ -117,7 +117,7 @@
   set_up({kv("a", 3), kv("b", 4)}, 40);
   watcher->events(now, stream(), {cluster, 41}, {removed("a", 41)}, true);
   EXPECT_EQ(actions.published.size(), 1U);
-  watcher->broken(now, stream(), "reset");
+  watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
   EXPECT_EQ(actions.watches[1].revision, 41);
   watcher->created(now, stream(), {cluster, 41});
@@ -146,8 +146,8 @@
 
 TEST_F(EtcdWatcher, OutOfReachTheLastRosterStaysAndCountsAsStale) {
   set_up({kv("a", 3)}, 40);
-  wait_until([&] { return watcher->knowledge().state == Knowledge::State::stale; });
-  EXPECT_LE(watcher->knowledge().since, now - settings.fresh_for);
+  wait_until([&] { return watcher->freshness().state == Freshness::State::stale; });
+  EXPECT_LE(watcher->freshness().since, now - settings.stale_after);
   EXPECT_EQ(actions.published.size(), 1U);
   for (int i = 0; i < 2'000; ++i) {
     now = std::max(now, watcher->next_time());
@@ -163,7 +163,7 @@
   watcher->on_time(now);
   wait_until([&] { return watcher->state() == Watcher::State::opening; });
   watcher->created(now, stream(), {cluster, 40});
-  EXPECT_EQ(watcher->knowledge().state, Knowledge::State::fresh);
+  EXPECT_EQ(watcher->freshness().state, Freshness::State::fresh);
 }
 
 TEST_F(EtcdWatcher, AListingWithFarFewerKeysIsReadAgainBeforeItIsBelieved) {
@@ -195,7 +195,7 @@
   const Time told = now;
   list({kv("a", 3)}, 60);
   wait_until([&] { return departed().size() == 2; });
-  EXPECT_LE(now - told, settings.apply_share);
+  EXPECT_LE(now - told, settings.unconfirmed_apply_delay);
   EXPECT_EQ(watcher->counts().applied_unconfirmed, 1U);
 }
 
@@ -221,7 +221,7 @@
 
 TEST_F(EtcdWatcher, OneEndpointOfAnotherClusterIsNotBelievedAndAllOfThemAreInTheEnd) {
   set_up({kv("a", 3)}, 40);
-  watcher->broken(now, stream(), "reset");
+  watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
   watcher->created(now, stream(), {99, 500});
   wait_for_range();
@@ -232,7 +232,7 @@
   EXPECT_EQ(watcher->epoch(), 1U);
   EXPECT_TRUE(departed().empty());
   // From here on all are of the other cluster.
-  watcher->broken(now, stream(), "reset");
+  watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 4; });
   watcher->created(now, stream(), {99, 500});
   const Time first = now;
@@ -240,7 +240,7 @@
     wait_for_range();
     watcher->page(now, actions.ranges.back().turn, {99, 500}, {kv("x", 2)}, false);
   }
-  EXPECT_GE(now - first, settings.confirm_history);
+  EXPECT_GE(now - first, settings.history_confirm_duration);
   EXPECT_EQ(watcher->epoch(), 2U);
   EXPECT_EQ(departed(), Names{"a"});
   EXPECT_EQ(actions.published.back().revision, 500);
@@ -248,7 +248,7 @@
 
 TEST_F(EtcdWatcher, RevisionsThatWentBackAreAnotherEpochOnceTheyWereSeenForTheirTime) {
   set_up({kv("a", 3), kv("b", 30)}, 40, 1);
-  watcher->broken(now, stream(), "reset");
+  watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
   watcher->created(now, stream(), {cluster, 25});
   const Time first = now;
@@ -257,7 +257,7 @@
     wait_for_range();
     list({kv("a", 3)}, 25);
   }
-  EXPECT_GE(now - first, settings.confirm_history);
+  EXPECT_GE(now - first, settings.history_confirm_duration);
   EXPECT_GE(read, 3);
   EXPECT_EQ(departed(), Names{"b"});
   EXPECT_EQ(actions.watches.back().revision, 26);
@@ -269,19 +269,19 @@
   set_up({kv("a", 3)}, 40);
   now += 3'600'000 * kMs;
   watcher->on_time(now);
-  EXPECT_EQ(watcher->knowledge().state, Knowledge::State::stale);
-  EXPECT_EQ(watcher->knowledge().since, now - 3'600'000 * kMs);
+  EXPECT_EQ(watcher->freshness().state, Freshness::State::stale);
+  EXPECT_EQ(watcher->freshness().since, now - 3'600'000 * kMs);
   EXPECT_EQ(actions.progress, 1);
   EXPECT_EQ(watcher->state(), Watcher::State::watching);
   watcher->progress(now + 10 * kMs, stream(), {cluster, 90});
-  EXPECT_EQ(watcher->knowledge().state, Knowledge::State::fresh);
+  EXPECT_EQ(watcher->freshness().state, Freshness::State::fresh);
   EXPECT_EQ(actions.ranges.size(), 1U);
   EXPECT_EQ(watcher->counts().breaks, 0U);
 }
 
 TEST_F(EtcdWatcher, OneOfTwoEndpointsIsNotBelievedThoughTheOtherIsSilentForGood) {
   set_up({kv("a", 3)}, 40);
-  watcher->broken(now, stream(), "reset");
+  watcher->stream_failed(now, stream(), "reset");
   const Time first = now;
   std::size_t answered = 0, ranges = actions.ranges.size(), watches = actions.watches.size();
   while (now - first < 120'000 * kMs) {
@@ -303,7 +303,7 @@
 }
 
 TEST_F(EtcdWatcher, AListingWithoutEndAndOneThatContradictsItselfAreGivenUp) {
-  settings.most_keys = 3;
+  settings.max_keys = 3;
   watcher.emplace(settings, 1, actions);
   watcher->start(now);
   watcher->page(now, actions.ranges.back().turn, {cluster, 40},
@@ -325,10 +325,10 @@
 TEST_F(EtcdWatcher, WhatBelongsToAnEarlierTurnIsNotHeard) {
   set_up({kv("a", 3)}, 40);
   const std::uint64_t old = stream();
-  watcher->broken(now, old, "reset");
+  watcher->stream_failed(now, old, "reset");
   watcher->events(now, old, {cluster, 41}, {removed("a", 41)}, false);
   watcher->cancelled(now, old, "compacted", 50);
-  watcher->broken(now, old, "reset again");
+  watcher->stream_failed(now, old, "reset again");
   EXPECT_EQ(actions.published.size(), 1U);
   EXPECT_EQ(watcher->counts().breaks, 1U);
   EXPECT_EQ(watcher->counts().compactions, 0U);
@@ -345,11 +345,11 @@
     one.cancelled(now, own.watches.back().turn, "compacted", 50);
     asked.push_back(one.next_time() - now);
   }
-  for (Time from = 0; from < settings.spread; from += 100 * kMs)
+  for (Time from = 0; from < settings.relist_jitter; from += 100 * kMs)
     EXPECT_LE(std::count_if(asked.begin(), asked.end(),
                             [&](Time at) { return at >= from && at < from + 100 * kMs; }),
               30);
-  EXPECT_LE(*std::max_element(asked.begin(), asked.end()), settings.spread);
+  EXPECT_LE(*std::max_element(asked.begin(), asked.end()), settings.relist_jitter);
 }
 
 }  // namespace
--- a/tests/roster/list_framer_test.cpp
+++ b/tests/roster/list_framer_test.cpp
@@ -36,11 +36,11 @@
 
 TEST(ListFramer, OnlyAWholeListOrAnEmptyLineIsASignOfLife) {
   ListFramer framer(kLongest);
-  EXPECT_FALSE(framer.put("  ").alive);
-  EXPECT_TRUE(framer.put("\n").alive);
-  EXPECT_FALSE(framer.put("{\"a\":\n").alive);
-  EXPECT_FALSE(framer.put("\n\n").alive);  // in its midst
-  EXPECT_TRUE(framer.put("1}").alive);
+  EXPECT_FALSE(framer.put("  ").received_line);
+  EXPECT_TRUE(framer.put("\n").received_line);
+  EXPECT_FALSE(framer.put("{\"a\":\n").received_line);
+  EXPECT_FALSE(framer.put("\n\n").received_line);  // in its midst
+  EXPECT_TRUE(framer.put("1}").received_line);
 }
 
 TEST(ListFramer, AListWithoutEndIsToldAndNotKept) {
--- a/tools/roster.cpp
+++ b/tools/roster.cpp
@@ -1,10 +1,12 @@
-// A server's entry in etcd, and what is there:
+// Registers a server in etcd, or lists the registered servers:
 //
-//   streampick_roster register --endpoint 127.0.0.1:2379 --id s-1 --address 10.1.0.18:3000 --zone a --kind
-//   cache streampick_roster list --endpoint 127.0.0.1:2379
+//   streampick_roster register --endpoint 127.0.0.1:2379 --id s-1 --address 10.1.0.18:3000 --zone a
+//       --kind cache
+//   streampick_roster list --endpoint 127.0.0.1:2379
 //
-// `register` stays up and keeps the entry's lease alive. SIGTERM or SIGINT: the entry says draining for
-// --drain-s, then it is taken out, and the program ends with 0. A second signal takes it out at once.
+// `register` keeps running and keeps the entry's lease alive. On SIGTERM or SIGINT it marks the entry as
+// draining for --drain-s seconds, then removes it and exits with 0. A second signal removes the entry at
+// once.
 #include <grpcpp/grpcpp.h>
 
 #include <CLI/CLI.hpp>
@@ -27,8 +29,8 @@
 namespace pb = etcdserverpb;
 using std::chrono::microseconds;
 
-constexpr std::chrono::seconds kDeadline{1};
-constexpr int kBadUse = 2, kFailed = 1;
+constexpr std::chrono::seconds kCallTimeout{1};
+constexpr int kUsageError = 2, kFailed = 1;
 
 Time now_us() {
   return std::chrono::duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch())
@@ -59,7 +61,7 @@
   return grpc::CreateCustomChannel(endpoint, grpc::InsecureChannelCredentials(), arguments);
 }
 
-// Carries out what the registration asks, one call at a time.
+// Carries out the registration's requests, one call at a time.
 class Publisher final : public etcd::RegistrationActions {
  public:
   explicit Publisher(const Entry& entry)
@@ -75,16 +77,17 @@
   int run(const sigset_t& signals) {
     registration_.start(now_us());
     Time end_at = kNever;
-    auto told = registration_.state();
+    auto reported_state = registration_.state();
     while (registration_.state() != etcd::Registration::State::ended) {
-      while (next_) std::exchange(next_, nullptr)();
-      if (registration_.state() != told && registration_.state() == etcd::Registration::State::registered)
+      while (next_call_) std::exchange(next_call_, nullptr)();
+      if (registration_.state() != reported_state &&
+          registration_.state() == etcd::Registration::State::registered)
         std::printf("%s\n", registration_.draining() ? "draining" : "registered"), std::fflush(stdout);
-      told = registration_.state();
-      if (next_ || told == etcd::Registration::State::ended) continue;
+      reported_state = registration_.state();
+      if (next_call_ || reported_state == etcd::Registration::State::ended) continue;
       const Time until = std::min(registration_.next_time(), end_at);
-      const Time left = std::max<Time>(0, std::min<Time>(until - now_us(), 1'000'000));
-      const timespec wait{left / 1'000'000, left % 1'000'000 * 1'000};
+      const Time time_left = std::max<Time>(0, std::min<Time>(until - now_us(), 1'000'000));
+      const timespec wait{time_left / 1'000'000, time_left % 1'000'000 * 1'000};
       if (sigtimedwait(&signals, nullptr, &wait) > 0) {
         const bool first = end_at == kNever;
         end_at = first ? now_us() + entry_.drain_s * 1'000'000 : now_us();
@@ -97,7 +100,7 @@
   }
 
   void grant(long long ttl_s) override {
-    next_ = [this, ttl_s] {
+    next_call_ = [this, ttl_s] {
       pb::LeaseGrantRequest request;
       request.set_ttl(ttl_s);
       pb::LeaseGrantResponse reply;
@@ -106,7 +109,7 @@
     };
   }
   void put(std::int64_t lease, bool draining) override {
-    next_ = [this, lease, draining] {
+    next_call_ = [this, lease, draining] {
       pb::PutRequest request;
       request.set_key(entry_.key());
       request.set_value(entry_.value(draining, up_since_ms_));
@@ -117,22 +120,23 @@
     };
   }
   void keep_alive(std::int64_t lease) override {
-    next_ = [this, lease] {
+    next_call_ = [this, lease] {
       pb::LeaseKeepAliveResponse reply;
       if (call([&](grpc::ClientContext& context) {
             const auto stream = lease_->LeaseKeepAlive(&context);
             pb::LeaseKeepAliveRequest request;
             request.set_id(lease);
-            const bool heard = stream->Write(request) && stream->Read(&reply);
+            const bool has_reply = stream->Write(request) && stream->Read(&reply);
             stream->WritesDone();
             const grpc::Status status = stream->Finish();
-            return heard || !status.ok() ? status : grpc::Status(grpc::StatusCode::UNAVAILABLE, "no answer");
+            return has_reply || !status.ok() ? status
+                                             : grpc::Status(grpc::StatusCode::UNAVAILABLE, "no answer");
           }))
         registration_.kept(now_us(), reply.ttl());
     };
   }
   void revoke(std::int64_t lease) override {
-    next_ = [this, lease] {
+    next_call_ = [this, lease] {
       pb::LeaseRevokeRequest request;
       request.set_id(lease);
       pb::LeaseRevokeResponse reply;
@@ -142,11 +146,11 @@
   }
 
  private:
-  template <class What>
-  bool call(What what) {
+  template <class Rpc>
+  bool call(Rpc rpc) {
     grpc::ClientContext context;
-    context.set_deadline(std::chrono::system_clock::now() + kDeadline);
-    const grpc::Status status = what(context);
+    context.set_deadline(std::chrono::system_clock::now() + kCallTimeout);
+    const grpc::Status status = rpc(context);
     if (status.ok()) return true;
     std::fprintf(stderr, "streampick_roster: %s\n", status.error_message().c_str());
     registration_.failed(now_us());
@@ -159,46 +163,46 @@
   std::unique_ptr<pb::Lease::Stub> lease_;
   etcd::Registration registration_;
   long long up_since_ms_;
-  std::function<void()> next_;
+  std::function<void()> next_call_;
 };
 
 int list(const Entry& entry) {
   const auto kv = pb::KV::NewStub(channel_to(entry.endpoint));
-  Names names;  // any zone and kind
+  Names names;  // empty: any zone and kind is valid
   etcd::Registry registry(names);
-  etcd::Publication all;
-  all.complete = true;
+  etcd::Publication listing;
+  listing.complete = true;
   std::string end = entry.prefix;
   end.back() = static_cast<char>(end.back() + 1);
   std::string from = entry.prefix;
   for (bool more = true; more;) {
     grpc::ClientContext context;
-    context.set_deadline(std::chrono::system_clock::now() + 5 * kDeadline);
+    context.set_deadline(std::chrono::system_clock::now() + 5 * kCallTimeout);
     pb::RangeRequest request;
     request.set_key(from);
     request.set_range_end(end);
     request.set_limit(1'000);
-    request.set_revision(all.revision);
+    request.set_revision(listing.revision);
     pb::RangeResponse reply;
     const grpc::Status status = kv->Range(&context, request, &reply);
     if (!status.ok()) {
       std::fprintf(stderr, "streampick_roster: %s\n", status.error_message().c_str());
       return kFailed;
     }
-    if (all.revision == 0) all.revision = reply.header().revision();
+    if (listing.revision == 0) listing.revision = reply.header().revision();
     for (const auto& one : reply.kvs())
-      all.puts.push_back({one.key(), one.value(), one.create_revision(), one.mod_revision()});
+      listing.puts.push_back({one.key(), one.value(), one.create_revision(), one.mod_revision()});
     more = reply.more() && reply.kvs_size() > 0;
     if (more) from = reply.kvs(reply.kvs_size() - 1).key() + '\0';
   }
-  registry.apply(all);
-  std::printf("revision %lld, %zu servers, %zu keys not used\n", static_cast<long long>(all.revision),
+  registry.apply(listing);
+  std::printf("revision %lld, %zu servers, %zu keys ignored\n", static_cast<long long>(listing.revision),
               registry.members(), registry.quarantined());
   for (const engine::ListedEndpoint& one : registry.list().members)
     std::printf("%-24s %-21s %s\n", one.id.c_str(), one.address.c_str(),
                 one.member.phase == Phase::draining ? "draining" : "ready");
   for (const auto& fault : registry.take_faults())
-    std::printf("%s is not used as it stands: %s\n", fault.key.c_str(), fault.why.c_str());
+    std::printf("%s has an invalid value, which is ignored: %s\n", fault.key.c_str(), fault.reason.c_str());
   return 0;
 }
 
@@ -206,38 +210,41 @@
 
 int main(int argc, char** argv) {
   Entry entry;
-  CLI::App app("A server's entry in etcd, for routers that learn their roster there.", "streampick_roster");
+  CLI::App app("Registers a server in etcd for routers that read their roster there, or lists the servers.",
+               "streampick_roster");
   app.require_subcommand(1);
   app.add_option("--endpoint", entry.endpoint, "etcd's address")->capture_default_str();
-  app.add_option("--prefix", entry.prefix, "of the keys")->capture_default_str();
+  app.add_option("--prefix", entry.prefix, "prefix of the keys")->capture_default_str();
   app.fallthrough();
-  CLI::App* const enter =
-      app.add_subcommand("register", "keep an entry alive; SIGTERM drains it and takes it out");
-  enter->add_option("--id", entry.id, "the server's name")->required();
-  enter->add_option("--address", entry.address, "HOST:PORT that routers connect to")->required();
-  enter->add_option("--zone", entry.zone);
-  enter->add_option("--kind", entry.kind);
-  enter->add_option("--cell", entry.cell);
-  enter->add_option("--size", entry.size)->check(CLI::PositiveNumber);
-  enter->add_option("--ttl-s", entry.ttl_s, "of the lease")
+  CLI::App* const register_command =
+      app.add_subcommand("register", "keep an entry alive; SIGTERM drains and removes it");
+  register_command->add_option("--id", entry.id, "the server's name")->required();
+  register_command->add_option("--address", entry.address, "HOST:PORT that routers connect to")->required();
+  register_command->add_option("--zone", entry.zone);
+  register_command->add_option("--kind", entry.kind);
+  register_command->add_option("--cell", entry.cell);
+  register_command->add_option("--size", entry.size)->check(CLI::PositiveNumber);
+  register_command->add_option("--ttl-s", entry.ttl_s, "time to live of the lease, in seconds")
       ->check(CLI::Range(1, 3'600))
       ->capture_default_str();
-  enter->add_option("--drain-s", entry.drain_s, "between draining and gone")->check(CLI::Range(0, 3'600));
-  CLI::App* const show = app.add_subcommand("list", "what routers would make of the keys");
+  register_command->add_option("--drain-s", entry.drain_s, "seconds from draining to removal")
+      ->check(CLI::Range(0, 3'600));
+  CLI::App* const list_command =
+      app.add_subcommand("list", "list the servers as routers read them from the keys");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::Success& asked) {
-    return app.exit(asked);
+  } catch (const CLI::Success& success) {
+    return app.exit(success);
   } catch (const CLI::ParseError& error) {
     std::fprintf(stderr, "streampick_roster: %s\n", error.what());
-    return kBadUse;
+    return kUsageError;
   }
   if (entry.prefix.empty()) {
-    std::fprintf(stderr, "streampick_roster: --prefix: it is empty\n");
-    return kBadUse;
+    std::fprintf(stderr, "streampick_roster: --prefix must not be empty\n");
+    return kUsageError;
   }
-  if (show->parsed()) return list(entry);
-  // Taken one by one, in run(); blocked before gRPC starts its threads.
+  if (list_command->parsed()) return list(entry);
+  // run() waits for these signals. They are blocked before gRPC starts its threads, which inherit the mask.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
