--- a/tests/roster/discovery_test.cpp
+++ b/tests/roster/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch on discovery over loopback sockets.
+// Tests of the watch on discovery over loopback sockets.
 #include "roster/watch_times.h"
 #include "support/loopback.h"
 
@@ -7,19 +7,19 @@
 
 class Watched : public Loopback {
  protected:
-  // A router that knows the cache, and watches.
+  // Starts a router that knows the cache and has an open watch.
   void begin() {
     cache.answer = [](const std::string&) { return response(200, "x"); };
     start();
     accept_watch();
     begin_watch();
   }
-  // The whole list, with the other server in the cache's place.
+  // A complete list with `other` instead of the cache.
   nlohmann::json only_other(std::uint64_t revision) {
     return list_json(revision, true, {{"s-new", other.address()}, {"s-origin", origin.address(), "origin"}});
   }
   FakeServer other{io, [](const std::string&) { return response(200, "y"); }};
-  // The server that a new read goes to.
+  // Whether a new read is sent to `server`.
   bool read_goes_to(FakeServer& server) {
     const std::size_t before = server.requests.size();
     const auto one = client();
@@ -28,7 +28,7 @@
   }
 };
 
-TEST_F(Watched, ChangesAndWholeListsAreTakenThoughTheirLinesAreSplit) {
+TEST_F(Watched, FragmentedLines_AreAppliedAsListsAndChanges) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
@@ -44,7 +44,7 @@
   chunk(drains.substr(30) + "\n\n");
   quiet(30);
   EXPECT_TRUE(read_goes_to(other));
-  // A whole list without s-new: it is gone. s-cache is back, elsewhere.
+  // A complete list without s-new, which is gone, and with s-cache at another address.
   FakeServer moved(io, [](const std::string&) { return response(200, "z"); });
   chunk(list_json(3, true, {{"s-cache", moved.address()}, {"s-origin", origin.address(), "origin"}}).dump() +
         "\n");
@@ -52,7 +52,7 @@
   EXPECT_TRUE(read_goes_to(moved));
 }
 
-TEST_F(Watched, AWatchThatEndsOrSpeaksNonsenseIsSetUpAgainAfterTheLastRevision) {
+TEST_F(Watched, EndedOrMalformedWatch_IsRestartedAfterTheLastRevision) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
@@ -73,11 +73,11 @@
   EXPECT_TRUE(read_goes_to(cache));
 }
 
-// ---- Watches that fail, each at another place
+// ---- Watches that fail at different points
 
-// What the test's discovery does with each watch, from the accept on; what it did is told by the time of its
-// next one.
-TEST_F(Watched, HoweverAWatchFailsTheNextOneComesWithinItsShareOfTheSixSeconds) {
+// Each case is one behaviour of discovery after it accepts a watch. The time until the next watch shows
+// whether the failure was detected in time.
+TEST_F(Watched, FailedWatch_IsReplacedWithinItsTimeout) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string list = list_json(1, false, {}).dump();
@@ -129,11 +129,11 @@
     accept_watch();
     EXPECT_LE(std::chrono::steady_clock::now() - began, one.longest) << one.name;
   }
-  EXPECT_TRUE(read_goes_to(cache));  // the old list serves through all of it
+  EXPECT_TRUE(read_goes_to(cache));  // the old list stays in use
 }
 
-// A byte now and then is no line: what discovery has to tell may never come.
-TEST_F(Watched, ALineThatDripsIsSilence) {
+// Single bytes don't count as a line, as the rest of it may never arrive.
+TEST_F(Watched, SlowlyDeliveredLine_CountsAsSilence) {
   start();
   accept_watch();
   begin_watch();
@@ -149,10 +149,10 @@
   accept_watch();
 }
 
-TEST_F(Watched, AListThatIsResetJustBehindItsLastByteIsTaken) {
+TEST_F(Watched, ResetAfterTheLastByteOfAList_KeepsTheList) {
   begin();
   chunk(only_other(2).dump() + "\n");
-  quiet(30);  // read: a reset would take what is not
+  quiet(30);  // until it is read, as a reset discards unread bytes
   agent->socket.set_option(asio::socket_base::linger(true, 0));
   agent->close();
   accept_watch();
@@ -160,8 +160,8 @@
   EXPECT_TRUE(read_goes_to(other));
 }
 
-// A discovery that lags behind, or another one at the same address: the version goes up only.
-TEST_F(Watched, AWholeListOlderThanWhatIsKnownIsNotTaken) {
+// Discovery lags, or another one is at the same address: the revision must not decrease.
+TEST_F(Watched, CompleteListWithLowerRevision_IsRejected) {
   begin();
   chunk(only_other(9).dump() + "\n");
   ASSERT_TRUE(read_goes_to(other));
@@ -170,7 +170,7 @@
   begin_watch();
   chunk(list_json(8, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}).dump() +
         "\n");
-  accept_watch();  // asked anew
+  accept_watch();  // the router requests the changes again
   EXPECT_EQ(agent->got.rfind("GET /discovery/hosts?watch=1&after=9 ", 0), 0U);
   EXPECT_TRUE(read_goes_to(other));
   begin_watch();
@@ -181,8 +181,8 @@
   EXPECT_TRUE(read_goes_to(cache));
 }
 
-// The watch that was replaced speaks after the one that replaced it.
-TEST_F(Watched, AnOlderWatchThatSpeaksLastIsNotHeard) {
+// The replaced watch delivers a list after its replacement did.
+TEST_F(Watched, MessageOnReplacedWatch_IsIgnored) {
   begin();
   chunk("\n");
   const auto old = agent;
@@ -204,7 +204,7 @@
   EXPECT_TRUE(read_goes_to(other));
 }
 
-TEST_F(Watched, AListIndentedOverSeveralLinesIsTaken) {
+TEST_F(Watched, IndentedList_IsApplied) {
   begin();
   const std::string list = only_other(2).dump(2) + "\n";
   chunk(list.substr(0, list.size() / 2));
@@ -217,8 +217,8 @@
   EXPECT_EQ(agent->got.rfind("GET /discovery/hosts?watch=1&after=3 ", 0), 0U);
 }
 
-// Discovery is down for longer than any back-off, and returns when an attempt has just failed.
-TEST_F(Watched, ADiscoveryThatReturnsJustBehindAFailedTryIsHeardSoon) {
+// Discovery is down for longer than the longest back-off and returns when an attempt has just failed.
+TEST_F(Watched, DiscoveryBackAfterFailedAttempt_IsReadWithinTheBackoff) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
@@ -237,9 +237,9 @@
   EXPECT_TRUE(read_goes_to(other));
 }
 
-// Discovery takes calls and hangs, each time: however long that lasts, the next call is never more than an
-// attempt and its back-off away, and the list that it then has is taken.
-TEST_F(Watched, ADiscoveryThatHangsCallAfterCallIsHeardWithinItsBoundOnItsReturn) {
+// Discovery accepts calls and hangs. The next call comes after at most one attempt and its back-off, and its
+// list is applied.
+TEST_F(Watched, RepeatedlyHangingDiscovery_IsCalledAgainWithinItsBound) {
   constexpr int kCalls = 5;
   const auto quick = std::chrono::milliseconds(400);
   cache.answer = [](const std::string&) { return response(200, "x"); };
@@ -247,7 +247,7 @@
   accept_watch();
   for (int call = 0; call < kCalls; ++call) {
     const auto began = std::chrono::steady_clock::now();
-    accept_watch();  // the one before hangs
+    accept_watch();  // the previous call hangs
     EXPECT_LE(std::chrono::steady_clock::now() - began,
               roster::kPushed.attempt + roster::kPushed.backoff_most + quick);
   }
@@ -258,7 +258,7 @@
   EXPECT_TRUE(read_goes_to(other));
 }
 
-// Where the list is asked for, one service has all routers' calls in its hands.
+// One service that serves the calls of all routers, which poll it for the list.
 class Asked : public Watched {
  protected:
   void start_asking() {
@@ -273,8 +273,8 @@
   }
 };
 
-// It works through calls in turn, for up to 2 s.
-TEST_F(Asked, AServiceThatAnswersAfterAlmostTwoSecondsIsHeard) {
+// The service queues calls for up to 2 s.
+TEST_F(Asked, ResponseAfterAlmostTwoSeconds_IsApplied) {
   start_asking();
   quiet(1'900);
   EXPECT_FALSE(agent->ended);
@@ -284,7 +284,7 @@
   EXPECT_TRUE(read_goes_to(other));
 }
 
-TEST_F(Asked, ACrowdedServiceIsAskedAgainWithPausesThatDoNotGrow) {
+TEST_F(Asked, OverloadedService_IsRetriedWithConstantBackoff) {
   constexpr int kRefusals = 12;
   const auto slack = std::chrono::milliseconds(300);
   start_asking();
@@ -302,8 +302,9 @@
 
 // ---- Drains
 
-// Told that it drains while an attempt's copy is due next: the copy goes elsewhere, or nowhere.
-TEST_F(Watched, AServerThatDrainsBeforeACopyIsDueIsSentNoCopy) {
+// A server is reported as draining before the hedged request to it is due: it goes to another server or to
+// none.
+TEST_F(Watched, ServerDrainsBeforeHedgeIsDue_IsSentNoHedgedRequest) {
   other.answer = nullptr;
   start(list_json(1, true,
                   {{"s-1", cache.address()}, {"s-2", other.address()}, {"s-o", origin.address(), "origin"}}));
@@ -318,13 +319,13 @@
             {{at_first ? "s-2" : "s-1", at_first ? other.address() : cache.address(), "box", "terminating"}})
             .dump() +
         "\n\n");
-  for (int i = 0; i < 3; ++i) quiet(500), chunk("\n");  // past the delay of a copy
+  for (int i = 0; i < 3; ++i) quiet(500), chunk("\n");  // past the hedge delay
   EXPECT_EQ(cache.requests.size() + other.requests.size(), 1U);
 }
 
-// The origin could not be reached and the next try waits; then it is told to go, and comes back at its
-// address.
-TEST_F(Watched, AServerThatDrainsWhileANextTryWaitsIsSentNothing) {
+// The origin is unreachable and a retry is waiting. Then the origin is reported as draining, and a listener
+// appears at its address.
+TEST_F(Watched, ServerDrainsBeforeRetryIsDue_IsSentNothing) {
   net::tcp::acceptor shut(io, any_port());
   const net::tcp::endpoint nowhere = shut.local_endpoint();
   shut.close();
@@ -346,16 +347,16 @@
   EXPECT_FALSE(dialled);
 }
 
-TEST_F(Watched, ASilentWatchIsGivenUpAndTheOldListStaysInUse) {
+TEST_F(Watched, SilentWatch_IsReplacedAndOldListStaysInUse) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
   begin_watch();
-  accept_watch();  // without a line for longer than the empty ones are apart
+  accept_watch();  // no line for longer than the heartbeat interval
   EXPECT_TRUE(read_goes_to(cache));
 }
 
-TEST_F(Watched, AServerThatDrainsWhileAnAttemptIsHeldForItIsSentNothing) {
+TEST_F(Watched, ServerDrainsWhileAttemptIsHeld_IsSentNothing) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
@@ -369,8 +370,8 @@
   EXPECT_TRUE(origin.requests.empty());
 }
 
-// Changes build on one another: older ones would bring back what has gone since.
-TEST_F(Watched, ChangesOlderThanWhatIsKnownAreNotTaken) {
+// Changes build on one another: older ones would bring back servers that have left since.
+TEST_F(Watched, ChangesWithLowerRevision_AreRejected) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
@@ -388,7 +389,7 @@
   EXPECT_EQ(agent->got.rfind("GET /discovery/hosts?watch=1&after=5 ", 0), 0U);
 }
 
-TEST_F(Watched, AReloadWatchesTheNewDiscoveryAtOnceAndTheOldListServesUntilItsOwnIsIn) {
+TEST_F(Watched, ReloadWithNewDiscovery_WatchesItAndKeepsOldListUntilItsFirst) {
   begin();
   chunk(list_json(90, false, {}).dump() + "\n");
   quiet(30);
@@ -399,7 +400,7 @@
   host->reload(anew);
   std::swap(discovery, next);
   accept_watch();
-  // Its revisions are its own.
+  // The new discovery's revisions are independent of the former one's.
   EXPECT_EQ(agent->got.rfind("GET /discovery/hosts?watch=1&after=0 ", 0), 0U);
   ASSERT_TRUE(wait_for([&] { return old->ended; }));
   EXPECT_TRUE(read_goes_to(cache));
@@ -409,12 +410,12 @@
         "\n");
   quiet(30);
   EXPECT_TRUE(read_goes_to(other));
-  host->reload(anew);  // nothing new: the watch goes on
+  host->reload(anew);  // no change: the watch continues
   quiet();
   EXPECT_FALSE(agent->ended);
 }
 
-TEST_F(Watched, AReloadToADiscoveryThatIsNotUpIsTriedAgain) {
+TEST_F(Watched, ReloadWithUnreachableDiscovery_IsRetried) {
   start();
   accept_watch();
   net::tcp::acceptor next(io, any_port());
@@ -428,9 +429,9 @@
   EXPECT_EQ(agent->got.rfind("GET /discovery/hosts?watch=1&after=0 ", 0), 0U);
 }
 
-// Servers that come and go all day under new names must not leave anything behind, and a new one at the
-// address of another inherits none of its connections.
-TEST_F(Watched, GoneServersAreForgottenAndTheirConnectionsClosed) {
+// Servers that come and go under new ids must leave no state behind, and a new server at the address of a
+// former one must not reuse its connections.
+TEST_F(Watched, GoneServers_AreForgottenAndTheirConnectionsClosed) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   accept_watch();
@@ -451,7 +452,7 @@
   EXPECT_LE(host->servers(), 4U);
 }
 
-TEST_F(Watched, AGoneServerIsForgottenOnlyOnceItsLastAttemptHasEnded) {
+TEST_F(Watched, GoneServer_IsForgottenAfterItsLastAttempt) {
   start();
   accept_watch();
   begin_watch();
@@ -462,7 +463,7 @@
   quiet(30);
   chunk(list_json(3, false, {{"s-new", other.address()}}).dump() + "\n");
   quiet(30);
-  EXPECT_EQ(host->servers(), 3U);  // its id is not given to another while the attempt is out
+  EXPECT_EQ(host->servers(), 3U);  // its numeric id is not reused while the attempt is in progress
   cache.peers[0]->write(response(200, "x"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->body(), "x");
--- a/tests/roster/etcd/client_test.cpp
+++ b/tests/roster/etcd/client_test.cpp
@@ -1,4 +1,4 @@
-// The roster from etcd over gRPC, against the stand-in: each failure is caused, and what is told is counted.
+// Tests of EtcdRoster over gRPC against the stand-in, which injects each failure.
 #include "roster/etcd/client.h"
 
 #include <grpc/support/time.h>
@@ -16,7 +16,7 @@
 
 #include "standin/etcd/server.h"
 
-// Where gRPC reads its clocks; its own tests set it too.
+// gRPC's hook for reading its clocks, which gRPC's own tests replace too.
 extern "C" gpr_timespec (*gpr_now_impl)(gpr_clock_type clock_type);
 
 namespace streampick::etcd {
@@ -39,7 +39,7 @@
 }
 std::string key(int i) { return kPrefix + std::to_string(100'000 + i); }
 
-// Keeps what an engine would.
+// Keeps the roster that an engine would have.
 struct Reader final : engine::EndpointListObserver {
   void on_endpoint_list(const engine::EndpointList& list) override {
     ++lists;
@@ -68,7 +68,7 @@
     options.watcher.response_timeout = 500'000;
     options.watcher.progress_request_delay = 200'000;
     options.watcher.stale_after = 1'000'000;
-    // Beside the prefix nothing counts.
+    // Keys outside the prefix must be ignored.
     server.put("/test/serverr", "below");
     server.put("/test/servers0", "above");
   }
@@ -117,7 +117,7 @@
   std::unique_ptr<EtcdRoster> roster;
 };
 
-TEST_F(EtcdClient, ReadsInPagesWatchesAndTellsWhatCameChangedAndWent) {
+TEST_F(EtcdClient, ListingAndWatch_DeliverAddedChangedAndRemovedServers) {
   put(0, 25);
   options.watcher.page_size = 10;
   start();
@@ -136,7 +136,7 @@
   EXPECT_EQ(server.ranges, 3U);
 }
 
-TEST_F(EtcdClient, AWatchThatIsDroppedGoesOnWhereItWasAndACompactedOneListsAnew) {
+TEST_F(EtcdClient, DroppedWatch_ResumesAndCompactedWatchListsAgain) {
   put(0, 8);
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 8 && server.open_watches == 1; }));
@@ -148,7 +148,7 @@
   server.on([&](standin::EtcdHistory& history) {
     history.remove(key(1));
     history.remove(key(2));
-    history.put(key(2), value(2));  // there again, another incarnation
+    history.put(key(2), value(2));  // exists again, as another incarnation
     history.put(key(9), value(9));
     history.compact(history.revision());
   });
@@ -160,7 +160,7 @@
   EXPECT_TRUE(logged("compacted up to revision"));
 }
 
-TEST_F(EtcdClient, ABreakBetweenTwoEventsOfATransactionTellsNoHalfOfIt) {
+TEST_F(EtcdClient, StreamFailureWithinTransaction_DeliversNoPartOfIt) {
   put(0, 6);
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 6 && server.open_watches == 1; }));
@@ -176,10 +176,10 @@
   EXPECT_EQ(reader.gone.size(), 2U);
   EXPECT_EQ(there(), 5U);
   quiet(100ms);
-  EXPECT_EQ(reader.gone.size(), 2U);  // delivered twice, told once
+  EXPECT_EQ(reader.gone.size(), 2U);  // delivered twice, reported once
 }
 
-TEST_F(EtcdClient, AHalfOpenSilenceIsNoticedAndTheNextMemberTakesOver) {
+TEST_F(EtcdClient, HalfOpenStream_IsDetectedAndNextMemberIsUsed) {
   const auto cluster = std::make_shared<standin::EtcdCluster>();
   standin::EtcdServer one(cluster), other(cluster);
   put_into(one, 0, 2);
@@ -192,10 +192,10 @@
   ASSERT_TRUE(wait_for([&] { return reader.gone.size() == 1; }));
   EXPECT_EQ(takes_over.open_watches, 1);
   EXPECT_GE(silent.progress_asked + takes_over.progress_asked, 1U);
-  EXPECT_EQ(one.ranges + other.ranges, 1U);  // it went on, and read nothing anew
+  EXPECT_EQ(one.ranges + other.ranges, 1U);  // the watch resumed without another listing
 }
 
-TEST_F(EtcdClient, OutOfReachTheRosterStaysItIsToldOnceThatItIsOldAndNoDepartureIsLost) {
+TEST_F(EtcdClient, UnreachableEtcd_KeepsRosterReportsStaleOnceAndLosesNoDeparture) {
   put(0, 4);
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 4 && server.open_watches == 1; }));
@@ -211,7 +211,7 @@
   ASSERT_TRUE(wait_for([&] { return roster->counts().state == "fresh"; }));
 }
 
-TEST_F(EtcdClient, ATokenThatExpiresIsAskedForAnewAndAWrongPasswordIsSaid) {
+TEST_F(EtcdClient, ExpiredToken_IsRenewedAndWrongPasswordLogged) {
   const auto folder =
       std::filesystem::temp_directory_path() / ("streampick-etcd-" + std::to_string(::getpid()));
   std::ofstream(folder) << "wrong\n";
@@ -233,7 +233,7 @@
   std::filesystem::remove(folder);
 }
 
-TEST_F(EtcdClient, AKeyThatChangesAThousandTimesIsToldInFewLists) {
+TEST_F(EtcdClient, ThousandChangesOfOneKey_AreCoalesced) {
   put(0, 3);
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 3 && server.open_watches == 1; }));
@@ -244,7 +244,7 @@
   EXPECT_LE(reader.lists - before, 200);
 }
 
-TEST_F(EtcdClient, ARosterOfTwentyThousandIsReadAndADepartureInItSeen) {
+TEST_F(EtcdClient, RosterOfTwentyThousand_IsListedAndDepartureDelivered) {
   put(0, 20'000);
   options.watcher.response_timeout = 5'000'000;
   start();
@@ -255,7 +255,7 @@
   EXPECT_EQ(server.ranges, 20U);
 }
 
-TEST_F(EtcdClient, WithEtcdAwayAtTheStartTheSeedFileServesWhereNothingElseDoes) {
+TEST_F(EtcdClient, UnreachableEtcdAtStart_UsesSeedFileIfNoOtherSourceHasServers) {
   const auto file =
       std::filesystem::temp_directory_path() / ("streampick-seed-" + std::to_string(::getpid()));
   options.seed_file = file;
@@ -263,18 +263,18 @@
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 5; }));
   ASSERT_TRUE(wait_for([&] { return std::filesystem::exists(file) || roster->counts().publications > 0; }));
-  roster.reset();  // writes what it has
+  roster.reset();  // writes the seed file
   ASSERT_TRUE(std::filesystem::exists(file));
   server.set({.unavailable = true});
   reader = {};
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 5; }));
-  EXPECT_EQ(reader.failed, 1);  // and it counts as old
+  EXPECT_EQ(reader.failed, 1);  // the roster counts as stale
   EXPECT_TRUE(logged("using 5 servers from the seed file"));
   server.remove(key(2));
   server.set({});
   ASSERT_TRUE(wait_for([&] { return there() == 4; }));
-  // Where another source has told servers, the file is not used.
+  // The file is not used if another source has listed servers.
   roster.reset();
   server.set({.unavailable = true});
   reader = {};
@@ -286,7 +286,7 @@
   std::filesystem::remove(file);
 }
 
-TEST_F(EtcdClient, AMemberOfAnotherClusterOrOneThatLagsIsLeftForTheNextAndNothingIsTold) {
+TEST_F(EtcdClient, MemberOfOtherClusterOrLagging_IsLeftForTheNext) {
   const auto cluster = std::make_shared<standin::EtcdCluster>();
   standin::EtcdServer one(cluster), other(cluster);
   put_into(one, 0, 4);
@@ -308,7 +308,7 @@
   }
 }
 
-TEST_F(EtcdClient, ARestoreFromAnOlderBackupIsTakenOnceItIsSureAndWhatItLacksDeparts) {
+TEST_F(EtcdClient, RestoreFromOlderBackup_IsAcceptedAfterConfirmation) {
   options.watcher.history_confirm_duration = 400'000;
   put(0, 4);
   std::int64_t backup = 0;
@@ -322,18 +322,18 @@
   EXPECT_EQ(reader.gone, (std::vector<std::string>{"s-4", "s-5", "s-6", "s-7"}));
   EXPECT_EQ(there(), 4U);
   EXPECT_TRUE(logged("listing again to confirm it"));
-  put(9, 10);  // and it is watched
+  put(9, 10);  // the new history is watched
   ASSERT_TRUE(wait_for([&] { return there() == 5; }));
 }
 
-TEST_F(EtcdClient, AMemberThatIsRestartedSaysGoodbyeAndNoDepartureMeanwhileIsLost) {
+TEST_F(EtcdClient, RestartedMember_LosesNoDeparture) {
   const auto cluster = std::make_shared<standin::EtcdCluster>();
   auto member = std::make_unique<standin::EtcdServer>(cluster);
   const int port = member->port();
   put_into(*member, 0, 3);
   start({member->address()});
   ASSERT_TRUE(wait_for([&] { return there() == 3 && member->open_watches == 1; }));
-  member.reset();  // its connections are told to go away
+  member.reset();  // its connections receive GOAWAY
   {
     const std::lock_guard lock(cluster->mutex);
     cluster->history.remove(key(1));
@@ -341,11 +341,11 @@
   member = std::make_unique<standin::EtcdServer>(cluster, port);
   member->set({.slow_creation = true});
   ASSERT_TRUE(wait_for([&] { return reader.gone.size() == 1; }));
-  EXPECT_EQ(member->ranges, 0U);  // the watch goes on where it was
+  EXPECT_EQ(member->ranges, 0U);  // the watch resumed without another listing
   roster.reset();
 }
 
-TEST_F(EtcdClient, OverTlsWithACertificateItIsLetInAndWithoutOneOrUnderAnotherCaItIsNot) {
+TEST_F(EtcdClient, TlsWithoutValidCertificateOrCa_IsRejected) {
   const std::string folder = STREAMPICK_TLS;
   const auto text = [&](const std::string& name) {
     std::ifstream file(folder + "/" + name);
@@ -357,13 +357,13 @@
   options.ca_file = folder + "/ca.pem";
   start({secure.address()});
   quiet(500ms);
-  EXPECT_EQ(there(), 0U);  // no certificate of its own
+  EXPECT_EQ(there(), 0U);  // no client certificate
   options.cert_file = folder + "/client.pem";
   options.key_file = folder + "/client.key";
   options.ca_file = folder + "/client.pem";
   start({secure.address()});
   quiet(500ms);
-  EXPECT_EQ(there(), 0U);  // the server's is not of the CA that is trusted
+  EXPECT_EQ(there(), 0U);  // the server's certificate is not signed by the trusted CA
   options.ca_file = folder + "/ca.pem";
   start({secure.address()});
   ASSERT_TRUE(wait_for([&] { return there() == 3; }));
@@ -372,8 +372,8 @@
   roster.reset();
 }
 
-// All endpoints are back at once, with what was watched from compacted away.
-TEST_F(EtcdClient, FiftyRoutersComeBackSpreadAndNoneMissesTheDeparture) {
+// After an outage etcd returns with the watched revision compacted.
+TEST_F(EtcdClient, FiftyRoutersAfterOutage_SpreadTheirRequestsAndMissNoDeparture) {
   constexpr std::size_t kRouters = 50;
   put(0, 10);
   options.endpoints = {server.address()};
@@ -409,8 +409,8 @@
     shown += " " + std::to_string(tenth) + ":" + std::to_string(many);
   }
   RecordProperty("tenths", shown);
-  // Each asks for its watch, hears of the compaction, lists, and watches: three times fifty, and none more
-  // often but for a call that a busy machine let run out of its time.
+  // Each router watches, is told of the compaction, lists and watches again: three requests for each of
+  // fifty. A few more are allowed for calls that time out on a busy machine.
   EXPECT_GE(all, 150) << shown;
   EXPECT_LE(all, 170) << shown;
   EXPECT_LE(most, 60) << shown;
@@ -418,8 +418,8 @@
   routers.clear();
 }
 
-// The wall clock, as gRPC reads it, is stepped while one lives: a deadline that was told by another reading
-// of it is an hour off.
+// Steps the wall clock that gRPC reads, for the lifetime of an object. A deadline computed from an earlier
+// reading is then off by the step.
 class SteppedWallClock {
  public:
   SteppedWallClock() : real_(gpr_now_impl) {
@@ -445,7 +445,7 @@
 
 struct EtcdClockSteps : EtcdClient, ::testing::WithParamInterface<int> {};
 
-TEST_P(EtcdClockSteps, DeadlinesOfItsCallsAndWaitsAreRealTime) {
+TEST_P(EtcdClockSteps, WallClockStep_DoesNotAffectDeadlinesAndWaits) {
   SteppedWallClock clock;
   put(0, 8);
   clock.step(GetParam());
@@ -461,7 +461,7 @@
   EXPECT_LT(std::chrono::steady_clock::now() - end, 10s);
 }
 
-TEST_P(EtcdClockSteps, ASilentMemberIsLeftInRealTime) {
+TEST_P(EtcdClockSteps, WallClockStep_DoesNotDelayDetectionOfSilentMember) {
   SteppedWallClock clock;
   const auto cluster = std::make_shared<standin::EtcdCluster>();
   standin::EtcdServer one(cluster), other(cluster);
@@ -481,7 +481,7 @@
   return (info.param < 0 ? "Back" : "Forth") + std::to_string(std::abs(info.param)) + "s";
 });
 
-TEST_F(EtcdClient, ItEndsAtOnceWhateverIsOnItsWay) {
+TEST_F(EtcdClient, PendingCalls_DoNotDelayDestruction) {
   server.set({.silent = true});
   for (int i = 0; i < 10; ++i) {
     start();
@@ -491,7 +491,7 @@
   EXPECT_EQ(reader.lists, 0);
 }
 
-// The program that a server runs beside itself.
+// The program streampick_roster as a child process.
 class Registered {
  public:
   Registered(const std::string& endpoint, const std::string& id, const std::string& address)
@@ -518,11 +518,11 @@
   pid_t child_;
 };
 
-TEST_F(EtcdClient, ARegisteredServerIsThereWhileItLivesDrainsWhenItIsToldToAndGoesWithItsLeaseWhenItDies) {
+TEST_F(EtcdClient, RegisteredServer_DrainsOnSigtermAndIsRemovedWithItsLease) {
   Registered one(server.address(), "s-1", "127.0.0.1:4001"), other(server.address(), "s-2", "127.0.0.1:4002");
   start();
   ASSERT_TRUE(wait_for([&] { return there() == 2; }));
-  quiet(1'500ms);  // longer than the lease
+  quiet(1'500ms);  // longer than the lease's time to live
   EXPECT_EQ(there(), 2U);
   EXPECT_TRUE(reader.gone.empty());
   ::kill(one.child(), SIGTERM);
--- a/tests/roster/etcd/daemon_test.cpp
+++ b/tests/roster/etcd/daemon_test.cpp
@@ -1,5 +1,6 @@
-// The daemon with its roster from etcd, under load, while watches drop, histories are compacted and caches
-// leave: none that departed gets new work 2 s after we were told, counted at the caches.
+// Tests of the daemon with its roster from etcd, under load, while watches fail, histories are compacted and
+// caches leave. A departed cache must get no new requests 2 s after its departure was reported, counted at
+// the caches.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -51,7 +52,7 @@
   std::vector<std::thread> threads;
 };
 
-TEST(EtcdDaemon, NoDepartedCacheGetsNewWorkTwoSecondsAfterWeWereTold) {
+TEST(EtcdDaemon, DepartedCache_GetsNoNewRequestsAfterTwoSeconds) {
   StandinFleet fleet(kCaches, 1ms);
   const auto cluster = std::make_shared<standin::EtcdCluster>();
   standin::EtcdServer one(cluster), other(cluster);
@@ -82,15 +83,15 @@
       EXPECT_GE(fleet.requests_at(i), from + more) << "cache " << i;
     };
     for (std::size_t i = 0; i < kCaches; ++i) asked_of(i, 5);
-    // Four ways to leave, each with a fault beside it.
+    // Four ways to leave, three of them with a fault at the same time.
     const std::array<std::function<void()>, 4> leaves = {
         [&] { one.put(key(0), value(fleet.members[0], "terminating")); },
-        [&] {  // the watch is dropped just then
+        [&] {  // the watch fails at the same time
           one.drop_watches();
           other.drop_watches();
           one.remove(key(1));
         },
-        [&] {  // and what told of it is compacted before the watch is back
+        [&] {  // the events are compacted before the watch resumes
           one.on([&](standin::EtcdHistory& all) {
             all.remove(key(2));
             all.put("/fleet/9", value({"s-9", "127.0.0.1:1", false}, "terminating"));
@@ -100,7 +101,7 @@
           one.drop_watches();
           other.drop_watches();
         },
-        [&] {  // the member that is watched says nothing more
+        [&] {  // the watched member falls silent
           standin::EtcdServer& watched = one.open_watches > 0 ? one : other;
           watched.set({.silent = true});
           (one.open_watches > 0 ? other : one).remove(key(3));
@@ -114,7 +115,7 @@
       one.set({});
       other.set({});
     }
-    asked_of(4, 5);  // those that stayed go on
+    asked_of(4, 5);  // the remaining caches still get requests
     asked_of(5, 5);
     load.stop = true;
     served = load.served;
@@ -126,14 +127,14 @@
   std::filesystem::remove(log);
 }
 
-struct Figures {
+struct RunCounts {
   std::uint64_t served = 0, other = 0;
-  std::uint64_t drained = 0;  // requests at the drained cache, 2 s after it was told and later
+  std::uint64_t drained = 0;  // requests at the drained cache from 2 s after the drain was reported
 };
 
-// A busy run in which one cache dies and another drains, by the platform's word; with etcd there, or away for
-// the whole of it.
-Figures busy_run(bool away) {
+// Runs under load while one cache dies and another drains, as reported by the platform. With `away`, etcd is
+// unreachable throughout.
+RunCounts run_under_load(bool away) {
   StandinFleet fleet(kCaches, 1ms);
   standin::EtcdServer server;
   const auto key = [](std::size_t i) { return "/fleet/" + std::to_string(i); };
@@ -149,13 +150,13 @@
                                 "/dev/null");
   for (int tries = 0; tries < 1'000 && server.open_watches == 0; ++tries) std::this_thread::sleep_for(10ms);
   EXPECT_EQ(server.open_watches, 1);
-  Figures out;
+  RunCounts out;
   {
     Load load(address);
     std::this_thread::sleep_for(500ms);
     if (away) server.set({.unavailable = true});
-    std::this_thread::sleep_for(1'500ms);         // stale by now
-    fleet.on([&] { fleet.servers[0].reset(); });  // it dies: connections break, new ones are refused
+    std::this_thread::sleep_for(1'500ms);         // the roster is stale by now
+    fleet.on([&] { fleet.servers[0].reset(); });  // the cache dies: connections fail, new ones are refused
     if (!away) server.remove(key(0));
     std::this_thread::sleep_for(500ms);
     fleet.tell_leaves(1);
@@ -168,7 +169,7 @@
     out.other = load.other;
   }
   if (away) {
-    // Back, it tells what went meanwhile.
+    // After its return etcd reports the cache that left during the outage.
     server.remove(key(2));
     server.set({});
     for (int tries = 0; tries < 1'000 && server.open_watches == 0; ++tries) std::this_thread::sleep_for(10ms);
@@ -184,9 +185,9 @@
   return out;
 }
 
-TEST(EtcdDaemon, WithEtcdAwayForABusyRunInWhichACacheDiesAndAnotherDrainsServiceGoesOn) {
-  const Figures up = busy_run(false), away = busy_run(true);
-  for (const Figures& run : {up, away}) {
+TEST(EtcdDaemon, UnreachableEtcdUnderLoad_KeepsServingWhileCachesLeave) {
+  const RunCounts up = run_under_load(false), away = run_under_load(true);
+  for (const RunCounts& run : {up, away}) {
     EXPECT_GT(run.served, 500U);
     EXPECT_LE(run.other, run.served / 50);
     EXPECT_EQ(run.drained, 0U);
--- a/tests/roster/etcd/history_test.cpp
+++ b/tests/roster/etcd/history_test.cpp
@@ -1,6 +1,6 @@
-// The watcher against histories drawn from a seed: puts, deletes, transactions, leases, compactions,
-// restores, another cluster; streams that drop in the middle of a transaction, repeat, fall silent; endpoints
-// that lag; progress notices between two fragments. What watcher.h promises is checked at every publication.
+// Runs the watcher against random histories: puts, deletes, transactions, leases, compactions, restores and
+// another cluster; streams that fail within a transaction, repeat events or stall; lagging endpoints;
+// progress notices between two fragments. Checks the invariants of watcher.h at every publication.
 #include "standin/etcd/history.h"
 
 #include <gtest/gtest.h>
@@ -50,12 +50,12 @@
       trouble_ = now_ < calm;
       if (!trouble_) away_ = {};
     }
-    // In calm it has caught up, wherever it was.
+    // After the fault-free period the watcher has caught up.
     EXPECT_EQ(state_at(), plain(history_.now())) << told();
     EXPECT_EQ(watcher_->revision(), history_.revision()) << told();
     EXPECT_EQ(watcher_->freshness().state, Freshness::State::fresh) << told();
     EXPECT_EQ(departed_.size(), departures_) << told();
-    // Each incarnation that was published and is not there any more was published as departed.
+    // Each published incarnation that no longer exists was published as departed.
     for (const auto& [incarnation, epoch] : present_)
       EXPECT_TRUE(departed_.contains(incarnation) || epoch != watcher_->epoch() ||
                   alive(std::get<1>(incarnation), std::get<2>(incarnation)))
@@ -64,43 +64,44 @@
   const Watcher::Counts& counts() const { return watcher_->counts(); }
   std::uint64_t progress_between_fragments() const { return progress_between_fragments_; }
 
-  // ---- What the watcher does
+  // ---- Actions of the watcher
 
-  void range(std::uint64_t turn, std::size_t endpoint, const std::string& from_key, std::int64_t revision,
-             std::size_t limit) override {
-    listing_ = turn;
+  void range(std::uint64_t operation_id, std::size_t endpoint, const std::string& from_key,
+             std::int64_t revision, std::size_t limit) override {
+    listing_ = operation_id;
     if (away(endpoint)) return;
-    // A member that lags answers from before: no linearizable read does, but what passes for one may.
+    // A lagging member returns an old state. Linearizable reads don't, but a faulty member might.
     const std::int64_t behind = lags_ == endpoint && trouble_ ? 3 : 0;
-    later(1 + draw(30) * kMs, [this, turn, from_key, revision, limit, behind] {
-      if (turn != listing_) return;
+    later(1 + draw(30) * kMs, [this, operation_id, from_key, revision, limit, behind] {
+      if (operation_id != listing_) return;
       const std::int64_t newest = std::max(history_.compacted(), history_.revision() - behind);
       const std::int64_t at = revision > 0 ? revision : newest;
       if (at < history_.compacted() || at > history_.revision())
-        return watcher_->range_failed(now_, turn, "compacted", true);
-      if (chance(20)) return watcher_->range_failed(now_, turn, "unavailable");
+        return watcher_->range_failed(now_, operation_id, "compacted", true);
+      if (chance(20)) return watcher_->range_failed(now_, operation_id, "unavailable");
       std::vector<KeyValue> page;
       const auto state = history_.state(at);
       auto it = state.lower_bound(from_key);
       for (; it != state.end() && page.size() < limit; ++it) page.push_back(it->second);
-      watcher_->page(now_, turn, {history_.cluster_id, from_key.empty() ? at : history_.revision()}, page,
-                     it != state.end());
+      watcher_->page(now_, operation_id, {history_.cluster_id, from_key.empty() ? at : history_.revision()},
+                     page, it != state.end());
     });
   }
-  void watch(std::uint64_t turn, std::size_t endpoint, std::int64_t from_revision) override {
-    // From what was seen, and never from now.
+  void watch(std::uint64_t operation_id, std::size_t endpoint, std::int64_t from_revision) override {
+    // A watch resumes at the last processed revision, never at the newest one.
     EXPECT_EQ(from_revision, watcher_->revision() + 1) << told();
-    stream_ = turn;
+    stream_ = operation_id;
     stream_live_ = false;  // until it is created
     sent_ = from_revision - 1;
     silent_ = away(endpoint);
     if (silent_) return;
-    later(1 + draw(20) * kMs, [this, turn, from_revision] {
-      if (turn != stream_) return;
-      watcher_->created(now_, turn, {history_.cluster_id, history_.revision()});
+    later(1 + draw(20) * kMs, [this, operation_id, from_revision] {
+      if (operation_id != stream_) return;
+      watcher_->created(now_, operation_id, {history_.cluster_id, history_.revision()});
       if (from_revision <= history_.compacted()) {
-        later(kMs, [this, turn] {
-          if (turn == stream_) watcher_->cancelled(now_, turn, "compacted", history_.compacted());
+        later(kMs, [this, operation_id] {
+          if (operation_id == stream_)
+            watcher_->cancelled(now_, operation_id, "compacted", history_.compacted());
         });
         stream_live_ = false;
         return;
@@ -109,18 +110,18 @@
       deliver();
     });
   }
-  void request_progress(std::uint64_t turn) override {
-    if (turn != stream_ || silent_ || !stream_live_) return;
-    later(1 + draw(10) * kMs, [this, turn] {
-      if (turn != stream_ || silent_ || !stream_live_) return;
+  void request_progress(std::uint64_t operation_id) override {
+    if (operation_id != stream_ || silent_ || !stream_live_) return;
+    later(1 + draw(10) * kMs, [this, operation_id] {
+      if (operation_id != stream_ || silent_ || !stream_live_) return;
       deliver();
-      if (turn == stream_ && sent_ == history_.revision())
-        watcher_->progress(now_, turn, {history_.cluster_id, history_.revision()});
+      if (operation_id == stream_ && sent_ == history_.revision())
+        watcher_->progress(now_, operation_id, {history_.cluster_id, history_.revision()});
     });
   }
-  void cancel(std::uint64_t turn) override {
-    if (turn == stream_) stream_ = 0;
-    if (turn == listing_) listing_ = 0;
+  void cancel(std::uint64_t operation_id) override {
+    if (operation_id == stream_) stream_ = 0;
+    if (operation_id == listing_) listing_ = 0;
   }
   void publish(const Publication& publication) override {
     ++publications_;
@@ -143,7 +144,7 @@
       told_[kv.key] = kv;
       present_[{publication.epoch, kv.key, kv.create_revision}] = publication.epoch;
     }
-    // The fold of the history up to there.
+    // The state must be the fold of the history up to this revision.
     const auto found = states_.find({history_number_, publication.revision});
     const auto before = states_.find({history_number_ - 1, publication.revision});
     const auto folded = plain(told_);
@@ -162,7 +163,7 @@
     return out;
   }
   Plain state_at() const { return plain(told_); }
-  // Where an incarnation was published: in this epoch, or in one before it whose values stayed.
+  // The epoch in which an incarnation was published: this one, or an earlier one whose value was retained.
   std::uint64_t history_of(const Departure& departure) const {
     for (std::uint64_t epoch = epoch_; epoch > 0; --epoch)
       if (present_.contains({epoch, departure.key, departure.create_revision})) return epoch;
@@ -181,11 +182,12 @@
 
   void remember() { states_[{history_number_, history_.revision()}] = plain(history_.now()); }
   void happens(bool changes_history) {
-    // A history that went back and has caught up again can't be told from the one before: it waits.
+    // A restored history that catches up again is indistinguishable from the former one, so that changes wait
+    // until the watcher has accepted it.
     if (frozen_in_ == watcher_->epoch()) return;
     switch (draw(changes_history ? 13 : 12)) {
       case 0: history_.remove(key(draw(12))); break;
-      case 1: {  // a transaction, perhaps of one that goes and one that comes
+      case 1: {  // a transaction, possibly of deletes and puts
         std::vector<standin::EtcdHistory::Change> all;
         for (unsigned i = 0, many = 2 + draw(5); i < many; ++i) {
           const std::string which = key(draw(12));
@@ -201,7 +203,7 @@
         history_.commit(all);
         break;
       }
-      case 2: {  // there and back within a moment
+      case 2: {  // removed and created again at once
         const std::string which = key(draw(12));
         history_.remove(which);
         remember();
@@ -213,7 +215,7 @@
       case 5: history_.put(key(draw(12)), "leased", 7); break;
       case 6: away_.insert(draw(kEndpoints)); break;
       case 7: away_.clear(); break;
-      case 8: silent_ = true; break;  // half open: nothing comes, nobody says so
+      case 8: silent_ = true; break;  // half-open connection
       case 9:
         if (stream_ != 0) watcher_->stream_failed(now_, stream_, "reset");
         break;
@@ -241,37 +243,37 @@
     remember();
     if (stream_live_) later(draw(40) * kMs, [this] { deliver(); });
   }
-  // What the stream has not had yet, in whole or in parts, once or twice, up to its end or to a break.
+  // Delivers the pending events, whole or in fragments, once or twice, up to the last one or to a failure.
   void deliver() {
     if (stream_ == 0 || silent_ || !stream_live_ || sent_ >= history_.revision()) return;
-    const std::uint64_t turn = stream_;
-    if (sent_ < history_.compacted()) {  // it fell behind
+    const std::uint64_t operation_id = stream_;
+    if (sent_ < history_.compacted()) {  // the stream fell behind the compaction
       stream_live_ = false;
-      return watcher_->cancelled(now_, turn, "compacted", history_.compacted());
+      return watcher_->cancelled(now_, operation_id, "compacted", history_.compacted());
     }
     const std::int64_t from = chance(50) ? std::max(history_.compacted() + 1, sent_ - 1) : sent_ + 1;
     const std::vector<Event> all = history_.events(from, history_.revision());
     sent_ = history_.revision();
     const Header header{history_.cluster_id, history_.revision()};
     if (chance(300)) {
-      // In fragments, which may break off.
+      // In fragments, between which the stream may fail.
       for (std::size_t i = 0; i < all.size(); ++i) {
-        if (chance(60)) return watcher_->stream_failed(now_, turn, "in the middle");
-        watcher_->events(now_, turn, header, {all[i]}, i + 1 < all.size());
-        if (turn != stream_) return;
-        if (i + 1 < all.size()) progress_between_fragments(turn, header);
+        if (chance(60)) return watcher_->stream_failed(now_, operation_id, "in the middle");
+        watcher_->events(now_, operation_id, header, {all[i]}, i + 1 < all.size());
+        if (operation_id != stream_) return;
+        if (i + 1 < all.size()) progress_between_fragments(operation_id, header);
       }
       return;
     }
-    watcher_->events(now_, turn, header, all, false);
-    if (chance(30) && turn == stream_) watcher_->stream_failed(now_, turn, "after");
+    watcher_->events(now_, operation_id, header, all, false);
+    if (chance(30) && operation_id == stream_) watcher_->stream_failed(now_, operation_id, "after");
   }
 
   /// A progress notice that names the revision of an answer whose events have not all come yet.
-  void progress_between_fragments(std::uint64_t turn, const Header& header) {
+  void progress_between_fragments(std::uint64_t operation_id, const Header& header) {
     if (!chance(250)) return;
     ++progress_between_fragments_;
-    watcher_->progress(now_, turn, header);
+    watcher_->progress(now_, operation_id, header);
   }
 
   struct Due {
@@ -300,7 +302,7 @@
   std::uint64_t progress_between_fragments_ = 0;
 };
 
-TEST(EtcdHistories, AThousandSeedsKeepWhatTheWatcherPromises) {
+TEST(EtcdHistories, RandomFaults_KeepTheWatcherInvariants) {
   Watcher::Counts all;
   std::uint64_t progress_between_fragments = 0;
   for (std::uint64_t seed = 1; seed <= 1'000 && !HasFailure(); ++seed) {
@@ -315,17 +317,17 @@
     all.epochs += counts.epochs;
     progress_between_fragments += world.progress_between_fragments();
   }
-  // The troubles were had.
+  // The faults did occur.
   EXPECT_GT(all.compactions, 500U);
   EXPECT_GT(all.resumed, 1'000U);
   EXPECT_GT(all.repeated, 500U);
   EXPECT_GT(all.departures, 10'000U);
   EXPECT_GT(all.suspects, 20U);
   EXPECT_GT(progress_between_fragments, 1'000U);
-  EXPECT_EQ(all.epochs, 1'000U);  // one each: nothing that lags passes for another history
+  EXPECT_EQ(all.epochs, 1'000U);  // one per run: a lagging member is not taken for another history
 }
 
-TEST(EtcdHistories, AnotherClusterOrAnOlderBackupIsTakenOnceItIsSure) {
+TEST(EtcdHistories, OtherClusterOrOlderBackup_IsAcceptedAfterConfirmation) {
   std::uint64_t epochs = 0;
   for (std::uint64_t seed = 1; seed <= 200 && !HasFailure(); ++seed) {
     World world(seed);
--- a/tests/roster/etcd/registration_test.cpp
+++ b/tests/roster/etcd/registration_test.cpp
@@ -1,4 +1,4 @@
-// A server's entry in etcd, step by step and against a lease that runs out.
+// Tests of Registration, also with expiring leases, and of the options of [roster.etcd].
 #include "roster/etcd/registration.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 constexpr Time kSecond = 1'000'000;
 
-// etcd as one server meets it: leases that end when nothing is heard of them.
+// Simulates etcd for one server: a lease expires without keep-alives.
 struct Store final : RegistrationActions {
   void grant(long long ttl_s) override {
     ++grants;
@@ -35,7 +35,7 @@
     asked = 'r';
     wanted = of;
   }
-  // Carries out what was asked last, or drops it, or answers that it failed.
+  // Serves the last request, or reports that it failed if `works` is false.
   void serve(Registration& registration, Time now, bool works = true) {
     expire(now);
     const char what = std::exchange(asked, ' ');
@@ -72,7 +72,7 @@
   int grants = 0, beats = 0;
 };
 
-TEST(EtcdRegistration, IsThereWhileItsServerIsAndGoesWhenItIsTakenOut) {
+TEST(EtcdRegistration, RegisteredServer_KeepsItsEntryUntilItEnds) {
   Store store;
   Registration registration({}, store);
   Time now = kSecond;
@@ -98,11 +98,11 @@
   EXPECT_EQ(registration.next_time(), kNever);
 }
 
-TEST(EtcdRegistration, ADrainWhileItIsBeingPutIsNotLost) {
+TEST(EtcdRegistration, DrainDuringPut_IsWrittenAfterwards) {
   Store store;
   Registration registration({}, store);
   registration.start(kSecond);
-  store.serve(registration, kSecond);  // granted; the put is on its way
+  store.serve(registration, kSecond);  // granted; the put is pending
   registration.drain(kSecond);
   EXPECT_FALSE(store.wanted_draining);
   store.serve(registration, kSecond);
@@ -110,7 +110,7 @@
   EXPECT_TRUE(store.draining);
 }
 
-TEST(EtcdRegistration, ALeaseThatRanOutIsReplacedAndItsKeyIsThereAgainAsItWas) {
+TEST(EtcdRegistration, ExpiredLease_IsReplacedAndEntryRestored) {
   Store store;
   Registration registration({}, store);
   Time now = kSecond;
@@ -119,17 +119,17 @@
   store.serve(registration, now);
   registration.drain(now);
   store.serve(registration, now);
-  now += 60 * kSecond;  // the process stood still
+  now += 60 * kSecond;  // the process was suspended
   registration.on_time(now);
-  store.serve(registration, now);  // the word comes too late
+  store.serve(registration, now);  // the keep-alive comes after the lease expired
   EXPECT_EQ(registration.lost(), 1U);
   store.serve(registration, now);
   store.serve(registration, now);
   EXPECT_TRUE(store.there && store.draining);
 }
 
-// Whatever fails or is lost on its way: once etcd works again the entry is there as it should be.
-TEST(EtcdRegistration, ComesBackAfterAnyTrouble) {
+// Whichever requests fail or are lost, the entry is correct once etcd works again.
+TEST(EtcdRegistration, RandomFailures_EndWithTheCorrectEntry) {
   for (unsigned seed = 1; seed <= 500; ++seed) {
     std::minstd_rand random(seed);
     Store store;
@@ -164,7 +164,7 @@
   }
 }
 
-TEST(EtcdOptions, AreCheckedKeyByKey) {
+TEST(EtcdOptions, InvalidKeys_AreReportedWithLineAndReason) {
   const auto told = [](const std::string& text) -> std::string {
     try {
       options::Table root = options::Table::parse("[e]\n" + text, "o.toml");
--- a/tests/roster/etcd/registry_test.cpp
+++ b/tests/roster/etcd/registry_test.cpp
@@ -1,4 +1,4 @@
-// Members out of etcd's keys: what is mistaken is quarantined, and never makes half a roster.
+// Tests of Registry: invalid values are quarantined and remove no member.
 #include "roster/etcd/registry.h"
 
 #include <gtest/gtest.h>
@@ -41,11 +41,11 @@
   std::map<std::string, std::int64_t> created;
 };
 
-TEST_F(EtcdRegistry, TellsWhatCameChangedAndWent) {
+TEST_F(EtcdRegistry, AddedChangedAndRemovedKeys_AreReported) {
   auto told = put("/c/1", value("s-1", "127.0.0.1:1"));
   ASSERT_EQ(told.size(), 1U);
   EXPECT_EQ(told[0].members.at(0).member.phase, Phase::ready);
-  EXPECT_TRUE(put("/c/1", value("s-1", "127.0.0.1:1")).empty());  // written again, the same
+  EXPECT_TRUE(put("/c/1", value("s-1", "127.0.0.1:1")).empty());  // same value written again
   told = put("/c/1", value("s-1", "127.0.0.1:1", "terminating"));
   EXPECT_EQ(told.at(0).members.at(0).member.phase, Phase::draining);
   told = remove("/c/1");
@@ -54,7 +54,7 @@
   EXPECT_EQ(registry.members(), 0U);
 }
 
-TEST_F(EtcdRegistry, AMistakenValueLeavesTheLastGoodOneAndIsToldOnce) {
+TEST_F(EtcdRegistry, InvalidValue_KeepsLastValidEntryAndIsReportedOnce) {
   put("/c/1", value("s-1", "127.0.0.1:1"));
   for (const std::string& bad :
        {std::string("{"), std::string("[]"), std::string("{}"), value("s-1", "nowhere"),
@@ -75,21 +75,21 @@
   EXPECT_EQ(registry.quarantined(), 0U);
 }
 
-TEST_F(EtcdRegistry, OfTwoKeysWithOneIdOrOneAddressTheFirstHoldsUntilItGoes) {
+TEST_F(EtcdRegistry, ConflictingIdOrAddress_IsQuarantinedUntilFirstKeyIsRemoved) {
   put("/c/1", value("s-1", "127.0.0.1:1"));
   EXPECT_TRUE(put("/c/2", value("s-1", "127.0.0.1:2")).empty());
   EXPECT_TRUE(put("/c/3", value("s-3", "127.0.0.1:1")).empty());
   EXPECT_EQ(all(), "s-1@127.0.0.1:1 ");
   EXPECT_EQ(registry.quarantined(), 2U);
   const auto told = remove("/c/1");
-  ASSERT_EQ(told.size(), 2U);  // the departure first, and in a list of its own
+  ASSERT_EQ(told.size(), 2U);  // the departure comes first, in its own list
   EXPECT_EQ(told[0].members.at(0).member.phase, Phase::gone);
   EXPECT_EQ(told[1].members.size(), 2U);
   EXPECT_EQ(all(), "s-1@127.0.0.1:2 s-3@127.0.0.1:1 ");
   EXPECT_EQ(registry.quarantined(), 0U);
 }
 
-TEST_F(EtcdRegistry, AKeyThatNamesAnotherMemberLetsTheOneBeforeDepart) {
+TEST_F(EtcdRegistry, KeyThatNamesAnotherMember_ReportsThePreviousOneAsGone) {
   put("/c/1", value("s-1", "127.0.0.1:1"));
   const auto told = put("/c/1", value("s-2", "127.0.0.1:1"));
   ASSERT_EQ(told.at(0).members.size(), 2U);
@@ -98,7 +98,7 @@
   EXPECT_EQ(told[0].members[1].id, "s-2");
 }
 
-TEST_F(EtcdRegistry, ACompletePublicationEndsWithTheWholeList) {
+TEST_F(EtcdRegistry, CompletePublication_ReturnsCompleteList) {
   const auto told = registry.apply({1,
                                     9,
                                     true,
@@ -112,7 +112,7 @@
   EXPECT_EQ(told[0].revision, 9U);
 }
 
-TEST_F(EtcdRegistry, DepartureAndReturnInOnePublicationAreTwoLists) {
+TEST_F(EtcdRegistry, DepartureAndReturnInOnePublication_AreTwoLists) {
   put("/c/1", value("s-1", "127.0.0.1:1"));
   const auto told =
       registry.apply({1, 9, false, {{"/c/1", 1}}, {{"/c/1", value("s-1", "127.0.0.1:1"), 9, 9}}});
--- a/tests/roster/etcd/seed_file_test.cpp
+++ b/tests/roster/etcd/seed_file_test.cpp
@@ -1,4 +1,4 @@
-// The seed file on the disk: as earlier versions wrote it, malformed, and where it can't be written.
+// Tests of SeedFile: files of earlier versions, malformed files and failed writes.
 #include "roster/etcd/seed_file.h"
 
 #include <gtest/gtest.h>
@@ -16,9 +16,9 @@
 
 using storage::test::Call;
 
-constexpr long long kWritten = 1'764'670'800'000;  // when the text below was
+constexpr long long kWritten = 1'764'670'800'000;  // time of writing in kRecorded, unix ms
 constexpr std::chrono::milliseconds kMaxAge{60'000};
-// As the version before storage/durable_file wrote it.
+// As written by the version before storage/durable_file.
 const std::string kRecorded =
     "streampick-roster 1 2630fd492b2c338f 1764670800000\n"
     "{\"complete\":true,\"members\":[{\"cell\":3,\"flavor\":\"cache\",\"host_port\":\"127.0.0.1:1001\","
@@ -37,7 +37,7 @@
     return {path(), [this](std::string_view line) { logged_.emplace_back(line); }, calls_};
   }
   std::string path() const { return folder_.path_of("seed"); }
-  /// The recorded roster, and one with a server less.
+  /// The recorded roster with its first `servers` servers.
   engine::EndpointList roster(std::size_t servers = 2) {
     engine::EndpointList list =
         std::get<engine::EndpointList>(decode_seed(kRecorded, names_, kWritten, kMaxAge));
@@ -56,7 +56,7 @@
   std::vector<std::string> logged_;
 };
 
-TEST_F(SeedFileTest, AFileOfAnEarlierVersionIsReadAndWrittenTheSame) {
+TEST_F(SeedFileTest, FileOfEarlierVersion_IsReadAndWrittenUnchanged) {
   SeedFile file = open();
   const auto list = file.load(names_, kWritten + 1, kMaxAge);
   ASSERT_TRUE(list);
@@ -70,7 +70,7 @@
   EXPECT_TRUE(logged_.empty());
 }
 
-TEST_F(SeedFileTest, AMalformedFileIsNotUsedAndLoggedWithItsNameAndTheReason) {
+TEST_F(SeedFileTest, MalformedFile_IsRejectedAndLoggedWithPathAndReason) {
   for (const std::string& malformed :
        {std::string(), std::string("no roster"), kRecorded.substr(0, 100), kRecorded + "x"}) {
     logged_.clear();
@@ -90,7 +90,7 @@
   EXPECT_EQ(logged_.back(), "etcd: the seed file is not used: " + path() + ": read: Input/output error");
 }
 
-TEST_F(SeedFileTest, AFailedWriteLeavesTheOldFileIsLoggedOnceAndTriedAgainWithBackoff) {
+TEST_F(SeedFileTest, FailedWrite_KeepsOldFileIsLoggedOnceAndRetriedWithBackoff) {
   SeedFile file = open();
   EXPECT_FALSE(file.is_due(0));
   Time now = 0;
@@ -124,7 +124,7 @@
   }
 }
 
-TEST_F(SeedFileTest, KilledAtEachStepItLeavesOneOfTheTwoRostersWhole) {
+TEST_F(SeedFileTest, ProcessKilledDuringWrite_LeavesOneOfTheTwoRostersIntact) {
   for (int kill_at = 0;; ++kill_at) {
     folder_.put("seed", kRecorded);
     const pid_t child = storage::test::start_process([&] {
@@ -138,7 +138,7 @@
     });
     const int end = storage::test::end_of(child);
     EXPECT_GT(servers_in_file(), 0U) << kill_at;
-    open();  // clears up
+    open();  // removes temporary files
     EXPECT_EQ(folder_.names(), (std::set<std::string>{"seed"})) << kill_at;
     if (end == 0) {
       EXPECT_GE(kill_at, 8);
@@ -148,7 +148,7 @@
   }
 }
 
-TEST_F(SeedFileTest, WithoutAPathNothingIsKept) {
+TEST_F(SeedFileTest, EmptyPath_MakesEveryCallANoOp) {
   SeedFile none("", [this](std::string_view line) { logged_.emplace_back(line); });
   none.mark_changed();
   EXPECT_FALSE(none.is_due(SeedFile::kMaxBackoff) || none.has_changed());
--- a/tests/roster/etcd/watcher_test.cpp
+++ b/tests/roster/etcd/watcher_test.cpp
@@ -1,4 +1,4 @@
-// The watcher step by step: each hard case by name.
+// Tests of Watcher, one for each failure case.
 #include "roster/etcd/watcher.h"
 
 #include <gtest/gtest.h>
@@ -14,17 +14,17 @@
 
 struct Actions final : WatcherActions {
   struct Asked {
-    std::uint64_t turn = 0;
+    std::uint64_t operation_id = 0;
     std::size_t endpoint = 0;
     std::string from_key;
     std::int64_t revision = 0;
   };
-  void range(std::uint64_t turn, std::size_t endpoint, const std::string& from, std::int64_t revision,
+  void range(std::uint64_t operation_id, std::size_t endpoint, const std::string& from, std::int64_t revision,
              std::size_t) override {
-    ranges.push_back({turn, endpoint, from, revision});
+    ranges.push_back({operation_id, endpoint, from, revision});
   }
-  void watch(std::uint64_t turn, std::size_t endpoint, std::int64_t from) override {
-    watches.push_back({turn, endpoint, "", from});
+  void watch(std::uint64_t operation_id, std::size_t endpoint, std::int64_t from) override {
+    watches.push_back({operation_id, endpoint, "", from});
   }
   void request_progress(std::uint64_t) override { ++progress; }
   void cancel(std::uint64_t) override { ++drops; }
@@ -49,12 +49,12 @@
     watcher.emplace(settings, 3, actions);
     watcher->start(now);
     list(std::move(kvs), revision);
-    watcher->created(now, actions.watches.back().turn, {cluster, revision});
+    watcher->created(now, actions.watches.back().operation_id, {cluster, revision});
   }
   void list(std::vector<KeyValue> kvs, std::int64_t revision) {
-    watcher->page(now, actions.ranges.back().turn, {cluster, revision}, std::move(kvs), false);
+    watcher->page(now, actions.ranges.back().operation_id, {cluster, revision}, std::move(kvs), false);
   }
-  std::uint64_t stream() const { return actions.watches.back().turn; }
+  std::uint64_t stream() const { return actions.watches.back().operation_id; }
   void wait_until(const std::function<bool()>& holds, Time most = 30'000 * kMs) {
     for (const Time end = now + most; !holds() && now < end;) {
       now = std::max(now, std::min(end, watcher->next_time()));
@@ -80,17 +80,18 @@
   Time now = 1'000'000'000;
 };
 
-TEST_F(EtcdWatcher, ReadsAllPagesAtOneRevisionAndWatchesFromTheNext) {
+TEST_F(EtcdWatcher, SeveralPages_AreReadAtOneRevisionAndWatchStartsAtTheNext) {
   settings.page_size = 2;
   watcher.emplace(settings, 1, actions);
   watcher->start(now);
   EXPECT_EQ(actions.ranges[0].revision, 0);
-  const std::uint64_t turn = actions.ranges[0].turn;
-  watcher->page(now, turn, {cluster, 40}, {kv("a", 3), kv("b", 4)}, true);
+  const std::uint64_t operation_id = actions.ranges[0].operation_id;
+  watcher->page(now, operation_id, {cluster, 40}, {kv("a", 3), kv("b", 4)}, true);
   ASSERT_EQ(actions.ranges.size(), 2U);
   EXPECT_EQ(actions.ranges[1].from_key, std::string("b\0", 2));
   EXPECT_EQ(actions.ranges[1].revision, 40);
-  watcher->page(now, turn, {cluster, 44}, {kv("c", 5)}, false);  // the store has gone on meanwhile
+  watcher->page(now, operation_id, {cluster, 44}, {kv("c", 5)},
+                false);  // the store has newer revisions by now
   ASSERT_EQ(actions.published.size(), 1U);
   EXPECT_EQ(actions.published[0].revision, 40);
   EXPECT_EQ(actions.published[0].puts.size(), 3U);
@@ -98,7 +99,7 @@
   EXPECT_EQ(actions.watches[0].revision, 41);
 }
 
-TEST_F(EtcdWatcher, ACompactionOfWhatItWatchesFromLosesNoDepartureInTheGap) {
+TEST_F(EtcdWatcher, CompactedWatchRevision_LosesNoDeparture) {
   set_up({kv("a", 3), kv("b", 4), kv("c", 5)}, 40);
   watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
@@ -106,14 +107,14 @@
   watcher->created(now, stream(), {cluster, 60});
   watcher->cancelled(now, stream(), "compacted", 55);
   wait_for_range();
-  // In the gap: b went, c went and came back.
+  // In the gap, b was removed, and c was removed and created again.
   list({kv("a", 3), kv("c", 50)}, 60);
   EXPECT_EQ(departed(), (Names{"b", "c"}));
   EXPECT_EQ(actions.published.back().puts.size(), 2U);
   EXPECT_EQ(actions.watches.back().revision, 61);
 }
 
-TEST_F(EtcdWatcher, ATransactionOfWhichOnlyAPartCameIsReadAgainWhole) {
+TEST_F(EtcdWatcher, PartOfTransaction_IsNotPublishedAndDeliveredAgain) {
   set_up({kv("a", 3), kv("b", 4)}, 40);
   watcher->events(now, stream(), {cluster, 41}, {removed("a", 41)}, true);
   EXPECT_EQ(actions.published.size(), 1U);
@@ -125,13 +126,13 @@
   EXPECT_EQ(departed(), Names{"a"});
   ASSERT_EQ(actions.published.size(), 2U);
   EXPECT_EQ(actions.published[1].puts.size(), 1U);
-  // Once more the same.
+  // The same events are delivered again.
   watcher->events(now, stream(), {cluster, 41}, {removed("a", 41), {false, kv("d", 41)}}, false);
   EXPECT_EQ(actions.published.size(), 2U);
   EXPECT_EQ(watcher->counts().repeated, 2U);
 }
 
-TEST_F(EtcdWatcher, SilenceIsAskedAboutAndThenTheNextEndpointIsTried) {
+TEST_F(EtcdWatcher, SilentWatch_RequestsProgressThenTriesNextEndpoint) {
   set_up({kv("a", 3)}, 40);
   const std::size_t endpoint = actions.watches[0].endpoint;
   wait_until([&] { return actions.progress == 1; });
@@ -141,10 +142,10 @@
   wait_until([&] { return actions.watches.size() == 2; });
   EXPECT_NE(actions.watches[1].endpoint, endpoint);
   EXPECT_EQ(actions.watches[1].revision, 53);
-  EXPECT_EQ(actions.ranges.size(), 1U);  // what it knows is not read again
+  EXPECT_EQ(actions.ranges.size(), 1U);  // no further listing
 }
 
-TEST_F(EtcdWatcher, OutOfReachTheLastRosterStaysAndCountsAsStale) {
+TEST_F(EtcdWatcher, UnreachableEndpoints_KeepRosterAndMarkItStale) {
   set_up({kv("a", 3)}, 40);
   wait_until([&] { return watcher->freshness().state == Freshness::State::stale; });
   EXPECT_LE(watcher->freshness().since, now - settings.stale_after);
@@ -155,7 +156,7 @@
   }
   EXPECT_EQ(actions.published.size(), 1U);
   EXPECT_EQ(watcher->published().size(), 1U);
-  // Its tries become rare: each takes its time-out, and then the longest wait.
+  // Attempts become rare: each lasts until its timeout, followed by the longest backoff.
   const Time hour = now;
   const std::size_t before = actions.watches.size();
   wait_until([&] { return now >= hour + 60'000 * kMs; }, 60'000 * kMs);
@@ -166,7 +167,7 @@
   EXPECT_EQ(watcher->freshness().state, Freshness::State::fresh);
 }
 
-TEST_F(EtcdWatcher, AListingWithFarFewerKeysIsReadAgainBeforeItIsBelieved) {
+TEST_F(EtcdWatcher, ListingWithFarFewerKeys_IsReadAgainBeforeItIsAccepted) {
   set_up({kv("a", 3), kv("b", 4), kv("c", 5), kv("d", 6), kv("e", 7)}, 40);
   const auto cut = [&] {
     watcher->cancelled(now, stream(), "compacted", 50);
@@ -178,17 +179,17 @@
   EXPECT_TRUE(departed().empty());
   wait_for_range();
   EXPECT_NE(actions.ranges.back().endpoint, endpoint);
-  list({kv("a", 3), kv("b", 4), kv("c", 5), kv("d", 6)}, 60);  // it was not so
+  list({kv("a", 3), kv("b", 4), kv("c", 5), kv("d", 6)}, 60);  // not confirmed
   EXPECT_EQ(departed(), Names{"e"});
   watcher->created(now, stream(), {cluster, 60});
   cut();
   list({kv("a", 3)}, 70);
   wait_for_range();
-  list({kv("a", 3)}, 70);  // it is so
+  list({kv("a", 3)}, 70);  // confirmed
   EXPECT_EQ(departed(), (Names{"e", "b", "c", "d"}));
 }
 
-TEST_F(EtcdWatcher, WhatOneReadingToldIsAppliedWithinItsTimeThoughNoSecondCanBeHad) {
+TEST_F(EtcdWatcher, SuspectListingWithoutConfirmation_IsAppliedAfterTheDelay) {
   set_up({kv("a", 3), kv("b", 4), kv("c", 5)}, 40);
   watcher->cancelled(now, stream(), "compacted", 50);
   wait_for_range();
@@ -199,7 +200,7 @@
   EXPECT_EQ(watcher->counts().applied_unconfirmed, 1U);
 }
 
-TEST_F(EtcdWatcher, AnEmptyListingIsNeverAppliedUnconfirmed) {
+TEST_F(EtcdWatcher, EmptyListing_IsNeverAppliedUnconfirmed) {
   set_up({kv("a", 3), kv("b", 4)}, 40);
   watcher->cancelled(now, stream(), "compacted", 50);
   wait_for_range();
@@ -212,33 +213,33 @@
   EXPECT_EQ(departed(), (Names{"a", "b"}));
 }
 
-TEST_F(EtcdWatcher, ExplicitDeletesOfAllAreAppliedAtOnce) {
+TEST_F(EtcdWatcher, DeleteEventsForAllKeys_AreAppliedAtOnce) {
   set_up({kv("a", 3), kv("b", 4), kv("c", 5)}, 40);
   watcher->events(now, stream(), {cluster, 43}, {removed("a", 41), removed("b", 42), removed("c", 43)},
                   false);
   EXPECT_EQ(departed(), (Names{"a", "b", "c"}));
 }
 
-TEST_F(EtcdWatcher, OneEndpointOfAnotherClusterIsNotBelievedAndAllOfThemAreInTheEnd) {
+TEST_F(EtcdWatcher, OtherClusterId_IsAcceptedOnlyIfAllEndpointsShowIt) {
   set_up({kv("a", 3)}, 40);
   watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
   watcher->created(now, stream(), {99, 500});
   wait_for_range();
-  watcher->page(now, actions.ranges.back().turn, {99, 500}, {kv("x", 2)}, false);
+  watcher->page(now, actions.ranges.back().operation_id, {99, 500}, {kv("x", 2)}, false);
   EXPECT_EQ(actions.published.size(), 1U);
   wait_for_range();
-  list({kv("a", 3)}, 41);  // the other endpoint is what it was
+  list({kv("a", 3)}, 41);  // the other endpoint belongs to the known cluster
   EXPECT_EQ(watcher->epoch(), 1U);
   EXPECT_TRUE(departed().empty());
-  // From here on all are of the other cluster.
+  // From here on all endpoints belong to the other cluster.
   watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 4; });
   watcher->created(now, stream(), {99, 500});
   const Time first = now;
   while (watcher->epoch() == 1 && now < first + 60'000 * kMs) {
     wait_for_range();
-    watcher->page(now, actions.ranges.back().turn, {99, 500}, {kv("x", 2)}, false);
+    watcher->page(now, actions.ranges.back().operation_id, {99, 500}, {kv("x", 2)}, false);
   }
   EXPECT_GE(now - first, settings.history_confirm_duration);
   EXPECT_EQ(watcher->epoch(), 2U);
@@ -246,7 +247,7 @@
   EXPECT_EQ(actions.published.back().revision, 500);
 }
 
-TEST_F(EtcdWatcher, RevisionsThatWentBackAreAnotherEpochOnceTheyWereSeenForTheirTime) {
+TEST_F(EtcdWatcher, LowerRevisions_StartAnotherEpochAfterTheConfirmationTime) {
   set_up({kv("a", 3), kv("b", 30)}, 40, 1);
   watcher->stream_failed(now, stream(), "reset");
   wait_until([&] { return actions.watches.size() == 2; });
@@ -264,8 +265,8 @@
   EXPECT_EQ(actions.published.back().epoch, 2U);
 }
 
-// The time handed in never goes back, but it may leap: a machine that slept.
-TEST_F(EtcdWatcher, AfterALeapOfTimeItAsksBeforeItGivesUpAnything) {
+// Time never goes back, but it can jump forward, as after a suspended machine resumes.
+TEST_F(EtcdWatcher, ForwardJumpOfTime_RequestsProgressBeforeFailing) {
   set_up({kv("a", 3)}, 40);
   now += 3'600'000 * kMs;
   watcher->on_time(now);
@@ -279,7 +280,7 @@
   EXPECT_EQ(watcher->counts().breaks, 0U);
 }
 
-TEST_F(EtcdWatcher, OneOfTwoEndpointsIsNotBelievedThoughTheOtherIsSilentForGood) {
+TEST_F(EtcdWatcher, OtherClusterIdOnOneOfTwoEndpoints_IsNotAcceptedIfOtherIsSilent) {
   set_up({kv("a", 3)}, 40);
   watcher->stream_failed(now, stream(), "reset");
   const Time first = now;
@@ -293,7 +294,7 @@
     if (actions.ranges.size() > ranges && actions.ranges.back().endpoint == 0) {
       ranges = actions.ranges.size();
       ++answered;
-      watcher->page(now, actions.ranges.back().turn, {99, 500}, {kv("x", 2)}, false);
+      watcher->page(now, actions.ranges.back().operation_id, {99, 500}, {kv("x", 2)}, false);
     }
     ranges = actions.ranges.size();
   }
@@ -302,27 +303,27 @@
   EXPECT_TRUE(departed().empty());
 }
 
-TEST_F(EtcdWatcher, AListingWithoutEndAndOneThatContradictsItselfAreGivenUp) {
+TEST_F(EtcdWatcher, OversizedOrInconsistentListing_IsRejected) {
   settings.max_keys = 3;
   watcher.emplace(settings, 1, actions);
   watcher->start(now);
-  watcher->page(now, actions.ranges.back().turn, {cluster, 40},
+  watcher->page(now, actions.ranges.back().operation_id, {cluster, 40},
                 {kv("a", 3), kv("b", 3), kv("c", 3), kv("d", 3)}, true);
   EXPECT_EQ(watcher->state(), Watcher::State::waiting);
   wait_for_range();
-  watcher->page(now, actions.ranges.back().turn, {cluster, 40}, {kv("a", 41)},
+  watcher->page(now, actions.ranges.back().operation_id, {cluster, 40}, {kv("a", 41)},
                 false);  // newer than the listing
   EXPECT_EQ(watcher->state(), Watcher::State::waiting);
   wait_for_range();
-  watcher->page(now, actions.ranges.back().turn, {cluster, 40}, {}, true);
+  watcher->page(now, actions.ranges.back().operation_id, {cluster, 40}, {}, true);
   EXPECT_EQ(watcher->state(), Watcher::State::waiting);
   wait_for_range();
-  watcher->page(now, actions.ranges.back().turn, {cluster, 0}, {}, false);
+  watcher->page(now, actions.ranges.back().operation_id, {cluster, 0}, {}, false);
   EXPECT_EQ(watcher->state(), Watcher::State::waiting);
   EXPECT_TRUE(actions.published.empty());
 }
 
-TEST_F(EtcdWatcher, WhatBelongsToAnEarlierTurnIsNotHeard) {
+TEST_F(EtcdWatcher, MessagesOfEarlierOperation_AreIgnored) {
   set_up({kv("a", 3)}, 40);
   const std::uint64_t old = stream();
   watcher->stream_failed(now, old, "reset");
@@ -334,15 +335,15 @@
   EXPECT_EQ(watcher->counts().compactions, 0U);
 }
 
-TEST_F(EtcdWatcher, FiftyThatAreCutAtOnceAskAgainSpreadOverTheirTime) {
+TEST_F(EtcdWatcher, FiftyWatchersAfterCompaction_SpreadTheirListings) {
   std::vector<Time> asked;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Actions own;
     Watcher one(settings, seed * 7919, own);
     one.start(now);
-    one.page(now, own.ranges.back().turn, {cluster, 40}, {kv("a", 3)}, false);
-    one.created(now, own.watches.back().turn, {cluster, 40});
-    one.cancelled(now, own.watches.back().turn, "compacted", 50);
+    one.page(now, own.ranges.back().operation_id, {cluster, 40}, {kv("a", 3)}, false);
+    one.created(now, own.watches.back().operation_id, {cluster, 40});
+    one.cancelled(now, own.watches.back().operation_id, "compacted", 50);
     asked.push_back(one.next_time() - now);
   }
   for (Time from = 0; from < settings.relist_jitter; from += 100 * kMs)
--- a/tests/roster/list_framer_test.cpp
+++ b/tests/roster/list_framer_test.cpp
@@ -1,4 +1,4 @@
-// What a watch sends, cut into its lists.
+// Tests of ListFramer.
 #include "roster/list_framer.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return out;
 }
 
-TEST(ListFramer, ListsComeOutAlikeHoweverTheyAreCutAndIndented) {
+TEST(ListFramer, FragmentedOrIndentedLists_AreReturnedUnchanged) {
   const std::vector<std::pair<std::string, Lists>> cases = {
       {"{\"a\":1}\n", {"{\"a\":1}"}},
       {"\n\n  {\"a\":[{},{}]}\n\n{}\n", {"{\"a\":[{},{}]}", "{}"}},
@@ -34,16 +34,16 @@
       EXPECT_EQ(lists(bytes, piece), found) << bytes << " in pieces of " << piece;
 }
 
-TEST(ListFramer, OnlyAWholeListOrAnEmptyLineIsASignOfLife) {
+TEST(ListFramer, PartialList_IsNotReportedAsReceivedLine) {
   ListFramer framer(kLongest);
   EXPECT_FALSE(framer.put("  ").received_line);
   EXPECT_TRUE(framer.put("\n").received_line);
   EXPECT_FALSE(framer.put("{\"a\":\n").received_line);
-  EXPECT_FALSE(framer.put("\n\n").received_line);  // in its midst
+  EXPECT_FALSE(framer.put("\n\n").received_line);  // empty line within a list
   EXPECT_TRUE(framer.put("1}").received_line);
 }
 
-TEST(ListFramer, AListWithoutEndIsToldAndNotKept) {
+TEST(ListFramer, ListAboveTheSizeLimit_IsReported) {
   for (const std::string begin : {"{\"a\":\"", "{", "x"}) {
     ListFramer framer(kLongest);
     EXPECT_FALSE(framer.put(begin + std::string(kLongest - begin.size(), 'x')).too_long);
@@ -51,8 +51,8 @@
   }
 }
 
-TEST(ListFramer, ABracketWithoutItsOtherIsGivenOutOnceItCloses) {
-  // Whoever reads it refuses it: here only the end is found.
+TEST(ListFramer, MismatchedBrackets_AreReturnedAtTheirEnd) {
+  // The parser rejects the text; the framer only finds its end.
   EXPECT_EQ(lists("{]\n{}\n", 1), (Lists{"{]", "{}"}));
 }
 
--- a/tests/roster/sources_test.cpp
+++ b/tests/roster/sources_test.cpp
@@ -1,4 +1,4 @@
-// Two sources of one roster; what waits between two threads; the seed file's text.
+// Tests of Sources, Mailbox and the text form of the seed file.
 #include "roster/sources.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   return out;
 }
 
-// Keeps what an engine would: what is there, and how.
+// Keeps the roster that an engine would have.
 struct Engine final : engine::EndpointListObserver {
   void on_endpoint_list(const engine::EndpointList& list) override {
     if (list.complete) {
@@ -58,22 +58,22 @@
   int failed = 0, wholes = 0, vanished = 0;
 };
 
-TEST(RosterSources, ThePlatformIsUsedUntilTheSecondHasToldAllAndTheHandOverTellsDifferencesOnly) {
+TEST(RosterSources, FirstCompleteListOfSecondSource_SwitchesOverWithDifferencesOnly) {
   Engine engine;
   Sources sources(engine);
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b")}));
   EXPECT_EQ(engine.all(), "a b ");
-  sources.second().on_endpoint_list(list(false, {server("c")}));  // not whole yet
+  sources.second().on_endpoint_list(list(false, {server("c")}));  // no complete list yet
   EXPECT_EQ(engine.all(), "a b ");
   sources.second().on_endpoint_list(list(true, {server("b"), server("c")}));
   EXPECT_EQ(engine.all(), "b c ");
   EXPECT_EQ(engine.departures, std::vector<std::string>{"a"});
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b"), server("z")}));
-  EXPECT_EQ(engine.all(), "b c ");  // it leads no more
-  EXPECT_EQ(engine.vanished, 0);    // each departure is told as one
+  EXPECT_EQ(engine.all(), "b c ");  // the platform is no longer the primary source
+  EXPECT_EQ(engine.vanished, 0);    // each departure is reported as such
 }
 
-TEST(RosterSources, ADepartureToldByEitherCounts) {
+TEST(RosterSources, DepartureReportedByEitherSource_TakesEffect) {
   Engine engine;
   Sources sources(engine);
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b"), server("c")}));
@@ -86,12 +86,12 @@
   EXPECT_EQ(engine.all(), "a- c- ");
   sources.second().on_endpoint_list(list(false, {server("a", Phase::gone)}));
   EXPECT_EQ(engine.all(), "c- ");
-  // A platform that says it is there again is not enough where the second leads; both are.
+  // The platform lists b again, and the second source never reported it as gone.
   sources.platform().on_endpoint_list(list(false, {server("b")}));
   EXPECT_EQ(engine.all(), "b c- ");
 }
 
-TEST(RosterSources, AServerThatBothSawGoIsThereAgainOnceTheOneThatLeadsTellsItAnew) {
+TEST(RosterSources, ServerGoneFromBothSources_ReturnsWhenPrimaryListsItAgain) {
   Engine engine;
   Sources sources(engine);
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b")}));
@@ -99,12 +99,12 @@
   sources.platform().on_endpoint_list(list(false, {server("a", Phase::gone)}));
   sources.second().on_endpoint_list(list(false, {server("a", Phase::gone)}));
   sources.second().on_endpoint_list(
-      list(false, {server("a")}));  // restarted; the platform has not heard of it
+      list(false, {server("a")}));  // restarted; the platform has not listed it yet
   EXPECT_EQ(engine.all(), "a b ");
   EXPECT_EQ(engine.departures, std::vector<std::string>{"a"});
 }
 
-TEST(RosterSources, OnlyTheOneThatLeadsTellsThatItsListIsOld) {
+TEST(RosterSources, FailureOfSecondarySource_IsNotForwarded) {
   Engine engine;
   Sources sources(engine);
   sources.second().on_discovery_failed();
@@ -118,7 +118,7 @@
   EXPECT_EQ(engine.failed, 2);
 }
 
-TEST(RosterMailbox, HoldsOneEntryAServerHoweverOftenItChangesAndLosesNoDeparture) {
+TEST(RosterMailbox, RepeatedChanges_KeepOneEntryPerServerAndEachDeparture) {
   Mailbox box;
   EXPECT_TRUE(box.put(list(false, {server("a")})));
   for (int i = 0; i < 1'000; ++i)
@@ -134,8 +134,8 @@
   EXPECT_TRUE(box.take().empty());
 }
 
-// What an engine knows is the same, told one by one or through a mailbox that is seldom emptied.
-TEST(RosterMailbox, WhatIsTakenAtAnyTimesEndsInTheSameRoster) {
+// The engine ends with the same roster whether lists arrive one by one or through a rarely emptied mailbox.
+TEST(RosterMailbox, BatchesTakenAtRandomTimes_YieldTheSameRoster) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::minstd_rand random(seed);
     Engine straight, by_box;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST(EtcdSeed, IsReadAsItWasWrittenAndNotWhenItIsCutSpoiltOrOld) {
+TEST(EtcdSeed, TruncatedCorruptedOrOldText_IsRejected) {
   Names names;
   names.zones = {"a", "b"};
   names.kinds = {"cache"};
@@ -193,7 +193,7 @@
   }
   EXPECT_TRUE(error_of(text, 1'060'001));
   EXPECT_FALSE(error_of(text, 1'060'000));
-  EXPECT_FALSE(error_of(text, 1));  // the clock stepped back
+  EXPECT_FALSE(error_of(text, 1));  // the wall clock was set back
   EXPECT_EQ(error_of(text, 1'065'000)->kind, etcd::SeedError::Kind::too_old);
   EXPECT_EQ(error_of(text, 1'065'000)->message, "it is 65 s old");
   EXPECT_EQ(error_of("#!/bin/sh")->kind, etcd::SeedError::Kind::no_seed);
