--- a/src/fleet/demand_sampler.h
+++ b/src/fleet/demand_sampler.h
@@ -1,4 +1,4 @@
-// Samples of what a router is asked for, as the basis of its claims. No I/O, no clock.
+// Samples of a router's load, from which its claims are computed. No I/O, no clock.
 #pragma once
 
 #include <array>
@@ -11,22 +11,23 @@
 
 namespace streampick::fleet {
 
-/// Keeps the last period's samples: requests by tenant, and the maximum of work at the origin.
+/// Keeps the samples of the last period: request counts by tenant, and the maximum of work at the origin.
 class DemandSampler {
  public:
   static constexpr std::size_t kSamplesPerPeriod = 10;
 
-  /// Requests by tenant since they were last counted anew.
+  /// `requests`: number of requests by tenant since the engine's counts were last reset.
   void add_sample(leases::Time now, std::vector<std::uint64_t> requests);
-  /// Work at the origin now; to be called whenever a claim may be made.
+  /// Records the work at the origin now. Call it before every event that can send a claim.
   void observe_origin(const OriginWork& work);
-  /// Numbers of tenants have another meaning from now on.
+  /// Discards the request counts, because tenant numbers have changed their meaning.
   void forget_requests();
 
-  /// Requests a second of a tenant: the larger of the rates over a whole period and over the latest samples.
+  /// Requests per second of a tenant: the larger of the rate over the whole period and the rate over the last
+  /// kLatestSamples samples.
   double request_rate(std::size_t tenant) const;
-  /// Maximum of work in flight and queued at the origin within the last period. A claim must not be based on
-  /// less than there was.
+  /// Maximum of work in flight and queued at the origin within the last period. Claims use this maximum, not
+  /// the latest value, so that a claim never asks for less than was needed within the period.
   double max_origin_work() const;
 
  private:
@@ -34,13 +35,13 @@
   struct Sample {
     leases::Time time = 0;
     std::vector<std::uint64_t> requests;
-    double max_origin_work = 0;  // since the sample before
+    double max_origin_work = 0;  // since the previous sample
   };
 
   const Sample& sample_before(std::size_t count) const;
   double rate_over(std::size_t tenant, std::size_t samples) const;
 
-  std::array<Sample, kSamplesPerPeriod> samples_;  // a ring
+  std::array<Sample, kSamplesPerPeriod> samples_;  // a ring buffer
   std::size_t latest_ = 0;
   std::size_t count_ = 0;
   double max_origin_work_ = 0;  // since the latest sample
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,5 +1,5 @@
-// A router's part in its fleet: the membership view and the leases on one socket, and their effect on the
-// engine.
+// A router's participation in its fleet: runs membership and leases over one socket and applies the results
+// to the engine.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,28 +20,27 @@
 class Fleet {
  public:
   struct Hooks {
-    std::function<void(std::uint32_t routers)>
-        divide_by;                              // by how many routers totals are divided from now on
-    std::function<std::uint32_t()> divided_by;  // ... and are
+    std::function<void(std::uint32_t routers)> set_divisor;  // divide totals by `routers` from now on
+    std::function<std::uint32_t()> divisor;                  // number of routers that totals are divided by
     std::function<void(std::string_view)> log;
-    // Of shared limits: resets the counts of requests by tenant, reads them, reads the work at the origin,
-    // and sets this router's allowances.
-    std::function<void()> count_anew;
-    std::function<const std::vector<std::uint64_t>&()> asked;
-    std::function<OriginWork()> origin;
-    std::function<void(Shares)> take;
+    // For shared limits: reset the request counts by tenant, read them, read the work at the origin, and set
+    // this router's allowances.
+    std::function<void()> reset_request_counts;
+    std::function<const std::vector<std::uint64_t>&()> request_counts;
+    std::function<OriginWork()> origin_work;
+    std::function<void(Shares)> apply_allowances;
   };
   struct Tenants {
     std::vector<std::string> names;
     std::vector<Tenant> all;
   };
-  /// `constant`: the number of routers in the platform's settings.
+  /// `constant`: number of routers that the platform's settings state.
   Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options, std::uint64_t seed,
         std::uint32_t constant, Hooks hooks);
   /// Starts the lease protocol for shared limits.
   void share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
 
-  /// By how many routers totals are divided when the platform's settings have `constant`.
+  /// Number of routers that totals are divided by if the platform's settings state `constant`.
   std::uint32_t routers_with(std::uint32_t constant) const {
     return options_.count_routers && !left_ ? count_.with(constant) : constant;
   }
@@ -49,18 +48,18 @@
   void set_tenants(const Tenants& tenants);
   /// Tells the peers that this router is draining.
   void draining();
-  /// Leaves the fleet for good and closes the socket, so that a successor can open it. `process_ends`:
-  /// whether this process ends as well.
+  /// Leaves the fleet permanently and closes the socket, so that a successor process can open it.
+  /// `process_ends`: whether this process ends as well.
   void leave(bool process_ends);
 
-  /// One line of JSON each, without its end: the whole view, its counts for DUMP, and the answer to SHARES
-  /// (empty: nothing is shared).
+  /// Each returns one line of JSON without a line end: the whole view, the view's counts for DUMP, and the
+  /// answer to SHARES (an empty string if no limits are shared).
   std::string view() const;
   std::string brief() const;
   std::string shares() const;
-  /// For the log line of every ten seconds.
+  /// Text for the statistics line, which is logged every ten seconds.
   std::string summary() const;
-  const membership::GossipSocket& shell() const { return shell_; }
+  const membership::GossipSocket& socket() const { return socket_; }
 
  private:
   void on_change(const membership::Change& change);
@@ -73,13 +72,13 @@
   Hooks hooks_;
   RouterCount count_;
   bool left_ = false;
-  int lines_this_second_ = 0;          // in the log
-  int suppressed_changes_ = 0;         // without a line of their own
-  std::optional<std::string> roster_;  // as it was read last
+  int lines_this_second_ = 0;          // changes logged
+  int suppressed_changes_ = 0;         // changes of this second that were not logged
+  std::optional<std::string> roster_;  // text of the roster file when it was last read
   std::filesystem::file_time_type roster_time_{};
-  std::string was_closed_;
-  boost::asio::steady_timer second_;
-  membership::GossipSocket shell_;
+  std::string last_open_error_;
+  boost::asio::steady_timer second_timer_;
+  membership::GossipSocket socket_;
   std::unique_ptr<SharedLimits> limits_;
 };
 
--- a/src/fleet/fleet_status.cpp
+++ b/src/fleet/fleet_status.cpp
@@ -1,5 +1,5 @@
-// What operators see of the membership view: answers to commands and the summary line. Keys and words are
-// those of docs/operators/membership.md.
+// The membership view in answers to operators' commands and in the statistics line.
+// docs/operators/membership.md defines the keys and words.
 #include <nlohmann/json.hpp>
 
 #include "fleet/fleet.h"
@@ -44,61 +44,62 @@
 
 std::string Fleet::brief() const {
   const auto now = time_.now();
-  return counts_json(shell_.protocol().summary(now), now, hooks_.divided_by()).dump();
+  return counts_json(socket_.protocol().summary(now), now, hooks_.divisor()).dump();
 }
 
 std::string Fleet::shares() const { return limits_ ? limits_->status() : ""; }
 
 std::string Fleet::view() const {
   const auto now = time_.now();
-  const membership::GossipProtocol& core = shell_.protocol();
+  const membership::GossipProtocol& core = socket_.protocol();
   const membership::ViewSummary counts = core.summary(now);
-  ordered_json out = counts_json(counts, now, hooks_.divided_by());
+  ordered_json out = counts_json(counts, now, hooks_.divisor());
   out["digest"] = hex(counts.digest);
   out["health"] = core.local_health();
-  out["open"] = shell_.is_open();
+  out["open"] = socket_.is_open();
   out["self"] = record_json(core.self());
   out["members"] = ordered_json::array();
   for (const auto& [boot, member] : core.table().members()) {
-    ordered_json one = record_json(member.record);
-    one["for_ms"] = (now - member.since) / 1'000;
-    out["members"].push_back(std::move(one));
+    ordered_json entry = record_json(member.record);
+    entry["for_ms"] = (now - member.since) / 1'000;
+    out["members"].push_back(std::move(entry));
   }
-  const membership::ProtocolCounters& figures = core.counters();
-  const membership::GossipSocket::Counts& shell = shell_.counts();
+  const membership::ProtocolCounters& protocol_counts = core.counters();
+  const membership::GossipSocket::Counts& socket_counts = socket_.counts();
   ordered_json& figures_json = out["figures"];
   for (std::size_t kind = 0; kind < membership::kMessageKinds; ++kind) {
-    figures_json["sent"][membership::kMessageKindNames[kind]] = shell.sent[kind];
-    figures_json["received"][membership::kMessageKindNames[kind]] = shell.received[kind];
+    figures_json["sent"][membership::kMessageKindNames[kind]] = socket_counts.sent[kind];
+    figures_json["received"][membership::kMessageKindNames[kind]] = socket_counts.received[kind];
   }
   std::uint64_t unreadable = 0;
-  for (const std::uint64_t kind : shell.decode_errors) unreadable += kind;
-  const std::pair<const char*, std::uint64_t> numbers[] = {{"bytes_sent", shell.bytes_sent},
-                                                           {"bytes_received", shell.bytes_received},
-                                                           {"longest", shell.longest},
-                                                           {"strangers", shell.not_peers},
-                                                           {"unreadable", unreadable},
-                                                           {"over_budget", shell.over_budget},
-                                                           {"not_taken", shell.send_errors},
-                                                           {"too_long", shell.too_long},
-                                                           {"thrown_away", shell.discarded},
-                                                           {"probes", figures.pings},
-                                                           {"unanswered", figures.failed_probes},
-                                                           {"repairs", figures.anti_entropy_rounds},
-                                                           {"refutations", figures.refutations},
-                                                           {"declared", figures.declared_unreachable},
-                                                           {"stray", figures.unexpected_acks},
-                                                           {"other_address", figures.address_mismatches},
-                                                           {"no_room", figures.table_full}};
+  for (const std::uint64_t kind : socket_counts.decode_errors) unreadable += kind;
+  const std::pair<const char*, std::uint64_t> numbers[] = {
+      {"bytes_sent", socket_counts.bytes_sent},
+      {"bytes_received", socket_counts.bytes_received},
+      {"longest", socket_counts.longest},
+      {"strangers", socket_counts.not_peers},
+      {"unreadable", unreadable},
+      {"over_budget", socket_counts.over_budget},
+      {"not_taken", socket_counts.send_errors},
+      {"too_long", socket_counts.too_long},
+      {"thrown_away", socket_counts.discarded},
+      {"probes", protocol_counts.pings},
+      {"unanswered", protocol_counts.failed_probes},
+      {"repairs", protocol_counts.anti_entropy_rounds},
+      {"refutations", protocol_counts.refutations},
+      {"declared", protocol_counts.declared_unreachable},
+      {"stray", protocol_counts.unexpected_acks},
+      {"other_address", protocol_counts.address_mismatches},
+      {"no_room", protocol_counts.table_full}};
   for (const auto& [name, number] : numbers) figures_json[name] = number;
   return out.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
 std::string Fleet::summary() const {
-  const membership::ViewSummary counts = shell_.protocol().summary(time_.now());
+  const membership::ViewSummary counts = socket_.protocol().summary(time_.now());
   return " fleet: alive=" + std::to_string(counts.alive) + " suspect=" + std::to_string(counts.suspect) +
          " unreachable=" + std::to_string(counts.unreachable) + " least=" + std::to_string(counts.min_live) +
-         " most=" + std::to_string(counts.max_live) + " routers=" + std::to_string(hooks_.divided_by()) +
+         " most=" + std::to_string(counts.max_live) + " routers=" + std::to_string(hooks_.divisor()) +
          (limits_ ? limits_->summary() : "");
 }
 
--- a/src/fleet/hex.h
+++ b/src/fleet/hex.h
@@ -1,4 +1,4 @@
-// Numbers as text for log lines and operators.
+// Numbers formatted for log lines and operators' commands.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace streampick::fleet {
 
-/// Sixteen hexadecimal digits.
+/// Formats `value` as 16 hexadecimal digits.
 inline std::string hex(std::uint64_t value) {
   char digits[17];
   std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(value));
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -34,11 +34,11 @@
     const Address address = parse_address(line);
     if (address == 0)
       throw std::runtime_error("line " + std::to_string(number) +
-                               ": expected ADDRESS:PORT, the address in numbers, not '" + line.substr(0, 60) +
+                               ": expected ADDRESS:PORT with a numeric address, not '" + line.substr(0, 60) +
                                "'");
-    if (out.size() >= kMostContacts)
+    if (out.size() >= kMaxContacts)
       throw std::runtime_error("line " + std::to_string(number) + ": more than " +
-                               std::to_string(kMostContacts) + " addresses");
+                               std::to_string(kMaxContacts) + " addresses");
     out.push_back(address);
   }
   return out;
@@ -51,7 +51,7 @@
   table.text("advertise", out.advertise, 64);
   for (const auto& [key, text] : {std::pair("listen", &out.listen), std::pair("advertise", &out.advertise)})
     if (!text->empty() && parse_address(*text) == 0)
-      table.wrong(key, "expected ADDRESS:PORT, an IPv4 address in numbers");
+      table.wrong(key, "expected ADDRESS:PORT with a numeric IPv4 address");
   table.text("name", out.udp.fleet, 64);
   table.texts("seeds", out.seeds);
   if (out.seeds.size() > 64) table.wrong("seeds", "expected at most 64 addresses");
@@ -89,10 +89,10 @@
   return {endpoint->address(), endpoint->port()};
 }
 
-// The platform's way: `peer_listen`, and `peers` by number.
-void take_peers(Options& options, const platform::NodeSettings& settings, const JsonValue& config,
-                const std::string& file) {
-  const char* const expected = "an address and a port, as 10.0.0.4:7946";
+// Uses the platform's configuration: `peer_listen`, and `peers` that are identified by their index.
+void apply_platform_peers(Options& options, const platform::NodeSettings& settings, const JsonValue& config,
+                          const std::string& file) {
+  const char* const expected = "an address and a port, such as 10.0.0.4:7946";
   const auto endpoint = [&](const JsonValue& value) {
     const std::string text = value.text(expected);
     if (parse_address(text) == 0) value.wrong(expected);
@@ -101,31 +101,33 @@
   options.udp.listen = endpoint(config.at("peer_listen", expected));
   const auto peers = config.find("peers");
   if (!peers)
-    throw ConfigurationError(file, "fleet", "the platform's configuration has peer_listen and no peers");
+    throw ConfigurationError(file, "fleet", "the platform's configuration has peer_listen but no peers");
   for (const JsonValue& peer : peers->items("a list of addresses"))
     options.udp.peers.push_back(endpoint(peer));
-  if (options.udp.peers.size() > kMostContacts) peers->wrong("at most 2048 addresses");
+  if (options.udp.peers.size() > kMaxContacts) peers->wrong("at most 2048 addresses");
   if (settings.settings.me >= options.udp.peers.size())
     throw ConfigurationError(file, "fleet",
-                             "the platform's peers are " + std::to_string(options.udp.peers.size()) +
-                                 ", and this router's number is " + std::to_string(settings.settings.me));
+                             "the platform's configuration has " + std::to_string(options.udp.peers.size()) +
+                                 " peers, but this router's number is " +
+                                 std::to_string(settings.settings.me));
   options.core.address = membership::numbered(settings.settings.me);
   for (std::uint32_t number = 0; number < options.udp.peers.size(); ++number)
     options.core.contacts.push_back(membership::numbered(number));
   options.core.max_datagram_size = 256;
 }
 
-// The options' own way: `listen` and `advertise`, `seeds` and the roster file.
-void take_listed(Options& options, const std::string& file) {
+// Uses the options file: `listen` and `advertise`, `seeds` and the roster file.
+void apply_own_addresses(Options& options, const std::string& file) {
   options.udp.listen = to_udp(options.listen);
   options.core.address = parse_address(options.advertise.empty() ? options.listen : options.advertise);
   if (options.udp.listen.address().is_unspecified() && options.advertise.empty())
-    throw ConfigurationError(file, "fleet.advertise", "it is missing, and fleet.listen is every address");
+    throw ConfigurationError(file, "fleet.advertise",
+                             "this key is required when fleet.listen is a wildcard address");
   for (const std::string& seed : options.seeds) options.core.contacts.push_back(parse_address(seed));
   if (options.roster_file.empty()) return;
   const std::string key = "fleet.roster_file";
   std::ifstream in(options.roster_file);
-  if (!in) throw ConfigurationError(file, key, "'" + options.roster_file + "' can't be read");
+  if (!in) throw ConfigurationError(file, key, "'" + options.roster_file + "' cannot be read");
   try {
     for (const Address address : parse_roster({std::istreambuf_iterator<char>(in), {}}))
       options.core.contacts.push_back(address);
@@ -134,13 +136,14 @@
   }
 }
 
-// The name under which the platform knows this router.
-void take_name(Options& options, const platform::NodeSettings& settings, const std::string& file) {
+// Uses the name that the platform's settings give this router.
+void apply_name(Options& options, const platform::NodeSettings& settings, const std::string& file) {
   options.core.name = settings.name;
   const membership::Record self{1, settings.name, 1, 0, membership::State::alive, 0, 0, {}};
   if (settings.name.empty() || !membership::validation_error(self).empty())
-    throw ConfigurationError(file, "fleet",
-                             "the platform's name of this router must be 1 to 32 letters, digits or signs");
+    throw ConfigurationError(
+        file, "fleet",
+        "this router's name in the platform's settings must be 1 to 32 letters, digits or signs");
 }
 
 }  // namespace
@@ -149,20 +152,21 @@
   if (!options.on) return;
   if (!settings.settings.may_talk)
     throw ConfigurationError(
-        file, "fleet", "the platform's settings forbid talk between routers (PolicyLimits.PeerMessages)");
-  take_name(options, settings, file);
+        file, "fleet", "the platform's settings forbid messages between routers (PolicyLimits.PeerMessages)");
+  apply_name(options, settings, file);
   options.core.contacts.clear();
   options.udp.peers.clear();
   const nlohmann::json document = parse_json(settings.text);
   const JsonValue config(document);
   if (!options.listen.empty()) {
-    take_listed(options, file);
+    apply_own_addresses(options, file);
     return;
   }
   if (!config.find("peer_listen"))
-    throw ConfigurationError(file, "fleet.listen", "it is missing, and the platform has no peer_listen");
+    throw ConfigurationError(file, "fleet.listen",
+                             "this key is required when the platform's configuration has no peer_listen");
   try {
-    take_peers(options, settings, config, file);
+    apply_platform_peers(options, settings, config, file);
   } catch (const JsonError& error) {
     throw ConfigurationError(file, "fleet", std::string("the platform's configuration: ") + error.what());
   }
@@ -171,10 +175,10 @@
 std::string describe(const Options& options) {
   if (!options.on) return "fleet: off\n";
   std::ostringstream out;
-  out << "fleet: " << (options.listen.empty() ? "by the platform's peers" : "listens on " + options.listen)
-      << ", a probe each " << options.core.period / 1'000 << " ms, datagrams of at most "
+  out << "fleet: " << (options.listen.empty() ? "uses the platform's peers" : "listens on " + options.listen)
+      << ", one probe every " << options.core.period / 1'000 << " ms, datagrams of at most "
       << options.core.max_datagram_size << " bytes, at most " << options.udp.budget.datagrams
-      << " a second\n";
+      << " datagrams per second\n";
   return out.str();
 }
 
--- a/src/fleet/router_count.h
+++ b/src/fleet/router_count.h
@@ -1,4 +1,4 @@
-// By how many routers a total is divided. No I/O, no clock.
+// Number of routers that a fleet-wide total is divided by. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace streampick::fleet {
 
-/// The maximum number of routers by the membership view, with hysteresis: an increase counts at once, a
-/// decrease once it has lasted for `hold`. Until the view has settled for the first time, the settings'
-/// constant is a lower bound, since a router that has just started knows nobody.
+/// The maximum number of routers according to the membership view, with hysteresis: an increase takes effect
+/// at once, a decrease after it has lasted for `hold`. Until the view has settled for the first time, the
+/// constant from the settings is a lower bound, because a router that has just started knows no peers.
 class RouterCount {
  public:
   RouterCount(std::uint32_t constant, membership::Time hold)
       : constant_(constant), hold_(hold), value_(constant) {}
 
-  /// The count with another constant in the settings.
+  /// Returns the count that would apply if the settings stated `constant`.
   std::uint32_t with(std::uint32_t constant) const {
     return settled_once_ ? value_ : std::max(value_, constant);
   }
@@ -26,29 +26,30 @@
     value_ = with(constant);
     constant_ = constant;
   }
-  /// Takes the view's counts and returns the new count; to be called at least once a second.
+  /// Updates the count from the view's summary and returns it. Call it at least once per second.
   std::uint32_t see(membership::Time now, const membership::ViewSummary& counts) {
     settled_once_ = settled_once_ || (counts.is_settled && counts.alive > 1);
-    auto most = static_cast<std::uint32_t>(std::max<std::size_t>(1, counts.max_live));
-    if (!settled_once_) most = std::max(most, constant_);
-    // A sliding-window maximum over `hold`: values that can still become the maximum, falling.
-    while (!seen_.empty() && seen_.back().second <= most) seen_.pop_back();
-    seen_.emplace_back(now, most);
-    while (seen_.front().first < now - hold_) seen_.pop_front();
-    // The window must have been observed completely.
-    if (first_ == 0) first_ = now;
-    const std::uint32_t held = seen_.front().second;
-    value_ = now - first_ < hold_ ? std::max(value_, held) : held;
+    auto maximum = static_cast<std::uint32_t>(std::max<std::size_t>(1, counts.max_live));
+    if (!settled_once_) maximum = std::max(maximum, constant_);
+    // Sliding-window maximum over `hold`: the deque keeps, in decreasing order, the values that can still
+    // become the maximum.
+    while (!window_.empty() && window_.back().second <= maximum) window_.pop_back();
+    window_.emplace_back(now, maximum);
+    while (window_.front().first < now - hold_) window_.pop_front();
+    // Until a full window has been observed, the count does not decrease.
+    if (first_observation_ == 0) first_observation_ = now;
+    const std::uint32_t window_maximum = window_.front().second;
+    value_ = now - first_observation_ < hold_ ? std::max(value_, window_maximum) : window_maximum;
     return value_;
   }
   std::uint32_t value() const { return value_; }
 
  private:
   std::uint32_t constant_;
-  membership::Time hold_, first_ = 0;
+  membership::Time hold_, first_observation_ = 0;
   std::uint32_t value_;
   bool settled_once_ = false;
-  std::deque<std::pair<membership::Time, std::uint32_t>> seen_;
+  std::deque<std::pair<membership::Time, std::uint32_t>> window_;
 };
 
 }  // namespace streampick::fleet
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -18,10 +18,11 @@
 
 namespace {
 
-constexpr std::size_t kMostVoters = 9, kUsualVoters = 5;
+constexpr std::size_t kMaxVoters = 9, kDefaultVoters = 5;
 
-// "10.0.0.4:7946", or a number in the platform's peers; 0: it is neither.
-Address voter(const std::string& text, std::size_t peers) {
+// Parses an address such as "10.0.0.4:7946" or, if the platform has peers, an index into them. Returns 0 if
+// the text is not valid.
+Address parse_voter(const std::string& text, std::size_t peers) {
   if (peers == 0) return parse_address(text);
   std::uint32_t number = 0;
   const auto read = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -29,8 +30,8 @@
   return whole && number < peers ? membership::numbered(number) : 0;
 }
 
-// What is out at the origin ends with its request's time.
-Time longest_work(const platform::NodeSettings& settings) {
+// Longest deadline of any request class: work at the origin ends by its request's deadline.
+Time longest_deadline(const platform::NodeSettings& settings) {
   Time out = 0;
   for (const RequestClass& kind : settings.settings.config.classes) out = std::max(out, kind.deadline);
   return out;
@@ -44,7 +45,7 @@
   out.core.shards = 4;
   out.core.max_work_duration = 0;
   table.texts("voters", out.voters);
-  if (out.voters.size() > kMostVoters) table.wrong("voters", "expected at most 9 addresses");
+  if (out.voters.size() > kMaxVoters) table.wrong("voters", "expected at most 9 addresses");
   table.integer("origin_places", out.origin_places, 0, static_cast<std::int64_t>(leases::kMaxTotal));
   table.yes("quotas", out.quotas);
   table.integer("seats", out.core.shards, 1, leases::kMaxShards);
@@ -55,9 +56,9 @@
   out.core.lease_duration = 3 * out.core.period;
   table.integer("term_ms", out.core.term, 100, 600'000, 1'000);
   table.integer("lease_ms", out.core.lease_duration, 100, 600'000, 1'000);
-  if (out.core.term < 2 * out.core.period) table.wrong("term_ms", "expected two periods at least");
+  if (out.core.term < 2 * out.core.period) table.wrong("term_ms", "expected at least two periods");
   if (out.core.lease_duration < 2 * out.core.period || out.core.lease_duration > out.core.term)
-    table.wrong("lease_ms", "expected two periods at least, and at most term_ms");
+    table.wrong("lease_ms", "expected at least two periods and at most term_ms");
   table.integer("work_ms", out.core.max_work_duration, 1, 3'600'000, 1'000);
   table.number("drift", out.core.max_clock_drift, 0, 0.5);
   table.number("floor", out.core.guaranteed_share, 0, 1);
@@ -69,30 +70,31 @@
 
 namespace {
 
-// The voters of the options, or of the platform's peers as many as usual, spread evenly.
+// Returns the voters of the options file or, if it has none, kDefaultVoters of the platform's peers, spread
+// evenly.
 std::vector<Address> resolve_voters(const std::vector<std::string>& texts, std::size_t peers,
                                     const std::string& file) {
   const std::string key = "shares.voters";
   std::vector<Address> voters;
   for (const std::string& text : texts) {
-    const Address address = voter(text, peers);
+    const Address address = parse_voter(text, peers);
     if (address == 0)
       throw ConfigurationError(
           file, key,
           "expected " +
-              (peers > 0 ? "numbers of the platform's peers, 0 to " + std::to_string(peers - 1)
-                         : std::string("ADDRESS:PORT, as the others reach it")) +
+              (peers > 0 ? "an index of the platform's peers, 0 to " + std::to_string(peers - 1)
+                         : std::string("ADDRESS:PORT at which the other routers reach the voter")) +
               ", not '" + text.substr(0, 60) + "'");
     voters.push_back(address);
   }
   if (texts.empty()) {
-    const std::size_t count = std::min(kUsualVoters, peers);
+    const std::size_t count = std::min(kDefaultVoters, peers);
     for (std::size_t i = 0; i < count; ++i)
       voters.push_back(membership::numbered(static_cast<std::uint32_t>(i * peers / count)));
   }
-  if (voters.empty()) throw ConfigurationError(file, key, "it is missing");
+  if (voters.empty()) throw ConfigurationError(file, key, "this key is required");
   if (std::set<Address>(voters.begin(), voters.end()).size() != voters.size())
-    throw ConfigurationError(file, key, "one is named twice");
+    throw ConfigurationError(file, key, "two voters are equal");
   return voters;
 }
 
@@ -101,32 +103,33 @@
 void resolve(ShareOptions& options, const Options& fleet, const platform::NodeSettings& settings,
              const std::string& file) {
   if (!options.on) return;
-  if (!fleet.on) throw ConfigurationError(file, "shares", "it needs the table [fleet]");
+  if (!fleet.on) throw ConfigurationError(file, "shares", "this section requires the section [fleet]");
   const Config& config = settings.settings.config;
   const std::size_t peers = fleet.udp.peers.size();
   options.core.self = fleet.core.address;
   options.core.voters = resolve_voters(options.voters, peers, file);
   if (options.core.expected_routers == 0)
     options.core.expected_routers = std::max(config.routers, static_cast<std::uint32_t>(peers));
-  if (options.core.max_work_duration == 0) options.core.max_work_duration = longest_work(settings);
+  if (options.core.max_work_duration == 0) options.core.max_work_duration = longest_deadline(settings);
   check_work(options, settings, file);
   options.core.limits = limits_of(options, settings.settings.names.tenants, config.tenants);
   std::set<leases::LimitId> ids;
   for (const leases::Limit& limit : options.core.limits)
     if (!ids.insert(limit.id).second)
-      throw ConfigurationError(file, "shares", "two limits have one number; rename tenant of " + limit.name);
+      throw ConfigurationError(file, "shares",
+                               "two limits have the same hash; rename the tenant of \"" + limit.name + "\"");
 }
 
 void check_work(const ShareOptions& options, const platform::NodeSettings& settings,
                 const std::string& file) {
-  const Time longest = longest_work(settings);
+  const Time longest = longest_deadline(settings);
   if (options.on && options.core.max_work_duration < longest)
     throw ConfigurationError(file, "shares.work_ms",
                              "expected at least the longest HardLimitUs of the platform's classes, " +
                                  std::to_string((longest + 999) / 1'000));
 }
 
-std::string quota_of(const std::string& tenant) { return "quota of " + tenant; }
+std::string quota_limit_name(const std::string& tenant) { return "quota of " + tenant; }
 
 leases::LimitId limit_id(const std::string& name) { return XXH32(name.data(), name.size(), 0); }
 
@@ -138,10 +141,10 @@
                    .id = limit_id(kOriginPlaces),
                    .kind = leases::LimitKind::hard,
                    .total = static_cast<double>(options.origin_places)});
-  // The rest, beyond what may be told, is divided evenly as without this.
+  // Quotas beyond the maximum number of limits are not shared; each router gets an even share of them.
   for (std::size_t i = 0; options.quotas && i < tenants.size() && out.size() < leases::kMaxLimits; ++i) {
     if (tenants[i].quota_per_s <= 0) continue;
-    const std::string name = quota_of(i < names.size() ? names[i] : std::to_string(i));
+    const std::string name = quota_limit_name(i < names.size() ? names[i] : std::to_string(i));
     out.push_back({.name = name,
                    .id = limit_id(name),
                    .kind = leases::LimitKind::soft,
--- a/src/fleet/shared_limits.cpp
+++ b/src/fleet/shared_limits.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-// Claims of a rate exceed recent demand by this factor, so that a claim does not limit demand's own growth.
+// Factor by which a claim for a rate exceeds recent demand, so that the lease does not prevent demand from
+// growing.
 constexpr double kHeadroom = 1.1;
-// Share of an even share that is claimed without any demand, so that a first request finds something.
+// Part of an even share that is claimed without any demand, so that a tenant's first request is admitted.
 constexpr double kIdleClaim = 0.02;
 constexpr std::size_t kSamplesPerView = DemandSampler::kSamplesPerPeriod / 2;
 const leases::LimitId kOriginId = limit_id(kOriginPlaces);
@@ -45,7 +46,8 @@
   if (!options_.quotas) return;
   const std::size_t count = std::min(names.size(), tenants.size());
   for (std::size_t tenant = 0; tenant < count; ++tenant)
-    quotas_.push_back({.id = limit_id(quota_of(names[tenant])), .total = tenants[tenant].quota_per_s});
+    quotas_.push_back(
+        {.id = limit_id(quota_limit_name(names[tenant])), .total = tenants[tenant].quota_per_s});
 }
 
 void SharedLimits::start() {
@@ -93,7 +95,7 @@
 }
 
 void SharedLimits::sample_demand(Time now) {
-  demand_.add_sample(now, hooks_.asked());
+  demand_.add_sample(now, hooks_.request_counts());
   next_sample_ = now + protocol_.settings().period / static_cast<Time>(DemandSampler::kSamplesPerPeriod);
   if (samples_until_view_ == 0) {
     View view = hooks_.view();
@@ -111,20 +113,20 @@
 
 void SharedLimits::update_origin_demand(Time now) {
   if (options_.origin_places <= 0) return;
-  const OriginWork work = hooks_.origin();
+  const OriginWork work = hooks_.origin_work();
   demand_.observe_origin(work);
   protocol_.set_demand(now, kOriginId, demand_.max_origin_work(), work.in_flight);
 }
 
-// Sends messages, reports changed allowances and sets the timer.
+// Sends queued messages, reports changed allowances and sets the timer.
 void SharedLimits::after_event(Time now) {
   for (const leases::OutgoingMessage& outgoing : protocol_.take_messages())
-    hooks_.tell(outgoing.to, leases::encode(outgoing.message));
+    hooks_.send(outgoing.to, leases::encode(outgoing.message));
   Shares shares = current_shares(now);
   if (!has_reported_ || !is_same(shares, last_reported_)) {
     has_reported_ = true;
     last_reported_ = shares;
-    hooks_.take(std::move(shares));
+    hooks_.apply_allowances(std::move(shares));
   }
   log_elections(now);
   if (has_started_) timer_->set(std::min(protocol_.next_wakeup(), next_sample_));
@@ -132,7 +134,7 @@
 
 Shares SharedLimits::current_shares(Time now) const {
   Shares shares;
-  // Tenants beyond the maximum number of limits have an even share of their quota.
+  // Tenants beyond the maximum number of limits get an even share of their quota.
   for (const Quota& quota : quotas_)
     shares.quotas.push_back(protocol_.has_limit(quota.id) ? protocol_.allowance(quota.id).usable(now)
                                                           : quota.total / protocol_.routers());
@@ -145,7 +147,7 @@
   return shares;
 }
 
-// The operators' pages call a granter the home of a seat.
+// The log lines use the operators' words: a shard is a seat, and its granter is the seat's home.
 void SharedLimits::log_elections(Time now) {
   for (std::uint32_t shard = 0; shard < was_granter_.size(); ++shard) {
     const bool is_granter = protocol_.is_granter(shard, now);
--- a/src/fleet/shared_limits.h
+++ b/src/fleet/shared_limits.h
@@ -1,4 +1,4 @@
-// Binding between the lease protocol and the engine.
+// Connects the lease protocol to the engine.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace streampick::fleet {
 
-/// Runs the lease protocol on the daemon's loop: samples demand, claims leases for it, and passes allowances
-/// on to the decision module when they change. One thread; all hooks are called on it.
+/// Runs the lease protocol on the daemon's event loop: samples demand, claims leases for it, and passes
+/// changed allowances to the decision module. Single-threaded: all hooks are called on the loop's thread.
 class SharedLimits {
  public:
   struct View {
@@ -24,34 +24,35 @@
   };
   struct Hooks {
     std::function<View()> view;
-    std::function<const std::vector<std::uint64_t>&()> asked;  // requests by tenant since the last reset
-    std::function<OriginWork()> origin;
-    std::function<void(Shares)> take;  // allowances for the decision module
-    std::function<void(membership::Address, std::string payload)> tell;
+    // Requests by tenant since the last reset.
+    std::function<const std::vector<std::uint64_t>&()> request_counts;
+    std::function<OriginWork()> origin_work;
+    std::function<void(Shares)> apply_allowances;  // in the decision module
+    std::function<void(membership::Address, std::string payload)> send;
     std::function<void(std::string_view)> log;
   };
-  /// `self`: a random number of this process, not 0.
+  /// `self`: random number that identifies this process, not 0.
   SharedLimits(engine::TimeSource& time, const ShareOptions& options, const std::vector<std::string>& names,
                const std::vector<Tenant>& tenants, leases::Incarnation self, std::uint64_t seed, Hooks hooks);
 
-  /// The socket is open: messages get through from now on.
+  /// Call when the socket is open, so that messages can be sent and received.
   void start();
   void on_payload(membership::Address from, const std::string& payload);
-  /// New tenants and quotas; requests are counted from zero again.
+  /// Applies new tenants and quotas. The engine must have reset its request counts.
   void reconfigure(const std::vector<std::string>& names, const std::vector<Tenant>& tenants);
   /// Returns all leases. `process_ends`: the guaranteed minima belong to this process's successor.
   void leave(bool process_ends);
 
-  /// Answer to the operators' command SHARES: one line of JSON, without its end.
+  /// Answer to the operators' command SHARES: one line of JSON without a line end.
   std::string status() const;
-  /// For the log line of every ten seconds.
+  /// Text for the statistics line, which is logged every ten seconds.
   std::string summary() const;
   std::uint64_t unreadable_payloads() const { return unreadable_payloads_; }
 
  private:
   struct Quota {
     leases::LimitId id = 0;
-    double total = 0;  // requests a second; 0: the tenant has none
+    double total = 0;  // requests per second; 0: the tenant has no quota
   };
 
   void set_quotas(const std::vector<std::string>& names, const std::vector<Tenant>& tenants);
@@ -72,7 +73,7 @@
   std::size_t samples_until_view_ = 0;
   leases::Time next_sample_ = 0;
   bool has_started_ = false;
-  bool has_reported_ = false;  // last_reported_ is what the decision module has
+  bool has_reported_ = false;  // whether last_reported_ was passed to the decision module
   Shares last_reported_;
   std::vector<bool> was_granter_;  // by shard
   std::uint64_t unreadable_payloads_ = 0;
--- a/src/fleet/shared_limits_status.cpp
+++ b/src/fleet/shared_limits_status.cpp
@@ -1,4 +1,5 @@
-// What operators see of the lease protocol. Keys and words are those of docs/operators/shares.md.
+// The state of the lease protocol in answers to operators' commands. docs/operators/shares.md defines the
+// keys and words.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -68,7 +69,7 @@
   json["seats"] = shards_json(protocol_, now);
   json["limits"] = ordered_json::array();
   for (const leases::Limit& limit : protocol_.settings().limits)
-    json["limits"].push_back(limit_json(protocol_, limit, now, hooks_.origin));
+    json["limits"].push_back(limit_json(protocol_, limit, now, hooks_.origin_work));
   json["figures"] = counters_json(protocol_.counters(), unreadable_payloads_);
   return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
--- a/tests/fleet/limits_digest_test.cpp
+++ b/tests/fleet/limits_digest_test.cpp
@@ -97,12 +97,12 @@
     hooks.view = [router] {
       return fleet::SharedLimits::View{{membership::numbered(router == 0 ? 1U : 0U)}, 2};
     };
-    hooks.asked = [this, router]() -> const std::vector<std::uint64_t>& { return asked_[router]; };
-    hooks.origin = [this, router] { return origin_[router]; };
-    hooks.take = [this, router](const Shares& shares) {
+    hooks.request_counts = [this, router]() -> const std::vector<std::uint64_t>& { return asked_[router]; };
+    hooks.origin_work = [this, router] { return origin_[router]; };
+    hooks.apply_allowances = [this, router](const Shares& shares) {
       transcript_.add(std::to_string(router) + " " + text_of(shares));
     };
-    hooks.tell = [this, router](membership::Address to, const std::string& payload) {
+    hooks.send = [this, router](membership::Address to, const std::string& payload) {
       transcript_.add(std::to_string(router) + " to " + std::to_string(to) + " " + hex(payload));
       sent_.emplace_back(router, payload);
     };
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -33,13 +33,13 @@
   SharedLimits::Hooks hooks() {
     SharedLimits::Hooks hooks;
     hooks.view = [this] { return SharedLimits::View{{}, routers}; };
-    hooks.asked = [this]() -> const auto& { return asked; };
-    hooks.origin = [this] { return origin; };
-    hooks.take = [this](Shares own) {
+    hooks.request_counts = [this]() -> const auto& { return asked; };
+    hooks.origin_work = [this] { return origin; };
+    hooks.apply_allowances = [this](Shares own) {
       told = std::move(own);
       ++changes;
     };
-    hooks.tell = [this](membership::Address, const std::string&) { ++said; };
+    hooks.send = [this](membership::Address, const std::string&) { ++said; };
     hooks.log = [](std::string_view) {};
     return hooks;
   }
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -57,7 +57,8 @@
   RouterCount count(300, kSecond);
   ViewSummary alone;
   EXPECT_EQ(count.see(kSecond, alone), 300U);
-  EXPECT_EQ(count.see(60 * kSecond, alone), 300U);  // it never saw another: it may be the one that is cut off
+  EXPECT_EQ(count.see(60 * kSecond, alone),
+            300U);  // it never saw another: it may be the one that is cut off
   ViewSummary two;
   two.alive = two.max_live = 2;
   two.is_settled = true;
@@ -102,11 +103,12 @@
   const std::string good = "[fleet]\nlisten = \"127.0.0.1:7946\"\n";
   EXPECT_EQ(error_of(good), "");
   const std::vector<std::pair<std::string, std::string>> cases = {
-      {"[fleet]\n", "o.toml: fleet.listen: it is missing, and the platform has no peer_listen"},
+      {"[fleet]\n",
+       "o.toml: fleet.listen: this key is required when the platform's configuration has no peer_listen"},
       {"[fleet]\nlisten = \"here:1\"\n",
-       "o.toml:2: fleet.listen: expected ADDRESS:PORT, an IPv4 address in numbers"},
+       "o.toml:2: fleet.listen: expected ADDRESS:PORT with a numeric IPv4 address"},
       {"[fleet]\nlisten = \"0.0.0.0:7946\"\n",
-       "o.toml: fleet.advertise: it is missing, and fleet.listen is every address"},
+       "o.toml: fleet.advertise: this key is required when fleet.listen is a wildcard address"},
       {good + "seeds = [\"x\"]\n", "o.toml:3: fleet.seeds: expected ADDRESS:PORT, not 'x'"},
       {good + "period_ms = 10\n", "o.toml:3: fleet.period_ms: expected a whole number from 50 to 60000"},
       {good + "answer_ms = 500\n", "o.toml:3: fleet.answer_ms: expected at most a third of period_ms"},
@@ -117,25 +119,27 @@
        "o.toml:3: fleet.unreachable_s: expected a whole number from 10 to 86400"},
       {good + "bytes_per_s = 1\n",
        "o.toml:3: fleet.bytes_per_s: expected a whole number from 4096 to 100000000"},
-      {good + "roster_file = \"/nowhere\"\n", "o.toml: fleet.roster_file: '/nowhere' can't be read"},
+      {good + "roster_file = \"/nowhere\"\n", "o.toml: fleet.roster_file: '/nowhere' cannot be read"},
       {good + "gossip = true\n", "o.toml:3: fleet.gossip: there is no such key"},
   };
   for (const auto& [toml, error] : cases) EXPECT_EQ(error_of(toml), error) << toml;
-  EXPECT_EQ(error_of(good, false),
-            "o.toml: fleet: the platform's settings forbid talk between routers (PolicyLimits.PeerMessages)");
+  EXPECT_EQ(
+      error_of(good, false),
+      "o.toml: fleet: the platform's settings forbid messages between routers (PolicyLimits.PeerMessages)");
   const nlohmann::json peers = {{"peer_listen", "127.0.0.1:1"}, {"peers", {"127.0.0.1:2", "127.0.0.1:3"}}};
   EXPECT_EQ(error_of("[fleet]\n", true, peers), "");
   nlohmann::json wrong = peers;
   wrong["settings"]["Me"] = 2;
   EXPECT_EQ(error_of("[fleet]\n", true, wrong),
-            "o.toml: fleet: the platform's peers are 2, and this router's number is 2");
+            "o.toml: fleet: the platform's configuration has 2 peers, but this router's number is 2");
   wrong = peers;
   wrong["peers"][1] = "x";
   EXPECT_EQ(error_of("[fleet]\n", true, wrong),
             "o.toml: fleet: the platform's configuration: peers[1]: there is \"x\", expected an address and "
-            "a port, as 10.0.0.4:7946");
+            "a port, such as 10.0.0.4:7946");
   EXPECT_EQ(error_of(good, true, {{"name", "a b"}}),
-            "o.toml: fleet: the platform's name of this router must be 1 to 32 letters, digits or signs");
+            "o.toml: fleet: this router's name in the platform's settings must be 1 to 32 letters, digits or "
+            "signs");
 }
 
 TEST(ShareOptions, AMistakeIsToldInOneLineWithFileLineAndKey) {
@@ -143,18 +147,18 @@
                     good = fleet + "[shares]\nvoters = [\"127.0.0.1:7946\"]\n";
   EXPECT_EQ(error_of(good), "");
   const std::vector<std::pair<std::string, std::string>> cases = {
-      {"[shares]\n", "o.toml: shares: it needs the table [fleet]"},
-      {fleet + "[shares]\n", "o.toml: shares.voters: it is missing"},
+      {"[shares]\n", "o.toml: shares: this section requires the section [fleet]"},
+      {fleet + "[shares]\n", "o.toml: shares.voters: this key is required"},
       {fleet + "[shares]\nvoters = [\"x\"]\n",
-       "o.toml: shares.voters: expected ADDRESS:PORT, as the others reach it, not 'x'"},
+       "o.toml: shares.voters: expected ADDRESS:PORT at which the other routers reach the voter, not 'x'"},
       {fleet + "[shares]\nvoters = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\n",
-       "o.toml: shares.voters: one is named twice"},
+       "o.toml: shares.voters: two voters are equal"},
       {good + "origin_places = -1\n",
        "o.toml:5: shares.origin_places: expected a whole number from 0 to 10000000"},
       {good + "seats = 17\n", "o.toml:5: shares.seats: expected a whole number from 1 to 16"},
-      {good + "term_ms = 1500\n", "o.toml:5: shares.term_ms: expected two periods at least"},
+      {good + "term_ms = 1500\n", "o.toml:5: shares.term_ms: expected at least two periods"},
       {good + "lease_ms = 5000\n",
-       "o.toml:5: shares.lease_ms: expected two periods at least, and at most term_ms"},
+       "o.toml:5: shares.lease_ms: expected at least two periods and at most term_ms"},
       {good + "work_ms = 1\n",
        "o.toml: shares.work_ms: expected at least the longest HardLimitUs of the platform's classes, "},
       {good + "drift = 0.9\n", "o.toml:5: shares.drift: expected a number from 0 to 0.5"},
@@ -164,7 +168,7 @@
   const nlohmann::json peers = {{"peer_listen", "127.0.0.1:1"}, {"peers", {"127.0.0.1:2", "127.0.0.1:3"}}};
   EXPECT_EQ(error_of("[fleet]\n[shares]\n", true, peers), "");
   EXPECT_EQ(error_of("[fleet]\n[shares]\nvoters = [\"2\"]\n", true, peers),
-            "o.toml: shares.voters: expected numbers of the platform's peers, 0 to 1, not '2'");
+            "o.toml: shares.voters: expected an index of the platform's peers, 0 to 1, not '2'");
 }
 
 // At SIGHUP as at the start: what may be out for longer than homes reckon with is turned down.
