--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -117,7 +117,7 @@
   for (const leases::Limit& limit : options.core.limits)
     if (!ids.insert(limit.id).second)
       throw ConfigurationError(file, "shares",
-                               "two limits have the same hash; rename the tenant of \"" + limit.name + "\"");
+                               "two limits have the same hash; rename the tenant of " + limit.name);
 }
 
 void check_work(const ShareOptions& options, const platform::NodeSettings& settings,
--- a/tests/fleet/limits_digest_test.cpp
+++ b/tests/fleet/limits_digest_test.cpp
@@ -1,6 +1,5 @@
-// Holds the observable behaviour of the binding between the lease protocol and the engine still: the payloads
-// it sends, what the decision module gets, log lines, and the answers to the operators' commands, as a digest
-// that was recorded before the binding was split.
+// Regression test of the observable behaviour of SharedLimits: the payloads it sends, the allowances that the
+// decision module gets, log lines, and the answers to operators' commands must give the recorded digest.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -56,17 +55,17 @@
   return out;
 }
 
-// Two routers that vote and hold leases, on one hand-driven clock; a third voter does not exist.
-class Pair {
+// Two routers that vote and hold leases, on one manual clock. The third configured voter does not run.
+class RouterPair {
  public:
-  explicit Pair(std::uint64_t seed) : random_(seed) {
+  explicit RouterPair(std::uint64_t seed) : random_(seed) {
     for (const std::size_t router : {0U, 1U}) limits_[router] = make(router);
   }
 
   const Transcript& run() {
     for (auto& limits : limits_) limits->start();
     for (int step = 0; step < kSteps; ++step) {
-      draw_load();
+      add_random_load();
       time_.advance(kSecond / 10);
       deliver();
       if (step % 50 == 49) report();
@@ -97,8 +96,10 @@
     hooks.view = [router] {
       return fleet::SharedLimits::View{{membership::numbered(router == 0 ? 1U : 0U)}, 2};
     };
-    hooks.request_counts = [this, router]() -> const std::vector<std::uint64_t>& { return asked_[router]; };
-    hooks.origin_work = [this, router] { return origin_[router]; };
+    hooks.request_counts = [this, router]() -> const std::vector<std::uint64_t>& {
+      return request_counts_[router];
+    };
+    hooks.origin_work = [this, router] { return origin_work_[router]; };
     hooks.apply_allowances = [this, router](const Shares& shares) {
       transcript_.add(std::to_string(router) + " " + text_of(shares));
     };
@@ -112,11 +113,11 @@
     return std::make_unique<fleet::SharedLimits>(time_, options, names_, tenants_, 7 + router, 90 + router,
                                                  std::move(hooks));
   }
-  void draw_load() {
+  void add_random_load() {
     for (const std::size_t router : {0U, 1U}) {
-      for (std::uint64_t& asked : asked_[router]) asked += random_() % 9;
-      origin_[router].in_flight = static_cast<int>(random_() % 5);
-      origin_[router].queued = random_() % 12;
+      for (std::uint64_t& request_count : request_counts_[router]) request_count += random_() % 9;
+      origin_work_[router].in_flight = static_cast<int>(random_() % 5);
+      origin_work_[router].queued = random_() % 12;
     }
   }
   void deliver() {
@@ -126,7 +127,7 @@
   }
   void reconfigure() {
     for (const std::size_t router : {0U, 1U}) {
-      asked_[router] = {0, 0};
+      request_counts_[router] = {0, 0};
       limits_[router]->reconfigure({"b", "d"}, {{70}, {30}});
     }
   }
@@ -142,15 +143,15 @@
   Transcript transcript_;
   std::vector<std::string> names_ = {"a", "b", "c"};
   std::vector<Tenant> tenants_ = {{100}, {40}, {0}};
-  std::array<std::vector<std::uint64_t>, 2> asked_ = {std::vector<std::uint64_t>(3),
-                                                      std::vector<std::uint64_t>(3)};
-  std::array<OriginWork, 2> origin_{};
+  std::array<std::vector<std::uint64_t>, 2> request_counts_ = {std::vector<std::uint64_t>(3),
+                                                               std::vector<std::uint64_t>(3)};
+  std::array<OriginWork, 2> origin_work_{};
   std::vector<std::pair<std::size_t, std::string>> sent_;
   std::array<std::unique_ptr<fleet::SharedLimits>, 2> limits_;
 };
 
-TEST(FleetLimitsDigest, TwoRouters_SendAndReportWhatWasRecorded) {
-  Pair routers(5);
+TEST(FleetLimitsDigest, TwoRouters_GiveRecordedDigest) {
+  RouterPair routers(5);
   const Transcript& transcript = routers.run();
   EXPECT_EQ(transcript.hash(), kRecorded) << transcript.text();
 }
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -1,5 +1,6 @@
-// The parts round the view: the count that totals are divided by, the budget, the section of the options
-// file, scripts, the relay's faults, the socket.
+// Unit tests around the membership view: the number of routers that totals are divided by, the send budget,
+// the sections of the options file, test scripts, the relay's faults, the gossip socket, and the daemon's use
+// of them.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -24,9 +25,9 @@
 using Datagram = membership::Message;
 using fleet::RouterCount;
 
-// At every instant it is no less than the most of the last `hold`, and no more than the most there ever was
-// in it or in the time before it was watched for so long.
-TEST(FleetRouterCount, IsTheMostOfTheLastHold) {
+// The count is never below the maximum of the last `hold`. Once a full `hold` has been observed, the count
+// equals that maximum.
+TEST(FleetRouterCount, RandomViews_GiveMaximumOfHoldWindow) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
     const Time hold = 10 * kSecond;
@@ -53,29 +54,29 @@
   });
 }
 
-TEST(FleetRouterCount, OneThatHasJustStartedDividesByTheSettingsCount) {
+TEST(FleetRouterCount, BeforeViewSettles_SettingsCountIsLowerBound) {
   RouterCount count(300, kSecond);
   ViewSummary alone;
   EXPECT_EQ(count.see(kSecond, alone), 300U);
   EXPECT_EQ(count.see(60 * kSecond, alone),
-            300U);  // it never saw another: it may be the one that is cut off
+            300U);  // it has seen no other router, so it may be cut off itself
   ViewSummary two;
   two.alive = two.max_live = 2;
   two.is_settled = true;
   EXPECT_EQ(count.see(61 * kSecond, two), 300U);
   EXPECT_EQ(count.see(63 * kSecond, two), 2U);
   two.max_live = 5;
-  EXPECT_EQ(count.see(63 * kSecond + 1, two), 5U);  // more: at once
+  EXPECT_EQ(count.see(63 * kSecond + 1, two), 5U);  // an increase takes effect at once
 }
 
-TEST(FleetBudget, NeverMoreThanASecondsWorthAheadAndAnswersLast) {
+TEST(FleetBudget, ExhaustedBudget_AllowsOneSecondOfBurstAndPrefersAcks) {
   const BudgetLimits limits{100, 10'000};
   SendBudget budget(limits);
   std::map<MessageKind, int> sent;
   Time now = kSecond;
   double datagrams = 0, bytes = 0;
   for (int i = 0; i < 20'000; ++i) {
-    now += 500;  // 10 s in all
+    now += 500;  // us; 10 s in total
     const auto kind = static_cast<MessageKind>(i % kMessageKinds);
     if (!budget.try_take(now, kind, 150)) continue;
     ++sent[kind];
@@ -99,7 +100,7 @@
   return options_error(toml, config);
 }
 
-TEST(FleetOptions, AMistakeIsToldInOneLineWithFileLineAndKey) {
+TEST(FleetOptions, InvalidOptions_GiveOneLineErrorWithFileLineAndKey) {
   const std::string good = "[fleet]\nlisten = \"127.0.0.1:7946\"\n";
   EXPECT_EQ(error_of(good), "");
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -142,7 +143,7 @@
             "signs");
 }
 
-TEST(ShareOptions, AMistakeIsToldInOneLineWithFileLineAndKey) {
+TEST(ShareOptions, InvalidOptions_GiveOneLineErrorWithFileLineAndKey) {
   const std::string fleet = "[fleet]\nlisten = \"127.0.0.1:7946\"\n",
                     good = fleet + "[shares]\nvoters = [\"127.0.0.1:7946\"]\n";
   EXPECT_EQ(error_of(good), "");
@@ -171,8 +172,9 @@
             "o.toml: shares.voters: expected an index of the platform's peers, 0 to 1, not '2'");
 }
 
-// At SIGHUP as at the start: what may be out for longer than homes reckon with is turned down.
-TEST(ShareOptions, AClassThatLastsLongerThanWorkIsTurnedDown) {
+// Granters wait for max_work_duration before they lease capacity again, so a request class must not have a
+// longer deadline. This is checked at start and at SIGHUP.
+TEST(ShareOptions, ClassDeadlineAboveMaxWorkDuration_IsRejected) {
   platform::NodeSettings settings =
       platform::parse_settings(config_json("127.0.0.1:9", list_json(1, true, {})).dump());
   fleet::ShareOptions options;
@@ -186,13 +188,14 @@
   EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
 }
 
-// Parts of a total by their names, equal at all routers, whatever their order in the settings.
-TEST(ShareOptions, ALimitIsKnownByItsName) {
+// Routers identify a limit by the hash of its name, so the order of tenants in their settings does not
+// matter.
+TEST(ShareOptions, TenantsInOtherOrder_HaveSameLimitIds) {
   fleet::ShareOptions options;
   options.origin_places = 8;
   const auto one = fleet::limits_of(options, {"a", "b", "c"}, {{10}, {0}, {30}});
   const auto other = fleet::limits_of(options, {"c", "a"}, {{30}, {10}});
-  ASSERT_EQ(one.size(), 3U);  // without a quota there is nothing to divide
+  ASSERT_EQ(one.size(), 3U);  // a tenant without a quota has no limit
   ASSERT_EQ(other.size(), 3U);
   EXPECT_EQ(one[0].id, other[0].id);
   EXPECT_EQ(one[1].id, other[2].id);
@@ -200,12 +203,12 @@
   EXPECT_EQ(one[2].total, 30);
 }
 
-TEST(FleetOptions, ARosterFileIsAnAddressALine) {
+TEST(FleetOptions, RosterFile_HasOneAddressPerLine) {
   EXPECT_EQ(fleet::parse_roster("# peers\n10.0.0.1:7946\n\n  10.0.0.2:1 # two\r\n").size(), 2U);
   EXPECT_THROW(fleet::parse_roster("10.0.0.1:7946\nhost:1\n"), std::runtime_error);
 }
 
-TEST(FleetScript, AMistakeIsToldInOneLineWithFileLineAndKey) {
+TEST(FleetScript, InvalidScript_GivesOneLineErrorWithFileLineAndKey) {
   const std::string good = "routers = 4\n[[step]]\nwhat = \"settled\"\n";
   EXPECT_EQ(testbed::read_script(good, "s.toml").steps.size(), 1U);
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -234,7 +237,7 @@
   }
 }
 
-TEST(FleetRelay, FaultsAreTheLinksOwnAndDrawnTheSameEachTime) {
+TEST(FleetRelay, FaultsOnLinks_ApplyPerLinkAndRepeatForEqualSeed) {
   const auto play = [] {
     testbed::Faults faults(3, 5);
     faults.link(0, 1).loss = 0.3;
@@ -265,7 +268,7 @@
 
 class FleetStream : public Loopback {};
 
-TEST_F(FleetStream, ACutIsSilentAndItsConnectionsAreResetWhenTheLinkIsBack) {
+TEST_F(FleetStream, CutLink_IsSilentAndResetsConnectionsWhenRestored) {
   FakeServer server(io, [](const std::string&) { return response(200, "x"); });
   testbed::Faults faults(2, 1);
   testbed::StreamRelay relay(io, faults, 0, 1, server.endpoint());
@@ -280,7 +283,7 @@
   const auto before = connect();
   before->write(ask);
   ASSERT_TRUE(wait_for([&] { return !before->got.empty(); }));
-  // One way is enough for silence on both.
+  // The relay stops both directions when either one is cut.
   faults.link(1, 0).cut = true;
   relay.links_changed();
   before->got.clear();
@@ -301,12 +304,12 @@
   after->write(ask);
   ASSERT_TRUE(wait_for([&] { return !after->got.empty(); }));
   after->close();
-  ASSERT_TRUE(wait_for([&] { return server.peers.back()->ended; }));  // half an end goes on as one
+  ASSERT_TRUE(wait_for([&] { return server.peers.back()->ended; }));  // the relay forwards the half-close
   server.peers.back()->close();
   ASSERT_TRUE(wait_for([&] { return relay.open() == 0; }));
 }
 
-TEST(FleetViews, PartsAreSummedAndASumThatIsOverIsMarked) {
+TEST(FleetViews, SumAboveTotal_IsMarkedAsOver) {
   const auto told = [](double usable, bool home) {
     nlohmann::json limit = {{"name", "origin places"}, {"kind", "hard"}, {"total", 10},
                             {"usable", usable},        {"wanted", 3},    {"out", 1}};
@@ -325,7 +328,7 @@
   EXPECT_THROW(testbed::read_parts("{}"), std::runtime_error);
 }
 
-TEST(FleetViews, DifferencesAreToldByName) {
+TEST(FleetViews, DifferentViews_AreReportedByName) {
   testbed::View one, other;
   one.name = "n0", one.boot = "a", one.digest = "1", one.states = {{"b", "alive"}}, one.names = {{"b", "n1"}};
   other.name = "n1", other.boot = "b", other.digest = "1", other.states = {{"a", "alive"}},
@@ -340,7 +343,7 @@
             std::vector<std::string>{"n0 holds n1 for alive, which does not run"});
 }
 
-// ---- The socket
+// ---- Gossip socket
 
 class WithDatagrams : public Loopback {
  protected:
@@ -352,7 +355,7 @@
 
 class FleetSocket : public WithDatagrams {
  protected:
-  static SocketSettings at_port(unsigned short port) {
+  static SocketSettings settings_for_port(unsigned short port) {
     SocketSettings out;
     out.listen = {asio::ip::make_address("127.0.0.1"), port};
     out.contacts_only = false;
@@ -373,11 +376,11 @@
   GossipSocket::OnChange report = [this](const Change& change) { changes.push_back(change); };
 };
 
-TEST_F(FleetSocket, TwoFindEachOtherAndOneThatLeavesIsHeardOfAtOnce) {
+TEST_F(FleetSocket, LeavingProcess_IsReportedWithoutDetectionDelay) {
   const auto one = free_udp_port(), other = free_udp_port();
-  GossipSocket a(io, clock, core("a", one, {}), at_port(one), 1, report);
-  auto b = std::make_unique<GossipSocket>(io, clock, core("b", other, {at(0x7f000001, one)}), at_port(other),
-                                          2, report);
+  GossipSocket a(io, clock, core("a", one, {}), settings_for_port(one), 1, report);
+  auto b = std::make_unique<GossipSocket>(io, clock, core("b", other, {at(0x7f000001, one)}),
+                                          settings_for_port(other), 2, report);
   ASSERT_TRUE(wait_for([&] {
     return a.protocol().summary(clock.now()).alive == 2 && b->protocol().summary(clock.now()).alive == 2;
   }));
@@ -390,9 +393,9 @@
   EXPECT_FALSE(b->is_open());
 }
 
-TEST_F(FleetSocket, BadBytesAreCountedByKindAndStrangersAreNotRead) {
+TEST_F(FleetSocket, InvalidDatagrams_AreCountedByErrorAndNonPeersAreIgnored) {
   const auto port = free_udp_port(), peer = free_udp_port();
-  SocketSettings settings = at_port(port);
+  SocketSettings settings = settings_for_port(port);
   settings.contacts_only = true;
   GossipSocket shell(io, clock, core("a", port, {at(0x7f000001, peer)}), settings, 1, report);
   udp::socket friendly(io, {asio::ip::make_address("127.0.0.1"), peer});
@@ -414,7 +417,7 @@
   EXPECT_EQ(unreadable[static_cast<std::size_t>(DecodeError::version)], 1U);
   EXPECT_EQ(unreadable[static_cast<std::size_t>(DecodeError::checksum)], 1U);
   EXPECT_EQ(shell.protocol().table().members().size(), 0U);
-  // One that says that it is elsewhere.
+  // A sender whose record has an address other than its source address.
   message.sender.address = at(0x7f000001, 1);
   friendly.send_to(asio::buffer(encode(message, "")), to);
   ASSERT_TRUE(wait_for([&] { return shell.protocol().counters().address_mismatches == 1; }));
@@ -422,24 +425,25 @@
   ASSERT_TRUE(wait_for([&] { return shell.protocol().table().members().size() == 1; }));
 }
 
-TEST_F(FleetSocket, AnAddressThatIsStillInUseIsTakenWhenItIsFree) {
+TEST_F(FleetSocket, AddressInUse_IsBoundOnceFree) {
   const auto port = free_udp_port();
-  auto before = std::make_unique<GossipSocket>(io, clock, core("a", port, {}), at_port(port), 1, report);
-  GossipSocket next(io, clock, core("a", port, {}), at_port(port), 2, report);
+  auto before =
+      std::make_unique<GossipSocket>(io, clock, core("a", port, {}), settings_for_port(port), 1, report);
+  GossipSocket next(io, clock, core("a", port, {}), settings_for_port(port), 2, report);
   EXPECT_FALSE(next.is_open());
   EXPECT_FALSE(next.open_error().empty());
   before->leave();
   ASSERT_TRUE(wait_for([&] { return next.is_open(); }));
   EXPECT_TRUE(next.open_error().empty());
-  // That it waited for the address was no sleep.
+  // The wait for the address must not count as a suspension of the process.
   ASSERT_TRUE(wait_for([&] { return next.protocol().next_wakeup() > clock.now(); }));
   for (const Change& change : changes) EXPECT_NE(change.kind, Change::Kind::suspended);
   EXPECT_EQ(next.protocol().local_health(), 0);
 }
 
-TEST_F(FleetSocket, AFloodIsAnsweredWithinTheBudget) {
+TEST_F(FleetSocket, FloodOfPings_IsAnsweredWithinBudget) {
   const auto port = free_udp_port(), peer = free_udp_port();
-  SocketSettings settings = at_port(port);
+  SocketSettings settings = settings_for_port(port);
   settings.budget = {50, 20'000};
   GossipSocket shell(io, clock, core("a", port, {}), settings, 1, report);
   udp::socket flood(io, {asio::ip::make_address("127.0.0.1"), peer});
@@ -451,9 +455,9 @@
     message.body = Ping{.sequence = static_cast<std::uint32_t>(++asked)};
     flood.send_to(asio::buffer(encode(message, "")), {asio::ip::make_address("127.0.0.1"), port});
     if (asked % 20 == 0) (void)wait_for([] { return true; });
-    // One handler for each reading of the clock, as in the daemon's loop: poll() runs handlers on one reading
-    // for as long as any is ready, and a timer that is due in real time but not on that reading re-arms for
-    // ever.
+    // Run one handler per reading of the clock, as the daemon's loop does. poll() would run all ready
+    // handlers with one reading; a timer that is due in real time but not by that reading would then re-arm
+    // itself without end.
     clock.next_batch();
     io.restart();
     io.poll_one();
@@ -466,7 +470,7 @@
   EXPECT_LE(static_cast<double>(sent), 50 * (1 + seconds) + 1);
 }
 
-// ---- In the daemon
+// ---- Fleet in the daemon
 
 class FleetHost : public WithDatagrams {
  protected:
@@ -491,10 +495,10 @@
   }
   bool reload() { return host->reload(platform::parse_settings(config.dump())); }
   nlohmann::json config;
-  int writes = 0;
+  int write_count = 0;
 };
 
-TEST_F(FleetHost, TheSettingsCountHoldsUntilAViewHasSettledAlsoThroughAReload) {
+TEST_F(FleetHost, ReloadBeforeViewSettles_KeepsSettingsCountAsLowerBound) {
   begin();
   EXPECT_EQ(view()["routers"], 12);
   EXPECT_EQ(view()["most"], 1);
@@ -503,12 +507,12 @@
   EXPECT_EQ(view()["routers"], 20);
   config["settings"]["Balancers"] = 5;
   ASSERT_TRUE(reload());
-  EXPECT_EQ(view()["routers"], 20);  // fewer are not believed before others were seen
+  EXPECT_EQ(view()["routers"], 20);  // a lower count is not applied before the view has settled
   const auto brief = nlohmann::json::parse(host->operators().dump().fleet);
   EXPECT_EQ(brief["routers"], 20);
 }
 
-TEST_F(FleetHost, SettingsThatForbidTalkEndItAndTheirCountHolds) {
+TEST_F(FleetHost, SettingsForbidPeerMessages_SocketClosesAndSettingsCountApplies) {
   begin();
   EXPECT_TRUE(view()["open"]);
   config["settings"]["PolicyLimits"]["PeerMessages"] = false;
@@ -518,10 +522,10 @@
   EXPECT_EQ(view()["routers"], 7);
   config["settings"]["PolicyLimits"]["PeerMessages"] = true;
   ASSERT_TRUE(reload());
-  EXPECT_FALSE(view()["open"]);  // at the next start
+  EXPECT_FALSE(view()["open"]);  // it opens again only at the next start of the process
 }
 
-TEST_F(FleetHost, OneThatDrainsSaysSoAndLeavesWhenAllIsAnswered) {
+TEST_F(FleetHost, DrainingRouter_IsAnnouncedAndLeavesAfterLastResponse) {
   const auto port = free_udp_port();
   begin("seeds = [\"127.0.0.1:" + std::to_string(port) + "\"]\n");
   membership::Settings core;
@@ -533,36 +537,36 @@
   shell.listen = {asio::ip::make_address("127.0.0.1"), port};
   shell.contacts_only = false;
   GossipSocket other(io, clock, core, shell, 1, [](const Change&) {});
-  const auto known = [&]() -> const Record* {
+  const auto other_record = [&]() -> const Record* {
     const auto& all = other.protocol().table().members();
     return all.empty() ? nullptr : &all.begin()->second.record;
   };
-  ASSERT_TRUE(wait_for([&] { return known() != nullptr && known()->state == State::alive; }));
+  ASSERT_TRUE(wait_for([&] { return other_record() != nullptr && other_record()->state == State::alive; }));
   const auto one = client();
   one->ask(request_text("GET", "/read/1", "read"));
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   bool done = false;
   host->drain([&] { done = true; });
-  ASSERT_TRUE(wait_for([&] { return fact(*known(), kDraining) == 1; }));
-  EXPECT_EQ(known()->state, State::alive);
+  ASSERT_TRUE(wait_for([&] { return fact(*other_record(), kDraining) == 1; }));
+  EXPECT_EQ(other_record()->state, State::alive);
   cache.peers[0]->write(response(200, "x"));
-  ASSERT_TRUE(wait_for([&] { return done && known()->state == State::left; }));
+  ASSERT_TRUE(wait_for([&] { return done && other_record()->state == State::left; }));
   EXPECT_EQ(one->status(), 200);
 }
 
-TEST_F(FleetHost, ARosterFileThatChangesNamesOtherPeersAlsoWhenItWasEmpty) {
+TEST_F(FleetHost, ChangedRosterFile_IsReloadedEvenIfItWasEmpty) {
   const auto file =
       std::filesystem::path(::testing::TempDir()) / ("streampick_roster_" + std::to_string(::getpid()));
   std::ofstream(file).close();
   udp::socket peer(io, {asio::ip::make_address("127.0.0.1"), 0});
   peer.non_blocking(true);
   begin("roster_file = \"" + file.string() + "\"\n");
-  // In place at once, as an operator's tools do it, with a time that differs.
+  // Replaces the file atomically, as operators' tools do, and gives it a new modification time.
   const auto write = [&](const std::string& text) {
     std::ofstream(file.string() + ".new") << text;
     std::filesystem::rename(file.string() + ".new", file);
-    std::filesystem::last_write_time(file,
-                                     std::filesystem::last_write_time(file) + std::chrono::seconds(++writes));
+    std::filesystem::last_write_time(
+        file, std::filesystem::last_write_time(file) + std::chrono::seconds(++write_count));
   };
   const auto heard = [&] {
     std::array<char, 1'500> buffer{};
@@ -570,7 +574,7 @@
     net::error_code error;
     return peer.receive_from(asio::buffer(buffer), from, 0, error) > 0 && !error;
   };
-  write("nowhere\n");  // the old addresses stay, and it goes on
+  write("nowhere\n");  // invalid: the router keeps the previous addresses
   write("127.0.0.1:" + std::to_string(peer.local_endpoint().port()) + "  # a peer\n");
   EXPECT_TRUE(wait_for(heard));
   std::filesystem::remove(file);
