--- a/bench/shares/shares.cpp
+++ b/bench/shares/shares.cpp
@@ -1,6 +1,8 @@
-// Cost and reaction time of the lease protocol on virtual time: datagrams of one router at rest and while
-// demand moves, the time of a move and of the recovery after a granter's death beside their bounds; and the
-// cost of a request in the decision module. bench_shares [ROUTERS:BYTES ...]
+// Measures the lease protocol on virtual time: datagrams per router while demand is constant and while it
+// moves, the time for moved demand to be leased and the recovery time after a granter is killed, with their
+// bounds. Also measures the CPU time of a request in the decision module.
+//
+// Usage: bench_shares [ROUTERS:BYTES ...]
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -18,7 +20,7 @@
 using leases::kSecond;
 using leases::LimitKind;
 
-constexpr leases::LimitId kPlaces = 0, kQuota = 5;  // of two seats
+constexpr leases::LimitId kPlaces = 0, kQuota = 5;  // on two shards
 
 double cpu_seconds() {
   timespec time{};
@@ -45,18 +47,19 @@
     net.share(node).set_demand(net.now(node), kQuota, quota, 0);
     net.flush(node);
   }
-  double guests() const { return static_cast<double>(net.traffic().datagrams.back()); }
+  double lease_datagrams() const { return static_cast<double>(net.traffic().datagrams.back()); }
   double usable(std::size_t node, leases::LimitId limit) const {
     return net.share(node).allowance(limit).usable(net.now(node));
   }
-  double until(const std::function<bool()>& done, double most) {
+  // Seconds until `done`; negative if it was not reached within `max_seconds`.
+  double seconds_until(const std::function<bool()>& done, double max_seconds) {
     const auto from = net.now();
     std::size_t events = 0;
     const std::size_t each = net.size() > 50 ? 20 : 1;
-    const bool is = net.run_until([&] { return ++events % each == 0 && done(); },
-                                  static_cast<leases::Time>(most * kSecond));
-    const double took = static_cast<double>(net.now() - from) / kSecond;
-    return is ? took : -took;
+    const bool reached = net.run_until([&] { return ++events % each == 0 && done(); },
+                                       static_cast<leases::Time>(max_seconds * kSecond));
+    const double elapsed = static_cast<double>(net.now() - from) / kSecond;
+    return reached ? elapsed : -elapsed;
   }
   leases::Settings settings;
   emulator::SimulatedNetwork net;
@@ -72,34 +75,35 @@
     return sum >= 0.95 * places;
   };
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 8, 12);
-  const double begun = fleet.until(leased, 120);
+  const double first_leased = fleet.seconds_until(leased, 120);
   fleet.net.run_for(20 * kSecond);
   const double each = static_cast<double>(routers);
-  double guests = fleet.guests(), cpu = cpu_seconds();
+  double lease_datagrams = fleet.lease_datagrams(), cpu = cpu_seconds();
   fleet.net.run_for(10 * kSecond);
-  const double rest = (fleet.guests() - guests) / 10 / each;
+  const double idle_rate = (fleet.lease_datagrams() - lease_datagrams) / 10 / each;
   cpu = 1e6 * (cpu_seconds() - cpu) / 10 / each;
   // All of a tenant's demand moves to one router at once.
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 0, i == 0 ? quota : 0);
-  guests = fleet.guests();
-  const double moved = fleet.until([&] { return fleet.usable(0, kQuota) >= 0.95 * quota; }, 60);
-  const double shift = (fleet.guests() - guests) / std::max(0.1, moved) / each;
+  lease_datagrams = fleet.lease_datagrams();
+  const double moved = fleet.seconds_until([&] { return fleet.usable(0, kQuota) >= 0.95 * quota; }, 60);
+  const double shift_rate = (fleet.lease_datagrams() - lease_datagrams) / std::max(0.1, moved) / each;
   for (std::size_t i = 0; i < routers; ++i) fleet.demand(i, 8, 12);
-  fleet.until(leased, 60);
+  fleet.seconds_until(leased, 60);
   // The granter of the hard limit is killed.
   std::size_t granter = 0;
   while (granter + 1 < routers && !fleet.net.share(granter).is_granter(kPlaces % 4, fleet.net.now(granter)))
     ++granter;
   fleet.net.kill(granter);
-  fleet.until([&] { return !leased(); }, 10);
-  const double back = fleet.until(leased, 120);
+  fleet.seconds_until([&] { return !leased(); }, 10);
+  const double recovered = fleet.seconds_until(leased, 120);
   std::printf("| %zu, %zu | %.1f | %.2f | %.2f | %.0f | %.2f (%.1f) | %.1f (%.1f) |\n", routers, datagram,
-              begun, rest, shift, cpu, moved, leases::demand_shift_bound_seconds(fleet.settings), back,
+              first_leased, idle_rate, shift_rate, cpu, moved,
+              leases::demand_shift_bound_seconds(fleet.settings), recovered,
               leases::recovery_bound_seconds(fleet.settings));
   std::fflush(stdout);
 }
 
-struct Nowhere final : ActionSink {
+struct NullSink final : ActionSink {
   void send(RequestId, ServerId, Time) override {}
   void cancel(RequestId, std::uint32_t) override {}
   void reject(RequestId, Time) override {}
@@ -108,22 +112,22 @@
 };
 
 // CPU time in nanoseconds for a request of a tenant with a quota, from arrival to cancellation.
-double a_request(bool shared) {
+double request_nanoseconds(bool shared) {
   Config config;
   config.routers = 12;
   config.max_attempts = 2;
   config.classes = {{200'000, 1'000'000, 1, Effect::safe, Group::all, 0}};
   config.tenants = {{1e6}};
-  Nowhere sink;
+  NullSink sink;
   Router router(config, 1, 0, sink);
   std::vector<Member> list;
   for (ServerId id = 0; id < 12; ++id)
     list.push_back({.id = id, .identity = (id + 1) * 0x9e3779b97f4a7c15U, .zone = 0, .kind = 0});
   router.on_members(0, Update::full, list);
   if (shared) {
-    Shares own;
-    own.quotas = {1e5};
-    router.on_shares(0, own);
+    Shares shares;
+    shares.quotas = {1e5};
+    router.on_shares(0, shares);
   }
   constexpr int kRequests = 400'000;
   Time now = 0;
@@ -143,19 +147,20 @@
 int main(int argc, char** argv) {
   std::vector<double> shared, alone;
   for (int i = 0; i < 7; ++i) {
-    alone.push_back(a_request(false));
-    shared.push_back(a_request(true));
+    alone.push_back(request_nanoseconds(false));
+    shared.push_back(request_nanoseconds(true));
   }
   std::sort(shared.begin(), shared.end());
   std::sort(alone.begin(), alone.end());
   std::printf(
-      "a request in the module, ns: %.0f with an even allowance, %.0f with its own (median of 7; least %.0f, "
+      "CPU time of a request in the decision module, ns: %.0f with an even share, %.0f with an allowance "
+      "(median of 7; minimum %.0f, "
       "%.0f)\n\n",
       alone[3], shared[3], alone[0], shared[0]);
   std::printf(
-      "| routers, bytes | leased first, s | datagrams/s and router at rest | while demand moves | CPU us/s, "
-      "the view "
-      "included | moved, s (bound) | back after the home's death, s (bound) |\n"
+      "| routers, bytes | first leased, s | datagrams/s per router at rest | while demand moves | CPU us/s, "
+      "including "
+      "membership | moved, s (bound) | recovered after the granter was killed, s (bound) |\n"
       "| --- | --- | --- | --- | --- | --- | --- |\n");
   std::vector<std::string> sizes(argv + 1, argv + argc);
   if (sizes.empty()) sizes = {"12:256", "12:1200", "100:1200", "300:256", "300:1200", "1000:1200"};
--- a/src/shares/candidate_order.h
+++ b/src/shares/candidate_order.h
@@ -1,4 +1,4 @@
-// Order in which living processes stand for election, equal at all that have the same view.
+// The order in which live processes stand for election. It is the same at all processes with the same view.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +9,20 @@
 
 namespace streampick::leases {
 
-/// Rendezvous hashing of the living processes for each shard. Only a hint: safety does not depend on the
-/// view.
+/// Orders the live processes of each shard by rendezvous hashing. The order only reduces the number of
+/// competing candidates; safety does not depend on it, so views may differ.
 class CandidateOrder {
  public:
   explicit CandidateOrder(Address self) : self_(self), living_{self} {}
 
-  /// `peers`: the other living processes.
+  /// `peers`: the other live processes.
   void set_living(std::vector<Address> peers);
   bool is_living(Address address) const;
-  /// Whether `address` stands before this process.
+  /// Whether `address` comes before this process in the order.
   bool precedes_self(std::uint32_t shard, Address address) const;
-  /// Place of this process in the order; 0: first.
+  /// Position of this process in the order, from 0.
   std::size_t rank(std::uint32_t shard) const;
-  /// The process at `rank`, or the last one.
+  /// The process at position `rank`, or the last process if there are fewer.
   Address at(std::uint32_t shard, std::size_t rank) const;
 
  private:
--- a/src/shares/clock_drift.h
+++ b/src/shares/clock_drift.h
@@ -1,4 +1,4 @@
-// Durations by clocks that differ in speed.
+// Converts durations between clocks that run at different speeds.
 #pragma once
 
 #include <cmath>
@@ -7,11 +7,11 @@
 
 namespace streampick::leases {
 
-/// A duration that has certainly not passed by another clock before `time` has passed there.
+/// Longest duration by this clock that ends no later than `time` does by any other clock.
 inline Time shrink_for_drift(Time time, double max_clock_drift) {
   return static_cast<Time>(static_cast<double>(time) / (1 + max_clock_drift));
 }
-/// A duration after which `time` has certainly passed by another clock.
+/// Shortest duration by this clock after which `time` has passed by every other clock.
 inline Time stretch_for_drift(Time time, double max_clock_drift) {
   return static_cast<Time>(std::ceil(static_cast<double>(time) * (1 + max_clock_drift)));
 }
--- a/src/shares/election.cpp
+++ b/src/shares/election.cpp
@@ -33,7 +33,8 @@
   if (!is_running() || !answers_request || has_expired(now)) return false;
   const std::vector<Address>& voters = settings.voters;
   if (std::find(voters.begin(), voters.end(), voter) == voters.end()) return false;
-  // The voter counts from when the request arrived, which is no sooner than when it was sent.
+  // The voter measures the vote's duration from the request's arrival. Measured from when the request was
+  // sent, the vote ends here no later than at the voter.
   Time& vote_end = vote_ends_[voter];
   const Time promised = std::min(duration, settings.term);
   vote_end = std::max(vote_end, rules.expiry(request.sent, promised, settings.max_clock_drift));
--- a/src/shares/election.h
+++ b/src/shares/election.h
@@ -1,4 +1,4 @@
-// Proposer of PaxosLease for one shard. No I/O, no clock.
+// The proposer role of PaxosLease for one shard. No I/O, no clock.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 namespace streampick::leases {
 
-/// One candidacy of this process: its epoch, the votes it has, and until when they are a majority.
+/// One candidacy of this process: its epoch, the votes received, and until when these votes form a majority.
 ///
 /// Invariant: is_granter() holds only while a majority of voters promises no other epoch, so in true time at
 /// most one process is a shard's granter. Tests: LeaseModel, LeaseModelMutation `quorum` and `clock_margin`.
@@ -21,15 +21,15 @@
   Time term_end() const { return term_end_; }
   bool is_elected() const { return term_end_ != 0; }
   bool is_granter(Time now) const { return now < term_end_; }
-  /// From when leases may be granted: work that began under earlier terms has ended.
+  /// From then on leases may be granted, because work that began under earlier terms has ended.
   Time grants_from() const { return grants_from_; }
   bool has_expired(Time now) const { return is_elected() && now >= term_end_; }
-  /// Time since start() without a majority.
+  /// Time since start() if there is no majority yet, otherwise 0.
   Time waiting(Time now) const { return is_running() && !is_elected() ? now - started_ : 0; }
 
   void start(Time now, Epoch epoch);
   void abandon() { *this = Election(); }
-  /// Returns the sequence number of a vote request that is sent to all voters now.
+  /// Returns the sequence number for a vote request that the caller sends to all voters now.
   std::uint32_t next_request(Time now);
   /// Records a vote; returns whether it won the election.
   bool record_vote(const Settings& settings, Time now, Address voter, std::uint32_t sequence, Time duration);
@@ -41,13 +41,13 @@
     Time sent = 0;
   };
 
-  /// Until when `quorum` of the recorded votes are valid.
+  /// Time until which at least `quorum` of the recorded votes are valid.
   Time majority_end(std::size_t quorum) const;
 
   Epoch epoch_;
-  std::array<VoteRequest, kPendingRequests> requests_{};  // a ring by sequence
+  std::array<VoteRequest, kPendingRequests> requests_{};  // ring buffer, indexed by sequence
   std::uint32_t last_sequence_ = 0;
-  std::map<Address, Time> vote_ends_;  // by voter, by this process's clock
+  std::map<Address, Time> vote_ends_;  // by voter, in this process's time
   Time started_ = 0;
   Time term_end_ = 0;
   Time grants_from_ = 0;
--- a/src/shares/fair_division.cpp
+++ b/src/shares/fair_division.cpp
@@ -11,7 +11,7 @@
 // Fractions this close below a whole number are rounding errors of sums.
 constexpr double kRoundingError = 1e-6;
 
-// Indices in the order in which demands are met when the share by weight grows.
+// Returns the indices in the order in which demands are met as the share per weight increases.
 std::vector<std::size_t> by_demand_per_weight(std::span<const Demand> demands) {
   std::vector<std::size_t> order(demands.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
@@ -23,8 +23,8 @@
   return order;
 }
 
-// Within what a demand may ever fall short of, so that one that was met meanwhile does not return with old
-// claims.
+// Adds what each demand received less than its fair share. Shortfalls are bounded, and reset when the demand
+// is met, so that a demand gets no priority for shortfalls of long ago.
 void update_shortfalls(std::span<const Demand> demands, std::span<const double> fair,
                        std::span<const double> shares, std::span<double> shortfalls) {
   const auto limit = static_cast<double>(fair.size()) + kHoldDivisions;
@@ -59,7 +59,7 @@
   const std::vector<double> fair = max_min_fair(units, demands);
   std::vector<double> shares(fair.size());
   double assigned = 0;
-  std::vector<std::size_t> candidates;  // for one more unit
+  std::vector<std::size_t> candidates;  // that can take one more unit
   for (std::size_t i = 0; i < fair.size(); ++i) {
     shares[i] = std::floor(fair[i] + kRoundingError);
     assigned += shares[i];
--- a/src/shares/fair_division.h
+++ b/src/shares/fair_division.h
@@ -11,15 +11,18 @@
   double weight = 1;
 };
 
-/// Weighted max-min fairness: each demand is met or, where the total is too small, gets as much by weight as
-/// all others that are not met. The result is in the order of `demands`; its sum is at most `total`.
+/// Divides `total` by weighted max-min fairness: each demand is met, or it gets as much in proportion to its
+/// weight as every other unmet demand. Returns the shares in the order of `demands`; their sum is at most
+/// `total`.
 std::vector<double> max_min_fair(double total, std::span<const Demand> demands);
 
-/// How many divisions an integral unit stays with its owner before the shortfall of another one moves it.
+/// Number of divisions for which an integral unit stays with its owner before another demand's shortfall
+/// moves it.
 inline constexpr double kHoldDivisions = 4;
 
-/// The same in whole units for whole demands. Units left over by the fractions go to the largest accumulated
-/// `shortfalls`, which are updated and kept from one division to the next; `owned` is the division before.
+/// Divides whole units among integral demands in the same way. Units that remain after rounding down go to
+/// the demands with the largest accumulated `shortfalls`. The function updates `shortfalls`; the caller keeps
+/// them for the next division. `owned` is the result of the previous division.
 std::vector<double> integral_max_min_fair(double total, std::span<const Demand> demands,
                                           std::span<double> shortfalls, std::span<const double> owned);
 
--- a/src/shares/fleet_view.h
+++ b/src/shares/fleet_view.h
@@ -7,7 +7,7 @@
 
 namespace streampick::leases {
 
-/// Addresses of the other processes that are alive or suspected.
+/// Returns the addresses of the other processes that are alive or suspected.
 inline std::vector<membership::Address> living_peers(const membership::GossipProtocol& core) {
   std::vector<membership::Address> peers;
   for (const auto& [incarnation, member] : core.table().members())
--- a/src/shares/lease_granter.cpp
+++ b/src/shares/lease_granter.cpp
@@ -12,7 +12,7 @@
   message.shard = claim.shard;
   message.epoch = election.epoch();
   message.sequence = claim.sequence;
-  // The holder counts from when it sent the claim, so the lease ends within the term by this clock.
+  // The holder measures the duration from when it sent the claim, so the lease ends no later than the term.
   message.duration = std::min(settings.lease_duration, election.term_end() - now);
   message.grant_number = ++grants_made_;
   message.holder = claim.sender;
--- a/src/shares/lease_granter.h
+++ b/src/shares/lease_granter.h
@@ -1,4 +1,4 @@
-// The granter's side of one shard: divides its limits among the holders that claim. No I/O, no clock.
+// The granter role for one shard: divides the shard's limits among the holders that claim. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,26 @@
 
 namespace streampick::leases {
 
-/// The lease tables of one term.
+/// The lease tables of one term, one for each limit of the shard.
 ///
 /// Invariant: a lease ends within the granter's term. Tests: LeaseModel, LeaseModelMutation `clock_margin`.
 class LeaseGranter {
  public:
   struct Answer {
-    Message grant;                    // no items: nothing to send
-    std::uint64_t unknown_items = 0;  // of limits that this router or this shard lacks
+    Message grant;                    // without items: there is nothing to send
+    std::uint64_t unknown_items = 0;  // claimed items whose limit this router or this shard does not have
   };
 
-  /// Whether the next grant has a number; otherwise a new term has to begin.
+  /// Whether grant numbers remain; if not, a new term must begin.
   bool has_grant_numbers() const { return grants_made_ < kMaxGrants; }
-  /// Answers a claim. This process is the granter by `election`.
+  /// Answers a claim. This process must be the granter according to `election`.
   Answer answer(Time now, const Settings& settings, std::uint32_t routers, const Election& election,
                 Address from, const Message& claim);
-  /// Forgets all leases: the term has ended.
+  /// Removes all leases at the end of the term.
   void clear() { *this = LeaseGranter(); }
-  /// Forgets the leases of limits that are not in the settings any more.
+  /// Removes the leases of limits that the settings no longer contain.
   void remove_unknown_limits(const Settings& settings);
-  /// Null: nobody has claimed of this limit in this term.
+  /// Null if this limit has not been claimed in this term.
   const LeaseTable* table(LimitId limit) const;
 
  private:
--- a/src/shares/lease_holder.cpp
+++ b/src/shares/lease_holder.cpp
@@ -69,7 +69,7 @@
   return claims;
 }
 
-// Of a hard limit, a claim returns at once what this router has no use for.
+// For a hard limit, a claim also returns at once what exceeds this router's demand.
 LimitItem LeaseHolder::claim_item(Time now, const Settings& settings, Holding& holding,
                                   ClaimPurpose purpose) {
   const bool is_hard = holding.limit.kind == LimitKind::hard;
@@ -105,8 +105,8 @@
   return result;
 }
 
-// Returns whether this router has to claim again soon: another one waits for what it may use no longer, or
-// its demand is not met and more was granted than before.
+// Returns whether this router should claim again soon: either the grant is smaller than before, and another
+// router waits for the difference; or the grant is larger than before but does not meet the demand yet.
 bool LeaseHolder::apply_item(Time now, const Settings& settings, const Message& grant, const LimitItem& item,
                              Holding& holding, Time claim_sent) {
   const Allowance before = allowance_of(settings, holding);
--- a/src/shares/lease_holder.h
+++ b/src/shares/lease_holder.h
@@ -1,4 +1,4 @@
-// The holder's side: claims what this router demands and keeps the leases it is granted. No I/O, no clock.
+// The holder role: claims what this router demands and keeps the granted leases. No I/O, no clock.
 #pragma once
 
 #include <array>
@@ -11,7 +11,8 @@
 
 namespace streampick::leases {
 
-/// What this router may use of a limit. Compare with usable() at the moment of use.
+/// What this router may use of a limit. Call usable() at the moment of use, because the lease may have
+/// expired.
 struct Allowance {
   LimitKind kind = LimitKind::hard;
   double guaranteed = 0;  // without a lease
@@ -25,10 +26,10 @@
   friend bool operator==(const Allowance&, const Allowance&) = default;
 };
 
-/// The leases of this process, of all limits.
+/// The leases of this process for all limits.
 ///
-/// Invariants: a lease ends, by this clock, before it ends by its granter's; a grant of an older epoch than
-/// one that was applied changes nothing. Tests: LeaseModel.GrantForAnotherIncarnation_IsNotApplied,
+/// Invariants: a lease ends here before it ends at its granter; a grant with an older epoch than that of a
+/// grant already applied has no effect. Tests: LeaseModel.GrantForAnotherIncarnation_IsNotApplied,
 /// LeaseModelMutation `clock_margin` and `use_after_expiry`, LeaseModelMutationOfFence.
 class LeaseHolder {
  public:
@@ -36,22 +37,23 @@
   struct GrantResult {
     bool is_stale = false;          // nothing was applied
     std::uint64_t applied = 0;      // leases
-    bool must_claim_again = false;  // to return a part soon, or to grow further
+    bool must_claim_again = false;  // to return a part soon, or to ask for more
   };
 
   LeaseHolder(const Settings& settings, Incarnation self);
 
-  /// Until start() nothing of a hard limit is usable.
+  /// Before start(), nothing of a hard limit is usable.
   void start();
-  /// Gives up all leases. `process_ends`: the guaranteed minima belong to this process's successor.
+  /// Gives up all leases. `process_ends`: also gives up the guaranteed minima, which pass to the successor
+  /// process.
   void leave(bool process_ends);
   void set_routers(std::uint32_t routers);
-  /// Leases of limits that stay are kept until they end.
+  /// Leases of limits that remain in the settings are kept until they end.
   void set_limits(const std::vector<Limit>& limits);
   /// Returns whether demand has grown beyond the allowance.
   bool set_demand(Time now, const Settings& settings, LimitId limit, double demand, double in_use);
 
-  /// The claims for one shard, each of at most max_items limits.
+  /// Returns the claims for one shard, each for at most max_items limits.
   std::vector<Message> make_claims(Time now, const Settings& settings, std::uint32_t shard,
                                    ClaimPurpose purpose);
   GrantResult apply_grant(Time now, const Settings& settings, const Message& grant);
@@ -59,7 +61,7 @@
   bool has_limit(LimitId limit) const { return holdings_.contains(limit); }
   Allowance allowance(const Settings& settings, LimitId limit) const;
   double demand(LimitId limit) const;
-  /// Epoch of the last grant that was applied; older ones are void.
+  /// Epoch of the last applied grant. Grants of older epochs are rejected.
   const Epoch& fence(std::uint32_t shard) const { return fences_[shard]; }
   std::uint32_t routers() const { return routers_; }
   /// Whether an allowance has changed since the last call.
@@ -72,13 +74,13 @@
     double demand = 0;
     double in_use = 0;
     Time lease_end = 0;
-    std::uint32_t last_grant = 0;  // that was applied, of the shard's fence
+    std::uint32_t last_grant = 0;  // number of the last applied grant of the fence's epoch
   };
   struct PendingClaim {
     std::uint32_t sequence = 0;
     Time sent = 0;
   };
-  // Four periods' claims, with one limit in each.
+  // Enough for the claims of four periods with one limit in each claim.
   static constexpr std::size_t kPendingClaims = 4 * kMaxLimits;
 
   LimitItem claim_item(Time now, const Settings& settings, Holding& holding, ClaimPurpose purpose);
@@ -91,7 +93,7 @@
   Incarnation self_;
   std::vector<Epoch> fences_;  // by shard
   std::map<LimitId, Holding> holdings_;
-  std::array<PendingClaim, kPendingClaims> pending_claims_{};  // a ring by sequence
+  std::array<PendingClaim, kPendingClaims> pending_claims_{};  // ring buffer, indexed by sequence
   std::uint32_t last_sequence_ = 0;
   std::uint32_t routers_;
   bool has_started_ = false;
--- a/src/shares/lease_protocol.cpp
+++ b/src/shares/lease_protocol.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxCandidates = 4;  // the first of a shard's order stand for election
+constexpr std::size_t kMaxCandidates = 4;  // only the first processes of a shard's order stand for election
 // In periods.
-constexpr Time kCandidateSpacing = 2;  // how much longer each place in the order waits
+constexpr Time kCandidateSpacing = 2;  // additional wait for each position in the order
 constexpr Time kMaxBackoff = 3;        // random pause after a lost election
 constexpr Time kElectionTimeout = 2;   // a candidate without a majority steps back
-constexpr Time kGranterTimeout = 3;    // a granter that is silent this long is lost
+constexpr Time kGranterTimeout = 3;    // a granter that was not heard of for longer is considered lost
 constexpr Time kUrgentClaimsPerPeriod = 5;
 constexpr std::uint64_t kMaxEpoch = std::uint64_t{1} << 60U;
-constexpr int kMaxSelfDeliveries = 8;  // rounds of messages to this process itself within one event
+constexpr int kMaxSelfDeliveries = 8;  // rounds of messages from this process to itself within one event
 
 }  // namespace
 
@@ -67,8 +67,10 @@
   has_left_ = true;
 }
 
-// After a suspension longer than a term, this process's votes and its own terms may have ended. A clock that
-// was set forward looks the same: by other clocks its promises and leases may still hold, so it forgets both.
+// After a suspension longer than a term, the votes that this process gave and its own terms may have ended. A
+// clock that was set forward looks the same here, but by other clocks the votes and leases may still be
+// valid. So the voter gives no votes until earlier ones have certainly expired, and all terms of this process
+// end.
 void LeaseProtocol::detect_suspension(Time now) {
   if (now - next_wakeup_ <= settings_.term) return;
   ++counters_.suspensions;
@@ -112,7 +114,7 @@
   return shards_[shard_of(settings_, limit)].granter.table(limit);
 }
 
-// ---- Being the granter
+// ---- Granter
 
 void LeaseProtocol::maintain_candidacy(Time now, std::uint32_t index) {
   Shard& shard = shards_[index];
@@ -126,7 +128,7 @@
   request_votes(now, index);
 }
 
-// Whether the shard has lost its granter, and it is this process's turn.
+// Returns whether the shard has no granter and this process's turn in the candidate order has come.
 bool LeaseProtocol::should_stand(Time now, std::uint32_t index) {
   Shard& shard = shards_[index];
   KnownGranter& known = shard.known_granter;
@@ -136,7 +138,7 @@
   if (rank >= kMaxCandidates || now < shard.no_candidacy_before) return false;
   const Time timeout = kGranterTimeout * settings_.period;
   if (known.last_heard == kLongAgo) {
-    // Nothing was heard since the start: candidates earlier in the order have their turn first.
+    // No granter has been heard of since the start: candidates earlier in the order stand first.
     known.last_heard = now - timeout;
     if (rank > 0) return false;
   } else {
@@ -146,7 +148,7 @@
   return shard.highest_epoch < kMaxEpoch;
 }
 
-// Frees the votes for other candidates.
+// Releases the received votes, so that other candidates can get them, and backs off.
 void LeaseProtocol::step_back(Time now, std::uint32_t index) {
   Shard& shard = shards_[index];
   Message release = make_message(Message::Kind::release, index);
@@ -185,13 +187,14 @@
   send(to, std::move(redirect));
 }
 
-// ---- Holding leases
+// ---- Holder
 
 bool LeaseProtocol::hears_granter(Time now, const Shard& shard) const {
   return now - shard.known_granter.last_heard <= kGranterTimeout * settings_.period;
 }
 
-// Where claims go: a hint once, the known granter, or the candidates in turn.
+// Returns where to send claims: once to a hint, else to the known granter, else to the candidates in
+// rotation.
 Address LeaseProtocol::claim_target(Time now, std::uint32_t index) {
   const Shard& shard = shards_[index];
   KnownGranter& known = shards_[index].known_granter;
@@ -241,8 +244,8 @@
 void LeaseProtocol::on_vote_request(Time now, Address from, const Message& message) {
   if (!is_voter()) return;
   Shard& shard = shards_[message.shard];
-  // Holders remember epochs that a restarted voter has forgotten: a granter of a lower one could lease them
-  // nothing.
+  // A restarted voter may have forgotten epochs that holders remember. Holders would reject all leases of a
+  // granter with a lower epoch, so the voter does not elect it.
   const Epoch& fence = holder_.fence(message.shard);
   const bool is_fenced = message.epoch < fence;
   const Time duration = is_fenced ? 0 : shard.voter.request_vote(settings_, now, message.epoch, from);
@@ -267,9 +270,9 @@
 void LeaseProtocol::on_rejection(Time now, const Message& message) {
   Shard& shard = shards_[message.shard];
   const auto is_candidate = [&] { return shard.election.is_running() && !shard.election.is_elected(); };
-  // Against a higher epoch this candidacy is lost.
+  // A candidacy with a lower epoch than another known one cannot win.
   if (is_candidate() && shard.election.epoch() < message.epoch) end_term(shard);
-  // Votes are split: the first candidate in the order goes on, the others step back.
+  // Votes are split: the first candidate in the order continues, the others step back.
   const bool names_another = message.granter != settings_.self;
   if (is_candidate() && names_another && order_.is_living(message.granter) &&
       order_.precedes_self(message.shard, message.granter))
@@ -289,7 +292,7 @@
     send_redirect(now, from, message);
     return;
   }
-  // The holder takes no grants of this epoch any more: begin a higher one.
+  // The holder rejects grants of this epoch: begin a term with a higher epoch.
   if (settings_.safety_rules->is_fenced(shard.election.epoch(), message.epoch)) {
     note_epoch(shard, message.epoch);
     end_term(shard);
@@ -328,7 +331,8 @@
     shard.known_granter.unanswered_claims = 0;
     return;
   }
-  // Hearsay is worth one claim: only the granter itself says that it is one.
+  // A redirect from another process is only a hint, which gets one claim: only the granter itself confirms
+  // that it is the granter.
   const bool is_news = message.granter != 0 && message.granter != settings_.self &&
                        message.granter != shard.known_granter.address;
   if (!is_news || !order_.is_living(message.granter)) return;
@@ -372,7 +376,7 @@
   for (const Address voter : settings_.voters) send(voter, message);
 }
 
-// An answer may go to this process as well.
+// Dispatches the messages that this process sent to itself; the answers may be for this process again.
 void LeaseProtocol::deliver_to_self(Time now) {
   for (int round = 0; round < kMaxSelfDeliveries && !to_self_.empty(); ++round)
     for (const Message& message : std::exchange(to_self_, {})) dispatch(now, settings_.self, message);
--- a/src/shares/lease_protocol.h
+++ b/src/shares/lease_protocol.h
@@ -1,5 +1,4 @@
-// Limits that hold for the whole fleet, at one process. docs/leases.md has the algorithm, its proof and its
-// bounds.
+// One process's part in fleet-wide limits. docs/leases.md describes the algorithm, its proof and its bounds.
 #pragma once
 
 #include <cstdint>
@@ -21,45 +20,47 @@
   std::uint64_t claims_sent = 0;
   std::uint64_t grants_sent = 0;
   std::uint64_t leases_applied = 0;
-  std::uint64_t stale_grants = 0;  // of an older epoch, or no answer to a recent claim
+  std::uint64_t stale_grants = 0;  // of an older epoch, or not an answer to a recent claim
   std::uint64_t elections_won = 0;
   std::uint64_t terms_lost = 0;
   std::uint64_t votes_rejected = 0;
-  std::uint64_t unknown_ids = 0;  // messages of shards, and items of limits, that this router lacks
+  std::uint64_t unknown_ids = 0;  // messages for shards, and items for limits, that this router does not have
   std::uint64_t suspensions = 0;
 };
 
 /// Composes the roles of one process: Voter, Election and LeaseGranter for each shard, and LeaseHolder.
 ///
-/// PaxosLease elects a granter for each shard of limits; the granter leases parts of them to whoever claims,
-/// as in Doorman. Events and time go in; messages, allowances and the next wake-up come out. No I/O, no
-/// clock, no threads. All times of one process are read from its one monotonic clock.
+/// PaxosLease elects a granter for each shard of limits. The granter leases parts of the limits to the
+/// processes that claim them, as in Doorman. The inputs are events and the time; the outputs are messages,
+/// allowances and the next wake-up. No I/O, no clock, no threads. All times of a process must come from the
+/// same monotonic clock.
 ///
 /// Invariant: at every instant the sum of what all processes may use of a hard limit is at most its total. It
-/// rests on no view of the fleet, and on clocks only in that their speeds differ by at most
-/// Settings::max_clock_drift. Tests: LeaseModel (every order of events within a depth, and drawn histories),
-/// LeaseHistories.
+/// does not depend on any view of the fleet. Of clocks it requires only that their speeds differ by at most a
+/// factor of 1 + Settings::max_clock_drift. Tests: LeaseModel (every order of events within a depth, and
+/// random histories), LeaseHistories.
 class LeaseProtocol {
  public:
-  /// `self`: this process's own random number, not 0. `seed`: of the pauses between candidacies.
+  /// `self`: random number that identifies this process, not 0. `seed`: for the random pauses between
+  /// candidacies.
   LeaseProtocol(Settings settings, Incarnation self, std::uint64_t seed, Time now);
 
-  /// Messages get through from now on, and no earlier process at this address does anything any more.
-  /// Before, nothing of a hard limit is usable and no timer runs.
+  /// Call when messages can be sent and received, and when no earlier process at this address is active any
+  /// more. Before, nothing of a hard limit is usable and no timer runs.
   void start(Time now);
-  /// The fleet's view: the other living processes, and the maximum number of processes.
+  /// Sets the view of the fleet: the other live processes, and the maximum number of processes.
   void set_view(Time now, std::vector<Address> living_peers, std::uint32_t routers);
-  /// What this router could use of a limit now, including what it rejects, and what it does use. Demand that
-  /// grows beyond the allowance is claimed soon, other changes with the next period.
+  /// Sets what this router could use of a limit now, including what it rejects, and what it uses. If demand
+  /// grows beyond the allowance, the router claims soon, otherwise in the next period.
   void set_demand(Time now, LimitId limit, double demand, double in_use);
   void receive(Time now, Address from, const Message& message);
   void tick(Time now);
-  /// When tick() is due; kNever: not until another event.
+  /// Time at which tick() is due; kNever: not before another event.
   Time next_wakeup() const { return has_left_ || !has_started_ ? kNever : next_wakeup_; }
-  /// New limits and totals; leases of limits that stay are kept until they end.
+  /// Sets new limits and totals. Leases of limits that remain are kept until they end.
   void set_limits(Time now, std::vector<Limit> limits);
-  /// Returns all leases, and grants and votes no more. `process_ends`: the guaranteed minima belong to the
-  /// successor at this address; otherwise this process keeps them, and may call again when it ends.
+  /// Returns all leases and stops granting and voting. `process_ends`: the guaranteed minima pass to the
+  /// successor at this address; otherwise this process keeps them, and may call leave() again when it ends.
   void leave(Time now, bool process_ends);
 
   bool has_limit(LimitId limit) const { return holder_.has_limit(limit); }
@@ -68,16 +69,16 @@
   bool take_changed() { return holder_.take_changed(); }
   std::vector<OutgoingMessage> take_messages() { return std::exchange(outgoing_, {}); }
 
-  // For figures and operators' commands.
+  // For counters and operators' commands.
   const Settings& settings() const { return settings_; }
   const Counters& counters() const { return counters_; }
   bool is_granter(std::uint32_t shard, Time now) const { return shards_[shard].election.is_granter(now); }
-  /// Whether it grants: it is the granter, and earlier work has ended.
+  /// Whether this process is the granter and already grants, because work of earlier terms has ended.
   bool is_granting(std::uint32_t shard, Time now) const;
-  /// 0: none is known.
+  /// 0 if no granter is known.
   Address known_granter(std::uint32_t shard) const { return shards_[shard].known_granter.address; }
   Epoch epoch(std::uint32_t shard) const { return holder_.fence(shard); }
-  /// Null: this process is not the limit's granter, or nobody has claimed.
+  /// Null if this process is not the limit's granter, or nobody has claimed.
   const LeaseTable* lease_table(LimitId limit) const;
   std::uint32_t routers() const { return holder_.routers(); }
   Incarnation incarnation() const { return self_; }
@@ -87,9 +88,9 @@
   static constexpr Time kLongAgo = INT64_MIN / 2;
 
   struct KnownGranter {
-    Address address = 0;         // as itself, or a voter that has promised, has said
-    Time last_heard = kLongAgo;  // of it
-    Address hint = 0;            // as another process has said: one claim is sent there
+    Address address = 0;         // as reported by the granter itself, or by a voter that voted for it
+    Time last_heard = kLongAgo;  // when the granter was last reported
+    Address hint = 0;            // as reported by another process: gets one claim
     std::uint32_t unanswered_claims = 0;
   };
   struct Shard {
@@ -98,7 +99,7 @@
     Election election;
     LeaseGranter granter;  // of the election's epoch
     KnownGranter known_granter;
-    std::uint64_t highest_epoch = 0;  // number of the highest one known; the next is higher
+    std::uint64_t highest_epoch = 0;  // highest known epoch number; the next epoch gets a higher one
     Time no_candidacy_before = 0;
     Time no_claim_before = 0;
     bool must_claim_soon = false;
@@ -106,13 +107,13 @@
 
   void detect_suspension(Time now);
   void schedule(Time now);
-  // Being the granter.
+  // Granter.
   void maintain_candidacy(Time now, std::uint32_t index);
   bool should_stand(Time now, std::uint32_t index);
   void step_back(Time now, std::uint32_t index);
   void end_term(Shard& shard);
   void request_votes(Time now, std::uint32_t index);
-  // Holding leases.
+  // Holder.
   bool hears_granter(Time now, const Shard& shard) const;
   Address claim_target(Time now, std::uint32_t index);
   void send_claims(Time now, std::uint32_t index, LeaseHolder::ClaimPurpose purpose);
--- a/src/shares/lease_table.cpp
+++ b/src/shares/lease_table.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t kMaxUnacknowledgedGrants = 16;
-constexpr double kMaxDemandGrowth = 2;           // factor from one claim to the next ...
+constexpr double kMaxDemandGrowth = 2;           // factor from one claim to the next, ...
 constexpr double kMaxDemandGrowthOfTotal = 0.1;  // ... plus this share of the total
 constexpr double kDemandNoise = 0.05;            // smaller relative changes of a rate's demand are ignored
 
@@ -37,7 +37,7 @@
   return sum;
 }
 
-// Nothing when the claim is late or there is no room for another holder.
+// Returns null if the claim is late or there is no room for another holder.
 LeaseTable::Holder* LeaseTable::find_or_add(const Claim& claim) {
   const auto found = holders_.find(claim.holder);
   if (found != holders_.end()) {
@@ -54,8 +54,8 @@
   return &holder;
 }
 
-// Grants before the acknowledged one are replaced; the acknowledged one is reduced to what the holder kept of
-// it. An acknowledgement of another epoch's grant says nothing about this table's grants.
+// Removes the grants before the acknowledged one, and reduces the acknowledged one to what the holder kept of
+// it. An acknowledgement of a grant of another epoch says nothing about this table's grants.
 void LeaseTable::acknowledge(Time now, const Settings& settings, Holder& holder, const Claim& claim) {
   const SafetyRules& rules = *settings.safety_rules;
   if (!rules.acknowledges(claim.same_epoch)) return;
@@ -68,7 +68,7 @@
   if (!rules.keeps_unacknowledged_grants()) holder.outstanding.clear();
 }
 
-// Bounds the growth of demand, so that a faulty claim cannot take everything at once.
+// Records the claim's demand. Its growth is bounded, so that a faulty claim cannot take everything at once.
 void LeaseTable::update_demand(Time now, const Settings& settings, const Limit& limit, Holder& holder,
                                const Claim& claim) {
   const LimitItem& item = claim.item;
@@ -95,8 +95,8 @@
   holder.last_claim = now;
 }
 
-// An address runs one process at a time: earlier incarnations get nothing more. Returns what they may still
-// use.
+// An address runs one process at a time, so earlier incarnations at the holder's address get no more leases.
+// Returns what these incarnations may still use.
 double LeaseTable::retire_predecessors(Time now, const Holder& holder) {
   double exposure = 0;
   for (auto& [incarnation, other] : holders_) {
@@ -117,7 +117,7 @@
   needs_division_ = needs_division_ || removed > 0;
 }
 
-// What is divided. Of a rate, routers that do not claim use an even share each.
+// Returns the amount to divide. For a rate, each router that does not claim uses an even share of the total.
 double LeaseTable::pool(Time now, const Settings& settings, const Limit& limit, std::uint32_t routers) const {
   if (limit.kind == LimitKind::hard) return leasable_total(limit, settings);
   const auto claiming = std::count_if(holders_.begin(), holders_.end(), [&](const auto& entry) {
@@ -126,7 +126,8 @@
   return limit.total * std::min(1.0, static_cast<double>(claiming) / routers);
 }
 
-// Divides among the holders that claimed within a lease; what others may still use stays outstanding.
+// Divides `pool` among the holders that claimed within one lease duration. What other holders may still use
+// stays outstanding.
 void LeaseTable::divide(Time now, const Settings& settings, const Limit& limit, double pool) {
   std::vector<Holder*> claiming;
   std::vector<Demand> demands;
@@ -157,7 +158,8 @@
   needs_division_ = false;
 }
 
-// From the reserve, beyond the holder's share: first come, first served, and for one lease.
+// Returns what the holder gets from the reserve beyond its share: first come, first served, for at most one
+// lease duration.
 double LeaseTable::burst_from_reserve(Time now, const Settings& settings, const Limit& limit, double pool,
                                       Holder& holder) const {
   const double missing = holder.demand - holder.share;
@@ -174,7 +176,8 @@
   return limit.kind == LimitKind::hard ? std::floor(available) : available;
 }
 
-// Keeps the invariant: leases at most what no other holder may use, and records the grant as outstanding.
+// Preserves the invariant: leases only what no other holder may use, and records the grant as outstanding.
+// Returns the leased amount.
 double LeaseTable::lease_hard(Time now, const Settings& settings, Holder& holder, double amount, double pool,
                               const Grant& grant) const {
   const double others = outstanding(now) - holder.exposure(now);
--- a/src/shares/lease_table.h
+++ b/src/shares/lease_table.h
@@ -1,4 +1,4 @@
-// A granter's table of the leases of one limit, for one epoch. No I/O, no clock.
+// A granter's table of the leases of one limit in one epoch. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace streampick::leases {
 
-/// Who claims how much of a limit, and what may be in use by this granter's leases.
+/// The holders of one limit with their demands, and what may be in use under this granter's leases.
 ///
 /// Invariant of a hard limit: outstanding(now) is at most leasable_total() at every instant, because a grant
 /// replaces an earlier one only when its holder has acknowledged it, or when the earlier one has expired.
@@ -24,22 +24,22 @@
   struct Claim {
     Incarnation holder = 0;
     Address from = 0;
-    std::uint32_t sequence = 0;  // claims of a holder are applied in this order, late ones are ignored
+    std::uint32_t sequence = 0;  // claims of a holder are applied in this order; late claims are ignored
     LimitItem item;
     double weight = 1;
-    bool same_epoch = false;  // whether the acknowledged grant is of this table's epoch
+    bool same_epoch = false;  // whether the acknowledged grant has this table's epoch
   };
   struct Grant {
     std::uint32_t number = 0;
-    Time duration = 0;  // from now on
+    Time duration = 0;  // from when the claim is processed
   };
 
-  /// Applies a claim and returns the amount leased by `grant`; nothing: the claim is late, or there is no
+  /// Applies a claim and returns the amount leased by `grant`, or nothing if the claim is late or there is no
   /// room for its holder. `routers`: maximum number of processes in the fleet.
   std::optional<double> claim(Time now, const Settings& settings, const Limit& limit, std::uint32_t routers,
                               const Claim& claim, const Grant& grant);
 
-  /// Maximum that may be in use by this table's leases.
+  /// Maximum amount that may be in use under this table's leases.
   double outstanding(Time now) const;
   double total_demand() const;
   std::size_t holder_count() const { return holders_.size(); }
@@ -48,7 +48,7 @@
   struct OutstandingGrant {
     std::uint32_t number = 0;
     double amount = 0;
-    Time end = 0;  // of all work that began under it
+    Time end = 0;  // when all work that began under the grant has ended
   };
   struct Holder {
     Address address = 0;
@@ -60,10 +60,10 @@
     double shortfall = 0;  // accumulated in integral divisions
     double share = 0;      // of the last division
     double amount = 0;     // of the last grant
-    double in_use = 0;     // beyond the guaranteed minimum, as reported last
+    double in_use = 0;     // beyond the guaranteed minimum, as last reported
     Time in_use_end = 0;
-    Time above_share_since = 0;                 // 0: it demands no more than its share
-    std::vector<OutstandingGrant> outstanding;  // by number; amounts fall
+    Time above_share_since = 0;                 // 0: the demand is within the share
+    std::vector<OutstandingGrant> outstanding;  // by increasing number and decreasing amount
     double exposure(Time now) const;
   };
 
--- a/src/shares/messages.h
+++ b/src/shares/messages.h
@@ -1,4 +1,4 @@
-// Messages of the lease protocol as values. No I/O and no clock; shares/wire.h encodes them.
+// Messages of the lease protocol. No I/O and no clock; shares/wire.h encodes them.
 #pragma once
 
 #include <compare>
@@ -16,7 +16,7 @@
 using membership::kSecond;
 using membership::Time;
 
-/// Random number of one run of a process; 0: none.
+/// Random number that identifies one run of a process; 0: none.
 using Incarnation = membership::InstanceId;
 
 /// Hash of a limit's name, equal at all routers.
@@ -33,13 +33,13 @@
   }
 };
 
-/// One limit in a claim (all fields) or in a grant (`limit` and `amount`).
+/// One limit of a claim, which uses all fields, or of a grant, which uses `limit` and `amount`.
 struct LimitItem {
   LimitId limit = 0;
   double demand = 0;                     // what the claimer could use now, including what it rejects
   double in_use = 0;                     // hard limits: in use beyond the guaranteed minimum
-  std::uint32_t acknowledged_grant = 0;  // last grant that the claimer applied, of the claim's epoch
-  double amount = 0;  // of a grant: leased; of a claim: what the claimer holds, or less to return some
+  std::uint32_t acknowledged_grant = 0;  // last grant of the claim's epoch that the claimer applied
+  double amount = 0;  // in a grant: leased; in a claim: what the claimer keeps of its lease
   friend bool operator==(const LimitItem&, const LimitItem&) = default;
 };
 
@@ -56,13 +56,13 @@
   Kind kind = Kind::vote_request;
   Incarnation sender = 0;
   std::uint32_t shard = 0;
-  Epoch epoch = {};            // of a claim: of the acknowledged grants; of a rejection: the highest known
+  Epoch epoch = {};            // in a claim: of the acknowledged grants; in a rejection: the highest known
   std::uint32_t sequence = 0;  // of a vote_request or a claim, and of its answer
   std::uint32_t grant_number = 0;
-  Incarnation holder = 0;  // of a grant: the claimer; its successor numbers its claims from 1 again
-  Time duration = 0;       // of a vote: from its receipt of the request; of a grant: from the claim's sending
-  Address granter = 0;     // of a rejection or redirect: who is the granter; 0: unknown
-  double weight = 1;       // of a claim
+  Incarnation holder = 0;  // in a grant: the claimer, as its successor numbers claims from 1 again
+  Time duration = 0;    // in a vote: from when the request arrived; in a grant: from when the claim was sent
+  Address granter = 0;  // in a rejection or redirect: the known granter; 0: unknown
+  double weight = 1;    // of a claim
   std::vector<LimitItem> items = {};
   friend bool operator==(const Message&, const Message&) = default;
 };
@@ -71,7 +71,7 @@
 inline constexpr std::size_t kMaxItems = 64;
 inline constexpr std::size_t kMaxLimits = 64;
 inline constexpr std::uint32_t kMaxShards = 16;
-inline constexpr double kMaxTotal = 1e7;  // whole numbers up to this survive the wire's 32-bit floats
+inline constexpr double kMaxTotal = 1e7;  // the wire's 32-bit floats hold whole numbers up to this
 inline constexpr double kMaxWeight = 10;
 inline constexpr double kMinWeight = 0.1;
 
--- a/src/shares/wire.cpp
+++ b/src/shares/wire.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-namespace proto = streampick::shares::proto;  // the wire form keeps its package
+namespace proto = streampick::shares::proto;  // the package name is part of the wire format
 
-// Tags and the longest values of a message's fields, and of an item with its length.
+// Maximum encoded sizes, tags included: of a message's fields without its items, and of one item with its
+// length.
 constexpr std::size_t kMaxHeaderBytes = 2 + 9 + 2 + 10 + 9 + 6 + 6 + 9 + 7 + 8 + 5;
 constexpr std::size_t kMaxItemBytes = 2 + 5 + 5 + 5 + 6 + 5;
 constexpr Time kMaxDuration = 3'600 * kSecond;
 constexpr std::uint64_t kMaxEpoch = std::uint64_t{1} << 61U;
 
-// A claim may report any finite number: the granter bounds it.
+// A claim may report any finite demand up to this; the granter limits it further.
 constexpr double kMaxReported = 1e30;
 
 bool is_within(float value, double max) { return std::isfinite(value) && value >= 0 && value <= max; }
--- a/src/shares/wire.h
+++ b/src/shares/wire.h
@@ -1,4 +1,4 @@
-// Messages as datagram payloads: protobuf (proto/streampick/shares.proto).
+// Encodes messages as datagram payloads with protobuf (proto/streampick/shares.proto).
 #pragma once
 
 #include <optional>
@@ -11,10 +11,10 @@
 
 /// Serialises a message.
 std::string encode(const Message& message);
-/// Parses a payload; nothing: it is malformed, or one of its fields is out of bounds.
+/// Parses a payload. Returns nothing if it is malformed or a field is out of bounds.
 std::optional<Message> decode(std::string_view payload);
 
-/// Number of items that fit into `bytes` in the worst case.
+/// Number of items that a payload of `bytes` can hold in the worst case.
 std::size_t max_items_in(std::size_t bytes);
 
 }  // namespace streampick::leases
--- a/tests/shares/parts_test.cpp
+++ b/tests/shares/parts_test.cpp
@@ -1,4 +1,4 @@
-// Units of the lease protocol: fair division, the lease table, applying grants, payloads.
+// Unit tests of the lease protocol: fair division, the lease table, the application of grants, and payloads.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -15,78 +15,78 @@
 namespace streampick::leases {
 namespace {
 
-std::vector<Demand> some_wants(std::mt19937_64& random, bool whole) {
+std::vector<Demand> random_demands(std::mt19937_64& random, bool whole) {
   std::vector<Demand> out(1 + random() % 30);
-  for (Demand& want : out) {
-    want.amount = random() % 4 == 0 ? 0 : static_cast<double>(random() % 1'000) / (whole ? 20 : 17);
-    if (whole) want.amount = std::floor(want.amount);
-    want.weight = random() % 3 == 0 ? 1 : 0.1 + static_cast<double>(random() % 99) / 10;
+  for (Demand& demand : out) {
+    demand.amount = random() % 4 == 0 ? 0 : static_cast<double>(random() % 1'000) / (whole ? 20 : 17);
+    if (whole) demand.amount = std::floor(demand.amount);
+    demand.weight = random() % 3 == 0 ? 1 : 0.1 + static_cast<double>(random() % 99) / 10;
   }
   return out;
 }
 
-// No share exceeds its demand; the total is used up or all demand is met; and a demand that is not met has,
-// by weight, no less than any other.
+// No share exceeds its demand; either the whole total is divided or all demand is met; and an unmet demand
+// gets, in proportion to its weight, no less than any other.
 TEST(FairDivision, RandomDemands_AreDividedMaxMinFair) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    const std::vector<Demand> wants = some_wants(random, false);
+    const std::vector<Demand> demands = random_demands(random, false);
     const double total = static_cast<double>(random() % 2'000) / 7;
-    const std::vector<double> parts = max_min_fair(total, wants);
-    double wanted = 0, given = 0;
-    for (std::size_t i = 0; i < wants.size(); ++i) {
-      RC_ASSERT(parts[i] >= 0 && parts[i] <= wants[i].amount);
-      wanted += wants[i].amount;
-      given += parts[i];
+    const std::vector<double> shares = max_min_fair(total, demands);
+    double demanded = 0, assigned = 0;
+    for (std::size_t i = 0; i < demands.size(); ++i) {
+      RC_ASSERT(shares[i] >= 0 && shares[i] <= demands[i].amount);
+      demanded += demands[i].amount;
+      assigned += shares[i];
     }
-    RC_ASSERT(given <= total + 1e-9);
-    RC_ASSERT(std::abs(given - std::min(total, wanted)) < 1e-6);
-    for (std::size_t i = 0; i < wants.size(); ++i)
-      for (std::size_t k = 0; k < wants.size() && parts[i] + 1e-9 < wants[i].amount; ++k)
-        RC_ASSERT(parts[i] / wants[i].weight + 1e-6 >= parts[k] / wants[k].weight);
+    RC_ASSERT(assigned <= total + 1e-9);
+    RC_ASSERT(std::abs(assigned - std::min(total, demanded)) < 1e-6);
+    for (std::size_t i = 0; i < demands.size(); ++i)
+      for (std::size_t k = 0; k < demands.size() && shares[i] + 1e-9 < demands[i].amount; ++k)
+        RC_ASSERT(shares[i] / demands[i].weight + 1e-6 >= shares[k] / demands[k].weight);
   });
 }
 
 TEST(FairDivision, IntegralUnits_LeaveNothingAndAverageToFairShares) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    const std::vector<Demand> wants = some_wants(random, true);
+    const std::vector<Demand> demands = random_demands(random, true);
     const auto total = static_cast<double>(random() % 200);
-    std::vector<double> credits(wants.size()), has(wants.size());
-    std::vector<double> sums(wants.size());
-    const std::vector<double> fair = max_min_fair(total, wants);
+    std::vector<double> shortfalls(demands.size()), owned(demands.size());
+    std::vector<double> sums(demands.size());
+    const std::vector<double> fair = max_min_fair(total, demands);
     constexpr int kRounds = 400;
-    double wanted = 0;
-    for (const Demand& want : wants) wanted += want.amount;
+    double demanded = 0;
+    for (const Demand& demand : demands) demanded += demand.amount;
     for (int round = 0; round < kRounds; ++round) {
-      const std::vector<double> parts = integral_max_min_fair(total, wants, credits, has);
-      double given = 0;
-      for (std::size_t i = 0; i < parts.size(); ++i) {
-        RC_ASSERT(parts[i] == std::floor(parts[i]) && parts[i] <= wants[i].amount);
-        given += parts[i];
-        sums[i] += parts[i];
+      const std::vector<double> shares = integral_max_min_fair(total, demands, shortfalls, owned);
+      double assigned = 0;
+      for (std::size_t i = 0; i < shares.size(); ++i) {
+        RC_ASSERT(shares[i] == std::floor(shares[i]) && shares[i] <= demands[i].amount);
+        assigned += shares[i];
+        sums[i] += shares[i];
       }
-      RC_ASSERT(given == std::min(total, wanted));
-      has = parts;
+      RC_ASSERT(assigned == std::min(total, demanded));
+      owned = shares;
     }
-    // The mean is the fair share, up to the bound of accumulated shortfalls.
-    for (std::size_t i = 0; i < wants.size(); ++i)
+    // The mean differs from the fair share by no more than the bound of accumulated shortfalls allows.
+    for (std::size_t i = 0; i < demands.size(); ++i)
       RC_ASSERT(std::abs(sums[i] / kRounds - fair[i]) <
-                (static_cast<double>(wants.size()) + 2 * kHoldDivisions) / kRounds + 0.02);
+                (static_cast<double>(demands.size()) + 2 * kHoldDivisions) / kRounds + 0.02);
   });
 }
 
 TEST(FairDivision, OneUnitAmongTwelve_RotatesSlowly) {
-  const std::vector<Demand> wants(12, Demand{1, 1});
-  std::vector<double> credits(12), has(12), had(12);
+  const std::vector<Demand> demands(12, Demand{1, 1});
+  std::vector<double> shortfalls(12), owned(12), total_owned(12);
   int moves = 0;
   for (int round = 0; round < 480; ++round) {
-    const std::vector<double> parts = integral_max_min_fair(1, wants, credits, has);
-    moves += parts != has ? 1 : 0;
-    for (std::size_t i = 0; i < 12; ++i) had[i] += parts[i];
-    has = parts;
+    const std::vector<double> shares = integral_max_min_fair(1, demands, shortfalls, owned);
+    moves += shares != owned ? 1 : 0;
+    for (std::size_t i = 0; i < 12; ++i) total_owned[i] += shares[i];
+    owned = shares;
   }
-  for (const double one : had) EXPECT_GE(one, 30);
+  for (const double one : total_owned) EXPECT_GE(one, 30);
   EXPECT_LE(moves, 130);  // a unit stays for kHoldDivisions
 }
 
@@ -97,25 +97,27 @@
     const Limit limit{.name = "x", .id = 1, .kind = kind, .total = 100};
     LeaseTable table;
     Time now = kSecond;
-    std::vector<double> has(4);
-    std::vector<std::uint32_t> seen(4);
+    std::vector<double> owned(4);
+    std::vector<std::uint32_t> acknowledged(4);
     std::uint32_t number = 0;
     for (int round = 0; round < 40; ++round, now += kSecond / 2)
       for (std::size_t i = 0; i < 4; ++i) {
         ++number;
-        const LimitItem item{
-            .limit = 1, .demand = i == 0 ? 1e9 : 30.0, .acknowledged_grant = seen[i], .amount = has[i]};
-        const auto got = table.claim(
+        const LimitItem item{.limit = 1,
+                             .demand = i == 0 ? 1e9 : 30.0,
+                             .acknowledged_grant = acknowledged[i],
+                             .amount = owned[i]};
+        const auto amount_granted = table.claim(
             now, settings, limit, 4,
             {.holder = i + 1, .from = i + 1, .sequence = number, .item = item, .same_epoch = true},
             {.number = number, .duration = 3 * kSecond});
-        ASSERT_TRUE(got);
-        has[i] = *got;
-        seen[i] = number;
+        ASSERT_TRUE(amount_granted);
+        owned[i] = *amount_granted;
+        acknowledged[i] = number;
       }
     const double pool = kind == LimitKind::hard ? leasable_total(limit, settings) : 100;
-    for (std::size_t i = 0; i < 4; ++i) EXPECT_NEAR(has[i], pool / 4, 0.06 * pool) << i;
-    EXPECT_LE(std::accumulate(has.begin(), has.end(), 0.0), pool);
+    for (std::size_t i = 0; i < 4; ++i) EXPECT_NEAR(owned[i], pool / 4, 0.06 * pool) << i;
+    EXPECT_LE(std::accumulate(owned.begin(), owned.end(), 0.0), pool);
     // A late claim is ignored.
     EXPECT_FALSE(table.claim(
         now, settings, limit, 4,
@@ -124,8 +126,8 @@
   }
 }
 
-// Processes that claim from one address one after the other share one router's share. Of a hard limit, the
-// next one waits until its predecessor's leases have expired.
+// Processes that claim from the same address, one after another, together get one router's share. For a hard
+// limit, each process waits until its predecessor's leases have expired.
 TEST(LeaseTable, ManyProcessesAtOneAddress_HaveOneShare) {
   Settings settings;
   settings.expected_routers = 4;
@@ -136,27 +138,29 @@
     LeaseTable table;
     Time now = kSecond;
     std::uint32_t number = 0;
-    std::map<Address, double> has;
+    std::map<Address, double> owned;
     for (int round = 0; round < 60; ++round, now += settings.period)
-      for (Address at = 1; at <= 4; ++at) {
+      for (Address address = 1; address <= 4; ++address) {
         // The first address claims as a new process each time.
-        const Incarnation boot = at == 1 ? 100 + static_cast<Incarnation>(round) : at;
-        const LimitItem item{.limit = 1, .demand = 80, .acknowledged_grant = number, .amount = has[at]};
+        const Incarnation incarnation = address == 1 ? 100 + static_cast<Incarnation>(round) : address;
+        const LimitItem item{
+            .limit = 1, .demand = 80, .acknowledged_grant = number, .amount = owned[address]};
         ++number;
-        const auto got =
-            table.claim(now, settings, limit, 4,
-                        {.holder = boot, .from = at, .sequence = number, .item = item, .same_epoch = true},
-                        {.number = number, .duration = settings.lease_duration});
-        has[at] = got.value_or(0);
+        const auto amount_granted = table.claim(
+            now, settings, limit, 4,
+            {.holder = incarnation, .from = address, .sequence = number, .item = item, .same_epoch = true},
+            {.number = number, .duration = settings.lease_duration});
+        owned[address] = amount_granted.value_or(0);
         ASSERT_LE(table.holder_count(), 3 + LeaseTable::kMaxHoldersPerAddress);
         if (kind == LimitKind::hard) ASSERT_LE(table.outstanding(now), pool);
       }
-    for (Address at = 2; at <= 4; ++at) EXPECT_GE(has[at], std::floor(pool / 4)) << at;
-    EXPECT_LE(has[1], std::ceil(pool / 4));
+    for (Address address = 2; address <= 4; ++address)
+      EXPECT_GE(owned[address], std::floor(pool / 4)) << address;
+    EXPECT_LE(owned[1], std::ceil(pool / 4));
   }
 }
 
-// Whatever the order of claims, grants and acknowledgements.
+// For any order of claims, grants and acknowledgements.
 TEST(LeaseTable, RandomClaims_KeepOutstandingWithinPool) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
@@ -166,9 +170,9 @@
     Limit limit{"x", 1, LimitKind::hard, static_cast<double>(random() % 40)};
     const double pool = leasable_total(limit, settings);
     struct Holder {
-      std::uint32_t seen = 0;
+      std::uint32_t acknowledged = 0;
       double amount = 0;
-      std::vector<std::pair<std::uint32_t, double>> under_way;
+      std::vector<std::pair<std::uint32_t, double>> in_flight;
     };
     std::vector<Holder> holders(6);
     LeaseTable table;
@@ -177,32 +181,32 @@
     for (int step = 0; step < 300; ++step) {
       now += static_cast<Time>(random() % 500'000);
       const std::size_t i = random() % holders.size();
-      Holder& it = holders[i];
-      if (!it.under_way.empty() && random() % 2 == 0) {
-        const auto [grant, amount] = it.under_way[random() % it.under_way.size()];
-        if (grant > it.seen) {
-          it.seen = grant;
-          it.amount = amount;
+      Holder& claimer = holders[i];
+      if (!claimer.in_flight.empty() && random() % 2 == 0) {
+        const auto [grant, amount] = claimer.in_flight[random() % claimer.in_flight.size()];
+        if (grant > claimer.acknowledged) {
+          claimer.acknowledged = grant;
+          claimer.amount = amount;
         }
         continue;
       }
-      it.amount = std::min(it.amount, static_cast<double>(random() % 20));
+      claimer.amount = std::min(claimer.amount, static_cast<double>(random() % 20));
       const LimitItem item{.limit = 1,
                            .demand = static_cast<double>(random() % 20),
-                           .acknowledged_grant = it.seen,
-                           .amount = it.amount};
-      const auto got = table.claim(
+                           .acknowledged_grant = claimer.acknowledged,
+                           .amount = claimer.amount};
+      const auto amount_granted = table.claim(
           now, settings, limit, 6,
           {.holder = i + 1, .from = i + 1, .sequence = ++number, .item = item, .same_epoch = true},
           {.number = number, .duration = 3 * kSecond});
-      if (got) it.under_way.emplace_back(number, *got);
+      if (amount_granted) claimer.in_flight.emplace_back(number, *amount_granted);
       RC_ASSERT(table.outstanding(now) <= pool);
       for (std::size_t k = 0; k < holders.size(); ++k) RC_ASSERT(holders[k].amount <= pool);
     }
   });
 }
 
-// With the maximum number of limits, each claimed by its own datagram.
+// With the maximum number of limits, each claimed in a datagram of its own.
 TEST(LeaseProtocol, OneClaimForEachLimit_AllGrantsAreApplied) {
   Settings settings;
   settings.self = membership::numbered(1);
@@ -237,7 +241,7 @@
   EXPECT_EQ(core.counters().stale_grants, 0U);
 }
 
-Message some_message(std::mt19937_64& random) {
+Message random_message(std::mt19937_64& random) {
   Message out;
   out.kind = static_cast<Message::Kind>(random() % kMessageKinds);
   out.sender = random() | 1U;
@@ -259,7 +263,7 @@
 TEST(LeaseWire, EncodedMessage_DecodesEqualAndFitsItsBound) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    const Message message = some_message(random);
+    const Message message = random_message(random);
     const std::string payload = encode(message);
     const auto read = decode(payload);
     RC_ASSERT(read.has_value());
@@ -271,7 +275,7 @@
 TEST(LeaseWire, DamagedBytes_DecodeWithinBoundsOrNotAtAll) {
   rc::check([](std::uint64_t seed) {
     std::mt19937_64 random(seed);
-    std::string payload = encode(some_message(random));
+    std::string payload = encode(random_message(random));
     for (std::size_t i = 1 + random() % 4; i > 0; --i)
       payload[random() % payload.size()] = static_cast<char>(random());
     if (random() % 4 == 0) payload.resize(random() % payload.size());
--- a/tests/shares/protocol_digest_test.cpp
+++ b/tests/shares/protocol_digest_test.cpp
@@ -1,8 +1,9 @@
-// Holds the observable behaviour of the lease protocol still: every message's bytes, every change of a lease,
-// the wake-ups and the figures of 300 drawn fleets, as digests that were recorded on commit adb13e5.
+// Regression test of the observable behaviour of the lease protocol: the bytes of every message, every change
+// of a lease, the wake-ups and the counters of 300 simulated fleets must give the digests recorded at commit
+// adb13e5.
 //
-// Environment, for comparing two versions: STREAMPICK_DIGEST_DUMP=<seed> prints every event of one fleet,
-// STREAMPICK_DIGEST_SEEDS=<first>-<last> prints the digests of more fleets.
+// Environment variables for comparing two versions: STREAMPICK_DIGEST_DUMP=<seed> prints every event of one
+// fleet, STREAMPICK_DIGEST_SEEDS=<first>-<last> prints the digests of more fleets.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -24,7 +25,7 @@
 
 class ProtocolDigest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ProtocolDigest, DrawnFleets_SendAndLeaseWhatWasRecorded) {
+TEST_P(ProtocolDigest, RandomFleets_GiveRecordedDigests) {
   const std::uint64_t first = GetParam() * kFleetsInGroup;
   Digest group(false);
   std::string fleets;
@@ -37,7 +38,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Groups, ProtocolDigest, testing::Range<std::uint64_t>(0, kRecorded.size()));
 
-TEST(ProtocolDigestTool, PrintsWhatTheEnvironmentAsksFor) {
+TEST(ProtocolDigestTool, EqualSeeds_GiveEqualDigests) {
   if (const char* seed = std::getenv("STREAMPICK_DIGEST_DUMP"))
     DrawnWorld(std::strtoull(seed, nullptr, 10), true).run();
   if (const char* seeds = std::getenv("STREAMPICK_DIGEST_SEEDS")) {
@@ -48,7 +49,6 @@
       std::printf("%llu %llu\n", static_cast<unsigned long long>(seed),
                   static_cast<unsigned long long>(digest_of(seed)));
   }
-  // The same seed gives the same run.
   EXPECT_EQ(digest_of(1), digest_of(1));
 }
 
