--- a/src/engine/body_stream.cpp
+++ b/src/engine/body_stream.cpp
@@ -8,7 +8,7 @@
   buffer_ += bytes;
   writer_paused_ = buffer_.size() >= capacity_;
   if (!bytes.empty() && on_readable) on_readable();
-  // The reader may have read everything, or closed, meanwhile.
+  // The reader may have read everything, or closed its side, within on_readable().
   return reader_open_ && !writer_paused_;
 }
 
--- a/src/engine/body_stream.h
+++ b/src/engine/body_stream.h
@@ -3,7 +3,7 @@
 /// upstream to a downstream for a response, the other way round for an upload. No I/O; single-threaded.
 ///
 /// Flow control: write() returns false when the buffer is full, and `on_writable` is called when there is
-/// space again. A reader that found nothing is called by `on_readable`.
+/// space again. A reader that found nothing to read is notified by `on_readable`.
 ///
 /// `on_readable` is called from within the writer's calls, `on_writable` and `on_reader_closed` from within
 /// the reader's, which may be within a call of the engine: a writer must post its reaction to the event loop.
@@ -28,14 +28,16 @@
     truncated,  ///< the body ended early, or its length is not the announced one
   };
 
-  /// `length`: bytes in all; none: known only at the end. `capacity`: bytes that may be buffered.
+  /// `length`: the announced length in bytes; absent if it is known only at the end. `capacity`: number of
+  /// buffered bytes at which the writer must pause.
   BodyStream(std::optional<std::uint64_t> length, std::size_t capacity)
       : length_(length), capacity_(capacity) {}
 
   // ---- The writer's side
 
+  /// Called when there is space again after write() returned false.
   std::function<void()> on_writable;
-  /// The reader is gone: nothing may be written any more.
+  /// Called when the reader has closed its side: nothing may be written any more.
   std::function<void()> on_reader_closed;
   /// Returns whether there is space for more; if not, the writer waits for `on_writable`.
   bool write(std::string_view bytes);
@@ -44,10 +46,11 @@
 
   // ---- The reader's side
 
-  /// There are bytes to read, or the body has ended.
+  /// Called when there are bytes to read or the body has ended.
   std::function<void()> on_readable;
   [[nodiscard]] const std::optional<std::uint64_t>& length() const { return length_; }
-  /// Moves all buffered bytes into `bytes`, whose memory is reused. Returns false if there were none.
+  /// Moves all buffered bytes into `bytes` and reuses its memory as the buffer. Returns false if there were
+  /// none.
   bool read(std::string& bytes);
   /// `complete` shows only once all bytes were read, `truncated` at once.
   [[nodiscard]] State state() const {
--- a/src/engine/cache_fill_guard.h
+++ b/src/engine/cache_fill_guard.h
@@ -28,7 +28,7 @@
     if (slot.open_writes > 0) --slot.open_writes;
     slot.last_write = now;
   }
-  /// Whether a value whose read arrived at `read_arrived` may be stored.
+  /// Whether the value that answers a read request may be stored, if that request arrived at `read_arrived`.
   [[nodiscard]] bool may_store(std::uint64_t key, Time read_arrived) const {
     if (!slots_) return true;
     const Slot& slot = (*slots_)[key % kSlots];
--- a/src/engine/class_table.cpp
+++ b/src/engine/class_table.cpp
@@ -6,7 +6,8 @@
 namespace streampick::engine {
 namespace {
 
-// The name of a number that no settings name: no request can contain a line feed in its class.
+// Name of a class number that the current settings do not use. A class name in a request cannot contain a
+// line feed, so no request matches it.
 const std::string kUnnamed = "\n";
 
 bool is_first_of_its_name(const std::vector<std::string>& names, std::size_t index) {
@@ -22,19 +23,20 @@
 }
 
 void ClassTable::change(const std::vector<RequestClass>& rules, const std::vector<std::string>& names) {
-  const std::vector<std::string> before = std::exchange(names_, std::vector(names_.size(), kUnnamed));
+  const std::vector<std::string> former_names = std::exchange(names_, std::vector(names_.size(), kUnnamed));
   const auto former_number = [&](const std::string& name) {
-    return static_cast<std::size_t>(std::find(before.begin(), before.end(), name) - before.begin());
+    return static_cast<std::size_t>(std::find(former_names.begin(), former_names.end(), name) -
+                                    former_names.begin());
   };
-  // Unchanged classes keep their numbers before changed ones look for a free number.
+  // Unchanged classes keep their numbers first; after that, changed classes take free numbers.
   std::vector<std::size_t> changed;
   for (std::size_t i = 0; i < rules.size() && i < names.size(); ++i) {
     if (!is_first_of_its_name(names, i)) continue;
     const std::size_t number = former_number(names[i]);
-    const bool existed = number < before.size();
-    RequestClass same = rules[i];
-    if (existed) same.similar_class = rules_[number].similar_class;
-    if (existed && same == rules_[number]) {
+    const bool existed = number < former_names.size();
+    RequestClass candidate = rules[i];
+    if (existed) candidate.similar_class = rules_[number].similar_class;
+    if (existed && candidate == rules_[number]) {
       names_[number] = names[i];
     } else {
       changed.push_back(i);
@@ -44,7 +46,7 @@
     RequestClass next = rules[i];
     // The usual latency under the former rules is the starting point under the new ones.
     const std::size_t former = former_number(names[i]);
-    if (former < before.size()) next.similar_class = static_cast<std::uint32_t>(former);
+    if (former < former_names.size()) next.similar_class = static_cast<std::uint32_t>(former);
     set(free_number(), next, names[i]);
   }
 }
--- a/src/engine/class_table.h
+++ b/src/engine/class_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// Request classes by number, while settings change. No I/O.
+/// Maps request classes to numbers that stay valid while the settings change. No I/O.
 ///
 /// A class that does not change keeps its number; one whose rules change gets another number under the same
 /// name. A request keeps the rules that it arrived under, so a number is reused only once no settings name it
@@ -22,15 +22,17 @@
   void request_opened(std::uint32_t number) { ++open_requests_.at(number); }
   void request_closed(std::uint32_t number) { --open_requests_.at(number); }
 
-  /// Applies the classes of new settings. Of two with one name the first counts, as in look-ups by name.
+  /// Applies the classes of new settings. If two classes have the same name, the first one counts, as in
+  /// look-ups by name.
   void change(const std::vector<RequestClass>& rules, const std::vector<std::string>& names);
 
-  /// By number, including numbers that no settings name any more.
+  /// The rules by class number, including numbers that the current settings do not use.
   [[nodiscard]] const std::vector<RequestClass>& rules() const { return rules_; }
-  /// By number. A number without a class has a name that no request can contain.
+  /// The names by class number. A number without a class has a name that no request can contain.
   [[nodiscard]] const std::vector<std::string>& names() const { return names_; }
   [[nodiscard]] std::size_t open_requests(std::uint32_t number) const { return open_requests_.at(number); }
-  /// Of classes that are named or have open requests; kNever if one of them has no deadline.
+  /// The longest deadline, in microseconds, of the classes that are named or have open requests; kNever if
+  /// one of them has no deadline.
   [[nodiscard]] Time longest_deadline() const;
 
  private:
--- a/src/engine/counters.cpp
+++ b/src/engine/counters.cpp
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-// The words of this line are read by operators' tools: they stay as they are.
-std::string Counters::summary(const std::string& more) const {
+// Operators' tools parse the names in this line: they must not change.
+std::string Counters::summary(const std::string& extra_fields) const {
   std::string line = field("asked", requests);
   line += " " + field("served", served);
   line += " " + field("refused", refused);
@@ -23,7 +23,7 @@
   line += " " + field("guarded", deadline_guards);
   line += " " + field("attempts", attempts);
   line += " " + field("cancels", cancelled_attempts);
-  line += more + " outcomes:";
+  line += extra_fields + " outcomes:";
   for (std::size_t i = 0; i < kOutcomes; ++i) line += " " + field(kOutcomeNames[i], outcomes[i]);
   return line;
 }
--- a/src/engine/deadline_queue.h
+++ b/src/engine/deadline_queue.h
@@ -28,7 +28,7 @@
 /// Single-threaded; no clock, no I/O. The owner decides which entries are still pending.
 class DeadlineQueue {
  public:
-  /// Whether the attempt or request of the deadline has not ended yet.
+  /// Returns whether the attempt or request of the deadline has not ended yet.
   using IsPending = std::function<bool(const Deadline&)>;
 
   explicit DeadlineQueue(IsPending is_pending) : is_pending_(std::move(is_pending)) {}
@@ -41,7 +41,7 @@
   /// Removes and returns the next pending deadline that is due at `now`, if there is one.
   std::optional<Deadline> pop_due(Time now);
 
-  /// Moves all deadlines `length` microseconds nearer, which keeps their order.
+  /// Makes all deadlines `length` microseconds earlier, which keeps their order.
   void advance_all(Time length);
 
  private:
--- a/src/engine/downstream.h
+++ b/src/engine/downstream.h
@@ -31,11 +31,11 @@
 struct Response {
   enum class Kind : std::uint8_t {
     served,    ///< `answer` holds what the server sent
-    rejected,  ///< a retry by the client does no harm: nothing ran, or it may be repeated
-    failed,    ///< no promise about what ran
+    rejected,  ///< the client may safely retry: no attempt ran, or the request may be repeated
+    failed,    ///< an attempt may or may not have run
   };
   Kind kind = Kind::failed;
-  bool late = false;               ///< failed: at its deadline, not before
+  bool late = false;               ///< failed: the deadline had passed
   bool may_have_run = false;       ///< failed: some attempt may have run
   bool not_found = false;          ///< not served because the authoritative server has no such key
   Time retry_after = 0;            ///< rejected: earliest time for a retry, from now; 0: no advice
@@ -52,12 +52,12 @@
   /// Called once for each request, possibly from within RequestHandler::on_request() or another call into the
   /// engine; it must not call back into the RequestHandler. Does nothing when the client has disconnected.
   virtual void respond(std::uint64_t tag, Response response) = 0;
-  /// Whether the client has disconnected, even if on_client_cancelled() was not called yet. Asked right
-  /// before a byte is written on the client's behalf; it must not call back into the RequestHandler.
+  /// Whether the client has disconnected, even if on_client_cancelled() was not called yet. Called right
+  /// before a byte is written to a server for the client; it must not call back into the RequestHandler.
   virtual bool client_gone() { return false; }
 };
 
-/// What downstreams report to the engine.
+/// Receives the events of downstreams; implemented by the engine.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
@@ -72,11 +72,11 @@
   virtual void on_rejected_unread(std::uint32_t /*request_class*/) {}
 };
 
-/// What the engine tells a downstream.
+/// The engine's interface to a downstream.
 class Downstream {
  public:
   virtual ~Downstream() = default;
-  /// From now on each response closes its connection, and idle connections are closed.
+  /// Draining starts: from now on each response closes its connection, and idle connections are closed.
   virtual void on_drain_started() = 0;
   /// Draining ends: connections are kept open again.
   virtual void on_drain_ended() {}
@@ -84,9 +84,10 @@
   /// with other processes stops accepting now.
   virtual void on_shutdown_started() {}
   virtual void stop_accepting() = 0;
-  /// The last responses are being written: bytes that have arrived are still handled, then connections close.
+  /// The last responses are being written: bytes that have already arrived are still processed, then
+  /// connections are closed.
   virtual void stop_reading() {}
-  /// Connections with a request in progress or a response that is not written completely.
+  /// Number of connections with a request in progress or a response that is not written completely.
   [[nodiscard]] virtual std::size_t unanswered() const = 0;
   [[nodiscard]] virtual std::size_t open_connections() const = 0;
 };
--- a/src/engine/endpoint_discovery.h
+++ b/src/engine/endpoint_discovery.h
@@ -1,5 +1,5 @@
 /// \file
-/// Service discovery as the engine sees it: endpoint lists and changes of them, from any source.
+/// The engine's interface to service discovery: complete endpoint lists and changes, from any source.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
   Member member;        ///< its numeric id is set by the engine
 };
 
-/// A whole list, or the changes since the former one.
+/// A complete endpoint list, or the changes since the previous one.
 struct EndpointList {
   std::uint64_t revision = 0;
-  bool complete = false;  ///< a whole list
+  bool complete = false;  ///< whether this is a complete list, not only changes
   std::vector<ListedEndpoint> members;
 };
 
--- a/src/engine/endpoint_overrides.h
+++ b/src/engine/endpoint_overrides.h
@@ -15,7 +15,7 @@
   Time started = 0;  ///< start time, unless the list has a later one; 0: as listed
 };
 
-/// The overrides by server name. They stay in force, whatever endpoint lists say, until they are reset.
+/// The overrides by server name. They stay in force until they are reset, whatever endpoint lists contain.
 class EndpointOverrides {
  public:
   /// Replaces the override of `name`; a default value removes it.
--- a/src/engine/endpoint_registry.cpp
+++ b/src/engine/endpoint_registry.cpp
@@ -13,7 +13,7 @@
   ListChange change;
   std::vector<bool> named(endpoints_.size(), false);
   for (const ListedEndpoint& listed : list.members) {
-    // The departure of an unknown server changes nothing.
+    // The departure of an unknown server has no effect.
     if (listed.member.phase == Phase::gone && !ids_.contains(listed.id)) continue;
     const ServerId id = intern(listed);
     if (id < named.size()) named[id] = true;
@@ -67,7 +67,7 @@
 
 void EndpointRegistry::stop_sending(Endpoint& endpoint, Time now) {
   if (endpoint.upstream->sending_stops_at() > now) endpoint.upstream->stop_sending_at(now);
-  // Its idle connections will not be used again.
+  // The endpoint's idle connections will not be used again.
   endpoint.upstream->close_idle(kNever);
 }
 
--- a/src/engine/endpoint_registry.h
+++ b/src/engine/endpoint_registry.h
@@ -1,5 +1,5 @@
 /// \file
-/// The known servers by number, each with its Upstream.
+/// The known servers by ServerId, each with its Upstream.
 #pragma once
 
 #include <cstddef>
@@ -45,11 +45,11 @@
     std::vector<ServerId> departed;  ///< for forget_if_unused(), after Router::on_members()
   };
 
-  /// Applies a list or changes of one. From `now` on no request is sent to draining or departed servers.
+  /// Applies a complete list or changes. From `now` on no request is sent to draining or departed servers.
   ListChange apply(Update update, const EndpointList& list, Time now);
 
-  /// Sets an override, whose `started` is a Unix time here. Returns the member for Router::on_members() if
-  /// the server is listed.
+  /// Sets an override; `value.started` is a Unix time in microseconds. Returns the member for
+  /// Router::on_members() if the server is listed.
   std::optional<Member> set_override(const std::string& name, EndpointOverride value, Time now);
 
   /// Returns nullptr if the number is free or unknown.
@@ -82,15 +82,15 @@
   /// Invalidates `key` at each listed server that wants cache fills.
   void invalidate(const std::string& key);
 
-  /// The greatest number of servers that were known at a time.
+  /// Number of allocated ServerIds: the most servers that were known at the same time.
   [[nodiscard]] std::size_t size() const { return endpoints_.size(); }
 
  private:
   ServerId intern(const ListedEndpoint& listed);
   Member update_endpoint(ServerId id, const ListedEndpoint& listed, Time now);
-  /// No request is sent there from `now` on; attempts that wait for a connection end as not sent. The
-  /// protocol allows a grace period after the notification, but the watch may have been silent for an unknown
-  /// part of it.
+  /// Sends no request to the endpoint from `now` on; attempts that wait for a connection end as not sent. The
+  /// discovery protocol allows a grace period after a server's departure, but the notification may have been
+  /// delayed by an unknown part of it.
   void stop_sending(Endpoint& endpoint, Time now);
 
   UpstreamFactory& upstream_factory_;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Time kSecond = 1'000'000;
-// Maximum duration of an upload. The downstream ends one that is too slow earlier.
+// Maximum duration of an upload. The downstream aborts an upload that is too slow earlier.
 constexpr Time kMaxUploadTime = 600 * kSecond;
 
 RequestMetrics::Result result_of(Response::Kind kind) {
@@ -31,7 +31,7 @@
       endpoints_(time, upstream_factory, settings.config.cache_aside ? settings.config.origin_kind : kNone),
       deadlines_([this](const Deadline& deadline) { return is_pending(deadline); }),
       wakeups_(time, [this] { wake(); }),
-      second_timer_(time.timer([this] { every_second(); })),
+      periodic_timer_(time.timer([this] { run_periodic_tasks(); })),
       shutdown_timer_(time.timer([this] { end_shutdown_phase(); })) {
   bind_class_metrics();
   router_.emplace(settings.config, settings.seed, time_.now(), *this);
@@ -42,8 +42,8 @@
 void Engine::start(EndpointDiscovery& discovery, const EndpointList& known) {
   discovery_ = &discovery;
   apply(Update::stale, known);
-  second_timer_->set(time_.now() + kSecond);
-  settle();
+  periodic_timer_->set(time_.now() + kSecond);
+  process_pending_events();
 }
 
 void Engine::add(Downstream& downstream) {
@@ -79,7 +79,7 @@
     cache_fill_guard_.write_began(opened.key, now);
   run_missed_ticks();
   pass_to_router(id, opened, incoming);
-  settle();
+  process_pending_events();
   return id;
 }
 
@@ -135,7 +135,7 @@
     attempt.expires = open->deadline;
     deadlines_.add({open->deadline, request, number});
   }
-  settle();
+  process_pending_events();
 }
 
 void Engine::on_rejected_unread(std::uint32_t request_class) {
@@ -154,13 +154,13 @@
   cancel_unsent(request, *open);
   router_->on_cancelled(time_.now(), request);
   remove_if_done(request);
-  settle();
+  process_pending_events();
 }
 
 // Must not be called from within the Router's actions.
 void Engine::cancel_disconnected() {
-  const auto gone = std::exchange(disconnected_requests_, {});
-  for (const RequestId request : gone) on_client_cancelled(request);
+  const auto disconnected = std::exchange(disconnected_requests_, {});
+  for (const RequestId request : disconnected) on_client_cancelled(request);
 }
 
 // The only place where a request ends with a response; no further attempt is sent for it.
@@ -201,7 +201,7 @@
   router_->on_cancelled(time_.now(), request);
 }
 
-// The rest of the body is not needed.
+// Closes the upload: the rest of its body is not needed.
 void Engine::end_upload(const OpenRequest& open) {
   if (open.message->upload) open.message->upload->close_reader();
 }
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,5 +1,5 @@
 /// \file
-/// The engine: takes each request, of any protocol, through the decision module.
+/// The engine: passes each request, of any protocol, to the decision module and carries out its decisions.
 #pragma once
 
 #include <cstdint>
@@ -33,8 +33,8 @@
 struct EngineSettings {
   Config config;
   std::uint64_t seed = 0;
-  /// Whether no connection is open. If set, an engine without open requests whose connections are closed too
-  /// schedules no wake-ups; missed timer ticks are run with the next event. Empty: timers always run.
+  /// Returns whether no connection is open. If set, an engine with neither open requests nor open connections
+  /// schedules no wake-ups; missed timer ticks are run before the next event. Empty: timers always run.
   std::function<bool()> is_idle = {};
   /// Names of the classes, for the metrics. Empty: requests are counted under the name "".
   std::vector<std::string> classes = {};
@@ -45,7 +45,7 @@
 /// from a TimeSource.
 ///
 /// Single-threaded. The Router is never called from within its own actions: attempts that end meanwhile are
-/// queued and reported by settle().
+/// queued and reported by process_pending_events().
 class Engine final : public ActionSink,
                      public RequestHandler,
                      public EndpointListObserver,
@@ -93,21 +93,23 @@
 
   [[nodiscard]] const Counters& counts() const { return counters_; }
   [[nodiscard]] const RequestMetrics& metrics() const { return metrics_; }
-  /// Requests by tenant since count_by_tenant(), which is called only if somebody reads them.
+  /// Starts counting requests by tenant. Called only if requests_by_tenant() is read.
   void count_by_tenant() { requests_by_tenant_.assign(config_.tenants.size(), 0); }
   [[nodiscard]] const std::vector<std::uint64_t>& requests_by_tenant() const { return requests_by_tenant_; }
-  /// The greatest number of servers that were listed at a time.
+  /// The most servers that were known at the same time.
   [[nodiscard]] std::size_t servers() const { return endpoints_.size(); }
-  /// The counts in one line, with `more` in their midst.
-  [[nodiscard]] std::string summary(const std::string& more) const { return counters_.summary(more); }
+  /// The counters in one line; `extra_fields` is inserted before the outcomes of attempts.
+  [[nodiscard]] std::string summary(const std::string& extra_fields) const {
+    return counters_.summary(extra_fields);
+  }
 
   // ---- The process
 
-  /// Starts a graceful shutdown (see Shutdown) and calls `done` at its end.
+  /// Starts a graceful shutdown (see Shutdown) and calls `done` when it is complete.
   void shut_down(std::function<void()> done);
-  /// The process was suspended for `length` microseconds of real time: clients' deadlines are that much
-  /// nearer, and requests past theirs fail now. Idle connections are closed, since they may have been lost
-  /// unnoticed.
+  /// Accounts for a suspension of the process that lasted `length` microseconds of real time, which now() did
+  /// not count: makes all deadlines that much earlier, and fails requests that are past their deadline.
+  /// Closes idle connections, since the server may have closed them unnoticed.
   void process_suspended(Time length);
   /// Closes an idle upstream connection. Returns whether there was one.
   bool evict_idle_connection() { return endpoints_.evict_idle_connection(); }
@@ -150,7 +152,7 @@
   OpenRequest& open(RequestId id, const std::shared_ptr<ResponseSink>& response_sink,
                     IncomingRequest& incoming);
   void pass_to_router(RequestId id, const OpenRequest& open, const IncomingRequest& incoming);
-  void answer(RequestId request, Response reply);
+  void answer(RequestId request, Response response);
   void fail_late(RequestId request);
   void remove_if_done(RequestId request);
   void cancel_disconnected();
@@ -168,13 +170,13 @@
   void apply(Update update, const EndpointList& list);
 
   // Time
-  void settle();
-  void arm();
+  void process_pending_events();
+  void schedule_wakeup();
   void wake();
   void run_missed_ticks();
   [[nodiscard]] bool is_pending(const Deadline& deadline) const;
   void guard_deadline(RequestId request);
-  void every_second();
+  void run_periodic_tasks();
 
   // Settings and shutdown
   void bind_class_metrics();
@@ -187,7 +189,7 @@
   TimeSource& time_;
   Log log_;
   EndpointDiscovery* discovery_ = nullptr;
-  bool discovery_lost_ = false;  // no list has come since the last failure
+  bool discovery_lost_ = false;  // no list has arrived since the last failure
   std::vector<Downstream*> downstreams_;
   bool draining_ = false;
 
@@ -198,23 +200,24 @@
   std::optional<Router> router_;
   EndpointRegistry endpoints_;
 
-  std::pmr::unsynchronized_pool_resource pool_;  // of the maps: entries come and go with every request
+  // Memory of the maps below, whose entries are added and removed with every request.
+  std::pmr::unsynchronized_pool_resource pool_;
   std::pmr::unordered_map<RequestId, OpenRequest> requests_{&pool_};
   TransactionIds transactions_{&pool_};
   RequestId last_request_ = 0;
   std::deque<EndedAttempt> ended_attempts_;
-  std::vector<RequestId>
-      disconnected_requests_;  // whose clients were seen to have gone, and that are not withdrawn yet
-  bool settling_ = false;
+  // Requests whose client was found to have disconnected and that are not cancelled yet.
+  std::vector<RequestId> disconnected_requests_;
+  bool is_processing_events_ = false;
   CacheFillGuard cache_fill_guard_;
 
   DeadlineQueue deadlines_;
   WakeupScheduler wakeups_;
-  std::unique_ptr<Timer> second_timer_;
-  bool second_armed_ = true;
+  std::unique_ptr<Timer> periodic_timer_;
+  bool periodic_timer_armed_ = true;
   Shutdown shutdown_;
   std::unique_ptr<Timer> shutdown_timer_;
-  std::function<void()> done_;
+  std::function<void()> on_shutdown_complete_;
 
   Counters counters_;
   RequestMetrics metrics_;
--- a/src/engine/engine_attempts.cpp
+++ b/src/engine/engine_attempts.cpp
@@ -29,15 +29,14 @@
   if (endpoints_.find(attempt.server) == nullptr || open.finished || open.client_gone) return false;
   if (std::min(attempt.expires, begin_by) <= time_.now()) return false;
   const bool is_first = id.number == 0;
-  // A streamed body that was read in part cannot be sent again.
+  // A streamed body that was partly read cannot be sent again.
   if (!is_first && open.message->body_consumed()) return false;
   // A further attempt may need a new connection, which is not opened for a disconnected client.
   return is_first || may_write(id).has_value();
 }
 
-// The event loop may reach an attempt before it reaches the close of the client's connection, in whatever
-// order both became ready. Upstreams therefore ask here before each write, and the client's socket is
-// checked.
+// The event loop may process an attempt before it processes the client's disconnect, whichever of the two
+// became ready first. Upstreams therefore call this before each write, and it checks the client's socket.
 std::optional<Time> Engine::may_write(AttemptId id) {
   OpenRequest* const open = find(id.request);
   if (open == nullptr || open->finished || open->client_gone) return std::nullopt;
@@ -64,11 +63,11 @@
   const AttemptRecord* const attempt = find(id);
   if (attempt == nullptr || !attempt->live) return;
   ++counters_.cancelled_attempts;
-  // An unfinished request is sent again, and its former attempt must not still be running: its connection is
-  // closed.
-  const auto why = find(request)->finished ? CancelReason::no_longer_needed : CancelReason::timed_out;
+  // If the request is not finished, it is sent again, and its former attempt must not continue: the reason
+  // makes the upstream close the connection.
+  const auto reason = find(request)->finished ? CancelReason::no_longer_needed : CancelReason::timed_out;
   const Endpoint* const endpoint = endpoints_.find(attempt->server);
-  if (endpoint != nullptr) endpoint->upstream->cancel(id, why);
+  if (endpoint != nullptr) endpoint->upstream->cancel(id, reason);
   ended_attempts_.push_back({id, Outcome::cancelled});
 }
 
@@ -85,10 +84,10 @@
     open.error_message = std::move(answered.body);
   }
   report(id, outcome);
-  settle();
+  process_pending_events();
 }
 
-// Reports the end of an attempt to the Router, once, also if its request is finished.
+// Reports the end of an attempt to the Router exactly once, even if the request is already finished.
 void Engine::report(AttemptId id, Outcome outcome) {
   if (id.number == kNone) return remove_if_done(id.request);
   AttemptRecord* const attempt = find(id);
@@ -100,7 +99,7 @@
   if (!attempt->never_ran) open.may_have_run = true;
   ++counters_.outcomes[static_cast<std::size_t>(outcome)];
   const ServerId server = attempt->server;
-  // A key that the origin lacks does not exist; without an origin, one that any server lacks.
+  // A key does not exist if the origin lacks it or, without an origin, if any server lacks it.
   const Endpoint* const endpoint = endpoints_.find(server);
   if (attempt->missed && (!has_origin_ || (endpoint != nullptr && endpoint->is_origin)))
     open.not_found = true;
@@ -123,8 +122,8 @@
   router_->on_result(now, result);
 }
 
-// Stores at cache servers what they missed and the origin answered. Off the request's path: the upstream
-// queues the value within a bound, and drops it when the queue is full.
+// Stores a value from the origin at the cache servers that reported a miss for it. Does not delay the
+// request: the upstream has a bounded queue of values, and drops the value when the queue is full.
 void Engine::fill_caches(const OpenRequest& open, const Answer& answer) {
   const Message& message = *open.message;
   const bool is_plain_read = message.operation == Operation::read && message.words.empty();
--- a/src/engine/engine_control.cpp
+++ b/src/engine/engine_control.cpp
@@ -16,7 +16,7 @@
 void Engine::bind_class_metrics() {
   metrics_by_class_.resize(classes_.names().size());
   for (std::size_t number = 0; number < metrics_by_class_.size(); ++number) {
-    // A number that no settings name any more keeps the counts of its last class.
+    // A class number that the settings no longer use keeps the counts of its last class.
     const std::string& name = classes_.names()[number];
     const bool unnamed = name == "\n";
     if (unnamed && metrics_by_class_[number] != nullptr) continue;
@@ -39,7 +39,7 @@
   classes_ = std::move(next);
   config_ = std::move(config);
   bind_class_metrics();
-  settle();
+  process_pending_events();
 }
 
 void Engine::set_routers(std::uint32_t routers) {
@@ -50,13 +50,13 @@
   next.classes = classes_.rules();
   router_->on_config(time_.now(), next);
   config_.routers = routers;
-  settle();
+  process_pending_events();
 }
 
 void Engine::set_shares(Shares shares) {
   run_missed_ticks();
   router_->on_shares(time_.now(), std::move(shares));
-  settle();
+  process_pending_events();
 }
 
 // ---- Endpoint lists
@@ -64,7 +64,7 @@
 void Engine::apply(Update update, const EndpointList& list) {
   const EndpointRegistry::ListChange change = endpoints_.apply(update, list, time_.now());
   router_->on_members(time_.now(), update, change.members);
-  settle();
+  process_pending_events();
   for (const ServerId id : change.departed) endpoints_.forget_if_unused(id);
 }
 
@@ -72,14 +72,14 @@
   run_missed_ticks();
   discovery_lost_ = false;
   apply(list.complete ? Update::full : Update::changes, list);
-  settle();
+  process_pending_events();
 }
 
 void Engine::on_discovery_failed() {
   run_missed_ticks();
   discovery_lost_ = true;
   router_->on_members(time_.now(), Update::failed, {});
-  settle();
+  process_pending_events();
 }
 
 void Engine::poll_discovery() {
@@ -93,9 +93,9 @@
   const std::optional<Member> member = endpoints_.set_override(name, {is_disabled, started}, time_.now());
   if (!member) return;
   router_->on_members(time_.now(), Update::changes, {&*member, 1});
-  // The override is no answer from discovery: a failed poll is still to be retried.
+  // An override is not an answer from discovery: the Router must still retry a failed poll.
   if (discovery_lost_) router_->on_members(time_.now(), Update::failed, {});
-  settle();
+  process_pending_events();
 }
 
 EndpointRegistry::Counts Engine::endpoint_counts() const {
@@ -116,10 +116,11 @@
 
 // ---- Time
 
-// Reports what ended during the Router's actions, once the Router is not in a call.
-void Engine::settle() {
-  if (settling_) return;
-  settling_ = true;
+// Reports attempts that ended and clients that disconnected during the Router's actions, which must not call
+// back into the Router. Then schedules the next wake-up.
+void Engine::process_pending_events() {
+  if (is_processing_events_) return;
+  is_processing_events_ = true;
   while (!ended_attempts_.empty() || !disconnected_requests_.empty()) {
     if (!disconnected_requests_.empty()) {
       cancel_disconnected();
@@ -129,23 +130,23 @@
     ended_attempts_.pop_front();
     report(next.attempt, next.outcome);
   }
-  settling_ = false;
-  arm();
+  is_processing_events_ = false;
+  schedule_wakeup();
   finish_if_drained();
 }
 
-void Engine::arm() {
+void Engine::schedule_wakeup() {
   if (is_idle_ && requests_.empty()) {
-    wakeups_.rest();
+    wakeups_.disarm();
     return;
   }
   wakeups_.wake_by(std::min(router_->next_wakeup(), deadlines_.next_time()));
 }
 
 void Engine::run_missed_ticks() {
-  if (!is_idle_ || !wakeups_.resting()) return;
+  if (!is_idle_ || !wakeups_.is_disarmed()) return;
   engine::run_missed_ticks(*router_, time_.now());
-  if (!second_armed_) every_second();
+  if (!periodic_timer_armed_) run_periodic_tasks();
 }
 
 bool Engine::is_pending(const Deadline& deadline) const {
@@ -167,16 +168,17 @@
     endpoints_.find(find(id)->server)->upstream->cancel(id, CancelReason::timed_out);
     ended_attempts_.push_back({id, Outcome::timeout});
   }
-  settle();
+  process_pending_events();
   if (router_->next_wakeup() <= now) router_->on_wakeup(now);
-  settle();
-  // Last: after a stall both may be due at once, and the Router's answer takes precedence.
+  process_pending_events();
+  // The deadline guard comes last: after a stall both may be due at once, and the Router's answer takes
+  // precedence.
   for (const RequestId request : to_guard) guard_deadline(request);
-  settle();
+  process_pending_events();
 }
 
-// The Router must finish each request by its deadline. If it does not, which is a fault of the Router, the
-// client gets a response all the same and the fault is logged.
+// The Router must finish each request by its deadline. If a fault of the Router prevents that, this sends the
+// response and logs the fault.
 void Engine::guard_deadline(RequestId request) {
   const OpenRequest* const open = find(request);
   if (open == nullptr || open->finished) return;
@@ -188,31 +190,32 @@
 
 void Engine::process_suspended(Time length) {
   const Time now = time_.now();
-  std::vector<RequestId> late;
+  std::vector<RequestId> overdue;
   for (auto& [id, open] : requests_) {
     open.deadline -= length;
     open.guard_at -= length;
     open.deadline_moved = true;
     for (AttemptRecord& attempt : open.attempts) attempt.expires -= length;
-    if (!open.finished && open.deadline <= now) late.push_back(id);
+    if (!open.finished && open.deadline <= now) overdue.push_back(id);
   }
   deadlines_.advance_all(length);
-  for (const RequestId id : late) fail_late(id);
+  for (const RequestId id : overdue) fail_late(id);
   endpoints_.close_idle(kNever);
   wakeups_.forget_armed_time();
-  settle();
+  process_pending_events();
 }
 
-void Engine::every_second() {
+void Engine::run_periodic_tasks() {
   const Time now = time_.now();
   const Time keep_alive = config_.keep_alive;
-  // Closed shortly before the server would: a request that crosses the server's close is lost.
+  // Closes idle connections shortly before the server does: a request sent while the server closes its
+  // connection is lost.
   if (keep_alive > 0) endpoints_.close_idle(now - std::max(keep_alive - 2 * kSecond, keep_alive * 8 / 10));
   endpoints_.forget_unused();  // the last streamed response of a departed server may be complete
   transactions_.forget_old(now);
-  second_armed_ = !is_idle_ || !requests_.empty() || !is_idle_();
-  if (second_armed_) second_timer_->set(now + kSecond);
-  settle();
+  periodic_timer_armed_ = !is_idle_ || !requests_.empty() || !is_idle_();
+  if (periodic_timer_armed_) periodic_timer_->set(now + kSecond);
+  process_pending_events();
 }
 
 // ---- Shutdown
@@ -222,14 +225,14 @@
 }
 
 std::size_t Engine::unanswered() const {
-  std::size_t all = 0;
-  for (const Downstream* const downstream : downstreams_) all += downstream->unanswered();
-  return all;
+  std::size_t total = 0;
+  for (const Downstream* const downstream : downstreams_) total += downstream->unanswered();
+  return total;
 }
 
 void Engine::shut_down(std::function<void()> done) {
   if (shutdown_.started()) return;
-  done_ = std::move(done);
+  on_shutdown_complete_ = std::move(done);
   shutdown_.start(time_.now(), classes_.longest_deadline());
   for (Downstream* const downstream : downstreams_) downstream->on_shutdown_started();
   notify_drain_started();
@@ -251,11 +254,11 @@
       fail_all_open();
       for (Downstream* const downstream : downstreams_) downstream->stop_reading();
       shutdown_timer_->set(shutdown_.phase_end());
-      settle();
+      process_pending_events();
       break;
     case ShutdownPhase::over:
-      // Clients that do not read their responses are not waited for any longer.
-      if (done_) std::exchange(done_, nullptr)();
+      // Does not wait any longer for clients that do not read their responses.
+      if (on_shutdown_complete_) std::exchange(on_shutdown_complete_, nullptr)();
       break;
   }
 }
@@ -268,9 +271,9 @@
 }
 
 void Engine::finish_if_drained() {
-  if (!done_ || !shutdown_.may_finish() || unanswered() > 0) return;
+  if (!on_shutdown_complete_ || !shutdown_.may_finish() || unanswered() > 0) return;
   shutdown_timer_->cancel();
-  std::exchange(done_, nullptr)();
+  std::exchange(on_shutdown_complete_, nullptr)();
 }
 
 }  // namespace streampick::engine
--- a/src/engine/keys.h
+++ b/src/engine/keys.h
@@ -1,5 +1,6 @@
 /// \file
-/// Keys in request targets, and their hashes: the same for all downstreams, so that a key has one hash.
+/// Keys in request targets, and their hashes. Shared by all downstreams, so that a key has the same hash in
+/// every protocol.
 #pragma once
 
 #include <array>
@@ -21,13 +22,13 @@
 
 /// Percent-encodes a key for use as a path segment (RFC 3986, section 3.3).
 inline std::string escape_key(std::string_view key) {
-  constexpr std::string_view plain = "-._~!$&'()*+,;=:@";
+  constexpr std::string_view unescaped_punctuation = "-._~!$&'()*+,;=:@";
   std::string out;
   out.reserve(key.size());
   for (const char c : key) {
-    const bool as_it_is = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                          plain.find(c) != std::string_view::npos;
-    if (as_it_is) {
+    const bool is_unescaped = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                              unescaped_punctuation.find(c) != std::string_view::npos;
+    if (is_unescaped) {
       out += c;
     } else {
       const auto byte = static_cast<unsigned char>(c);
@@ -39,7 +40,8 @@
   return out;
 }
 
-/// The hash of a percent-encoded key: the value of 16 hexadecimal digits, the hash of anything else.
+/// The 64-bit number of a percent-encoded key: the value of a key of 16 hexadecimal digits, and the hash of
+/// any other key.
 inline std::uint64_t key_number(std::string_view escaped) {
   std::uint64_t value = 0;
   const char* end = escaped.data() + escaped.size();
--- a/src/engine/message.h
+++ b/src/engine/message.h
@@ -14,8 +14,8 @@
 
 namespace streampick::engine {
 
-/// Reads and writes of a key's value can be sent to any server. The other two are commands of the client's
-/// own protocol; an upstream of another protocol rejects them.
+/// `read` and `write` of a key's value can be sent to any server. `other_read` and `other_write` are commands
+/// of the client's own protocol; an upstream of another protocol rejects them.
 enum class Operation : std::uint8_t { read, write, other_read, other_write };
 
 constexpr bool is_write(Operation operation) {
@@ -56,21 +56,21 @@
   std::string idempotency_key;    ///< empty: none
   std::string content_type;       ///< of the body; empty: not given
   std::string body;               ///< of a write, unless it is streamed
-  MemoryReservation memory = {};  ///< for a body over the usual size
-  /// The body of a write that is too long to be buffered. Once a part of it was read, the request cannot be
+  MemoryReservation memory = {};  ///< of a body that exceeds the usual size
+  /// The body of a write that is too long to be buffered. Once part of it was read, the request cannot be
   /// sent again.
   std::shared_ptr<BodyStream> upload = {};
-  std::string key;  ///< the part of the target that names the object
-  /// The command's words, where key and body do not say all of it. A server of another protocol can still
-  /// answer a plain read with the value.
+  std::string key;  ///< the part of the target that identifies the object
+  /// The words of the client's command, if `key` and `body` do not express all of it. A server of another
+  /// protocol can still answer a plain read with the value.
   std::vector<std::string> words;
-  bool accepts_streaming = false;  ///< the client can receive an answer's body while it still arrives
-  bool repeatable = false;         ///< may be sent again, whatever became of earlier attempts
+  bool accepts_streaming = false;  ///< the client accepts a body that is forwarded while it arrives
+  bool repeatable = false;         ///< may be sent again, whatever the outcome of earlier attempts
 
   [[nodiscard]] bool body_consumed() const { return upload && upload->bytes_read() > 0; }
 };
 
-/// What a server answered.
+/// A server's answer.
 struct Answer {
   enum class Form : std::uint8_t {
     value,
@@ -81,7 +81,7 @@
   };
   std::string content_type;
   std::string body;
-  MemoryReservation memory = {};  ///< for a body over the usual size
+  MemoryReservation memory = {};  ///< of a body that exceeds the usual size
   Form form = Form::value;
   std::int64_t count = 0;  ///< of Form::count
   BodyReader stream = {};  ///< the body, if it is streamed; `body` is empty then
--- a/src/engine/open_request.cpp
+++ b/src/engine/open_request.cpp
@@ -16,9 +16,9 @@
                      [](const AttemptRecord& attempt) { return attempt.live; });
 }
 
-void OpenRequest::set_deadline(Time gives_up) {
-  deadline = gives_up - answer_margin(client_timeout);
-  guard_at = gives_up - std::min(kMaxGuardMargin, client_timeout / 25);
+void OpenRequest::set_deadline(Time client_timeout_at) {
+  deadline = client_timeout_at - answer_margin(client_timeout);
+  guard_at = client_timeout_at - std::min(kMaxGuardMargin, client_timeout / 25);
 }
 
 Time answer_margin(Time client_timeout) { return std::min(kMaxAnswerMargin, client_timeout / 10); }
--- a/src/engine/open_request.h
+++ b/src/engine/open_request.h
@@ -35,7 +35,7 @@
   Time client_timeout = 0;  ///< how long the client waits, from the request's last byte
   Time arrived = 0;
   Time deadline = 0;          ///< attempts end by then, so that the response reaches the client in time
-  Time guard_at = 0;          ///< the deadline guard answers then
+  Time guard_at = 0;          ///< time at which the deadline guard answers
   std::string error_message;  ///< a server's text about an invalid request
   RequestMetrics::InFlight in_flight;
   boost::container::small_vector<AttemptRecord, 4> attempts;
@@ -43,14 +43,14 @@
   bool may_have_run = false;
   bool not_found = false;       ///< the key does not exist
   bool deadline_moved = false;  ///< the deadline is no longer the one that the Router was given
-  bool client_gone = false;     ///< found before a write; cancelled once the Router is not in a call
+  bool client_gone = false;     ///< the client was found to have disconnected; not cancelled yet
 
   /// Whether some attempt has not ended.
   [[nodiscard]] bool has_live_attempt() const;
 
-  /// Sets `deadline` and `guard_at` for a client that gives up at `gives_up`. The response must arrive
-  /// before, so the deadline is earlier, and the deadline guard acts between the two.
-  void set_deadline(Time gives_up);
+  /// Sets `deadline` and `guard_at` for a client that stops waiting at `client_timeout_at`. The response must
+  /// arrive before, so the deadline is earlier, and the deadline guard acts between the two.
+  void set_deadline(Time client_timeout_at);
 };
 
 /// Time reserved at the end of a client's timeout for the response to reach it.
--- a/src/engine/request_metrics.h
+++ b/src/engine/request_metrics.h
@@ -1,6 +1,6 @@
 /// \file
-/// Results of requests by class. Each request is counted once, when its response was written or can no longer
-/// be written. No I/O; single-threaded.
+/// Numbers of served, rejected and failed requests by class. Each request is counted once, when its response
+/// was written or can no longer be written. No I/O; single-threaded.
 #pragma once
 
 #include <cstddef>
--- a/src/engine/server_starts.cpp
+++ b/src/engine/server_starts.cpp
@@ -37,7 +37,7 @@
   return found == starts_.end() || found->second.unix_time != listed.member.started;
 }
 
-// Whether a new start is, by the wall clock, earlier than this list could report it.
+// Whether a new start is, by the wall clock, so early that an earlier list would have contained it.
 bool ServerStarts::predates_list(const ListedEndpoint& listed) const {
   if (listed.member.started <= 0 || listed.member.phase == Phase::gone) return false;
   return is_new(listed) && to_monotonic(listed.member.started) < last_list_ - kListLag;
@@ -46,15 +46,16 @@
 bool ServerStarts::is_catching_up(const EndpointList& list) {
   const Time now = time_.now();
   if (!first_list_) first_list_ = now;
-  const bool first_whole_list = list.complete && !had_whole_list_;
-  had_whole_list_ = had_whole_list_ || list.complete;
-  return first_whole_list || (now - *first_list_ <= kCatchUp && now - began_ <= kListLag);
+  const bool is_first_complete_list = list.complete && !had_complete_list_;
+  had_complete_list_ = had_complete_list_ || list.complete;
+  return is_first_complete_list || (now - *first_list_ <= kCatchUp && now - created_at_ <= kListLag);
 }
 
 bool ServerStarts::is_from_another_source(const EndpointList& list) const {
-  const auto late = std::count_if(list.members.begin(), list.members.end(),
-                                  [this](const ListedEndpoint& listed) { return predates_list(listed); });
-  return static_cast<std::size_t>(late) > listed_;
+  const auto predating =
+      std::count_if(list.members.begin(), list.members.end(),
+                    [this](const ListedEndpoint& listed) { return predates_list(listed); });
+  return static_cast<std::size_t>(predating) > listed_;
 }
 
 void ServerStarts::convert(const EndpointList& list, bool trust_old_starts) {
--- a/src/engine/shutdown.cpp
+++ b/src/engine/shutdown.cpp
@@ -6,13 +6,13 @@
 namespace {
 
 constexpr Time kMillisecond = 1'000;
-// From the signal until nothing more is accepted.
+// From the signal until no more connections are accepted.
 constexpr Time kAcceptDuration = 500 * kMillisecond;
 // From the longest deadline until open requests fail.
 constexpr Time kMarginAfterDeadline = 400 * kMillisecond;
 // From the signal until open requests fail, at most.
 constexpr Time kMaxAnswerDuration = 3'200 * kMillisecond;
-// For writing the last responses.
+// From the failure of open requests until the process exits, for writing the last responses.
 constexpr Time kLastWritesDuration = 200 * kMillisecond;
 
 }  // namespace
--- a/src/engine/shutdown.h
+++ b/src/engine/shutdown.h
@@ -11,9 +11,9 @@
 enum class ShutdownPhase : std::uint8_t {
   running,      ///< no signal yet
   accepting,    ///< new connections are accepted, since clients learn of the shutdown a little later
-  answering,    ///< nothing new is accepted; open requests are answered
+  answering,    ///< no new connection is accepted; open requests are answered
   last_writes,  ///< all requests have their response; the last ones are being written
-  over,         ///< the process exits, whatever is open
+  over,         ///< the process exits, even if connections are open
 };
 
 /// Computes the phases of a shutdown. The platform kills the process 0.7 s after the longest deadline of its
--- a/src/engine/transaction_ids.cpp
+++ b/src/engine/transaction_ids.cpp
@@ -5,7 +5,7 @@
 namespace streampick::engine {
 namespace {
 
-constexpr Time kRememberEnded = 2'000'000;  // microseconds
+constexpr Time kRememberEnded = 2'000'000;  // microseconds from a request's end until its id is freed
 constexpr std::size_t kMaxEnded = 4096;
 
 }  // namespace
--- a/src/engine/upstream.h
+++ b/src/engine/upstream.h
@@ -18,7 +18,7 @@
   virtual ~AttemptObserver() = default;
   /// Called once for each attempt that was not cancelled, never from within Upstream::send().
   virtual void on_attempt_ended(AttemptId attempt, Outcome outcome, Answer answer) = 0;
-  /// Asked right before the first byte of an attempt is written, and before writing resumes after a partial
+  /// Called right before the first byte of an attempt is written, and before writing resumes after a partial
   /// write. Returns the latest deadline that the server may be told, or nothing if no byte may be written
   /// because the client has disconnected or the request is finished. The attempt then ends as not sent.
   virtual std::optional<Time> may_write(AttemptId /*attempt*/) { return kNever; }
@@ -26,7 +26,7 @@
 
 enum class CancelReason : std::uint8_t {
   no_longer_needed,  ///< the request is finished; the response may well be on its way
-  timed_out,         ///< no response came in time
+  timed_out,         ///< no response arrived in time
 };
 
 /// Connections to one server, in one protocol.
@@ -50,11 +50,11 @@
   virtual bool close_oldest_idle() = 0;
   /// Whether a response body is still being streamed. Its attempt ended with the first byte.
   [[nodiscard]] virtual bool has_streaming_response() const { return false; }
-  /// Whether the router must store at this cache server what it missed and the origin answered.
+  /// Whether the router must store values from the origin at this cache server after a miss there.
   [[nodiscard]] virtual bool wants_cache_fills() const { return false; }
   /// Stores a value, at low priority and within a bounded queue.
   virtual void fill_cache(const std::string& /*key*/, const std::string& /*value*/) {}
-  /// Removes the server's value of a key as soon as possible, since it may be stale.
+  /// Removes the value of a key from the server as soon as possible, since it may be stale.
   virtual void invalidate(const std::string& /*key*/) {}
 
   /// No request's first byte is written at `time` or later; kNever lifts the limit. At that time attempts
--- a/src/engine/wakeup_scheduler.cpp
+++ b/src/engine/wakeup_scheduler.cpp
@@ -5,7 +5,7 @@
 namespace streampick::engine {
 namespace {
 
-constexpr int kMaxMissedTicks = 600;  // two minutes of the Router's ticks
+constexpr int kMaxMissedTicks = 600;  // two minutes, at the interval of the Router's ticks
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   timer_->set(at);
 }
 
-void WakeupScheduler::rest() {
+void WakeupScheduler::disarm() {
   armed_for_ = kNever;
   timer_->cancel();
 }
--- a/src/engine/wakeup_scheduler.h
+++ b/src/engine/wakeup_scheduler.h
@@ -20,8 +20,8 @@
   /// Schedules a wake-up at `at` or earlier.
   void wake_by(Time at);
   /// Schedules no wake-up until wake_by() is called again.
-  void rest();
-  [[nodiscard]] bool resting() const { return armed_for_ == kNever; }
+  void disarm();
+  [[nodiscard]] bool is_disarmed() const { return armed_for_ == kNever; }
   /// Invalidates the armed time after a suspension of the process.
   void forget_armed_time() { armed_for_ = kNever; }
 
@@ -31,8 +31,8 @@
 };
 
 /// Runs the Router's timer ticks that were due while no wake-up was scheduled, each with its own time, so
-/// that its state is as if they had run in time. After a long idle period only the first ones, by which its
-/// estimates have decayed completely, and then one tick for the rest.
+/// that its state is as if they had run in time. After a long idle period, runs only as many ticks as the
+/// Router's estimates take to decay completely, and then one tick for the remaining time.
 void run_missed_ticks(Router& router, Time now);
 
 }  // namespace streampick::engine
--- a/src/engine/wall_clock_history.cpp
+++ b/src/engine/wall_clock_history.cpp
@@ -37,8 +37,8 @@
   return latest;
 }
 
-// With the tolerance of an offset: else a reading of this very moment might be taken for one of a period
-// before.
+// Allows a tolerance of kMinStep: without it, a reading of the present moment might be attributed to an
+// earlier period.
 bool WallClockHistory::may_be_in(const Period& period, Time moment) const {
   const bool too_early = period.first != kBeginning && moment < period.first - kMinStep;
   return !too_early && moment <= std::min(period.last, observed_at_) + kMinStep;
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -12,8 +12,8 @@
 
 namespace streampick::net {
 
-/// Monotonic microseconds on a scale that begins at the wall clock's reading at the start, and the wall clock
-/// beside it. now() is read once for each batch of events. For one event loop's thread.
+/// Monotonic time in microseconds, on a scale that begins at the wall clock's reading at the start, and the
+/// wall clock's time. now() is read once for each batch of events. For one event loop's thread.
 class Clock final : public engine::TimeSource {
  public:
   using Steady = std::chrono::steady_clock;
--- a/src/net/connection_budget.h
+++ b/src/net/connection_budget.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many connections to upstream servers may be open.
+/// Limits the number of open connections to upstream servers.
 #pragma once
 
 #include <cstddef>
@@ -12,9 +12,11 @@
 /// connections of clients. Single-threaded.
 class ConnectionBudget {
  public:
-  /// The limit where no descriptors are shared. Without either, no connection may be opened.
+  /// Sets the limit that applies if no descriptor budget is shared. If neither is set, no connection may be
+  /// opened.
   void set_limit(std::size_t max_connections) { max_connections_ = max_connections; }
-  /// From now on `descriptors` decides. It must outlive this object; no connection may be open yet.
+  /// From now on `descriptors` limits the connections. It must outlive this object; no connection may be open
+  /// yet.
   void share_descriptors(overload::DescriptorBudget& descriptors) { descriptors_ = &descriptors; }
 
   [[nodiscard]] bool has_capacity() const;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -15,7 +15,8 @@
 constexpr std::chrono::milliseconds kAcceptPause{20};
 constexpr std::chrono::milliseconds kInitialOpenBackoff{20};
 constexpr std::chrono::milliseconds kMaxOpenBackoff{500};
-/// So many failed connections are skipped without a pause; more in a row look like a fault of the system.
+/// Maximum number of consecutive failed accept() calls that are skipped without a pause. More indicate a
+/// fault of the system.
 constexpr unsigned kMaxSkippedFailures = 16;
 
 std::string to_string(const tcp::endpoint& address) {
@@ -57,7 +58,7 @@
     return;
   }
   if (!is_transient(error) || Steady::now() >= open_deadline_) {
-    // Without the source location that Asio attaches: it would become part of the message.
+    // Asio attaches a source location to the error, which would become part of the message: it is removed.
     const error_code reason(error.value(), error.category());
     throw boost::system::system_error(reason, "listen on " + to_string(address_));
   }
@@ -128,7 +129,7 @@
     pause();
     return false;
   }
-  // The handler may have evicted a connection, whose end has resumed accepting already.
+  // The handler may have evicted a connection, and closing that connection may have resumed accepting.
   return !is_accept_pending_;
 }
 
--- a/src/net/load_shedder.cpp
+++ b/src/net/load_shedder.cpp
@@ -41,7 +41,8 @@
 }
 
 Time LoadShedder::retry_after(std::uint64_t id) const {
-  // The complement: the id itself has decided that the request is rejected.
+  // Hashes the complement of the id: the hash of the id itself decided the rejection, so it is not evenly
+  // distributed among rejected requests.
   return retry_after_.at_level(controller_.level(), overload::hash_to_unit_interval(~id));
 }
 
--- a/src/net/load_shedder.h
+++ b/src/net/load_shedder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Load shedding at the front: which requests are rejected before any work is spent on them.
+/// Load shedding: decides which requests are rejected before any work is spent on them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,13 +26,13 @@
   /// Takes the classes' weights and the longest retry time from a new configuration.
   void update(const Config& config, std::vector<bool> protected_classes);
 
-  /// A client has sent something: measures the lag, unless a probe is queued already.
+  /// A client has sent data: measures the lag, unless a probe is queued already.
   void on_client_activity() { lag_probe_.queue(); }
 
   /// Whether no request is rejected at present.
   [[nodiscard]] bool admits_all() const { return controller_.level() <= 0; }
-  /// Whether to reject a request that its client waits for `time_left` microseconds more for, and counts it
-  /// if so. `id`: the request's own; for one id the decision stays the same while the level does.
+  /// Returns whether to reject a request, and counts it if so. `time_left`: how much longer its client waits,
+  /// in microseconds. `id`: the request's own; while the level is unchanged, so is the decision for an id.
   [[nodiscard]] bool should_reject(std::uint32_t request_class, Time time_left, std::uint64_t id);
   /// When the client of a rejected request may try again, in microseconds; 0: it is given no time.
   [[nodiscard]] Time retry_after(std::uint64_t id) const;
--- a/src/net/loop_stall_detector.h
+++ b/src/net/loop_stall_detector.h
@@ -1,6 +1,6 @@
 /// \file
-/// Whether the event loop was stalled recently, so that a socket may have been ready for long before it is
-/// handled.
+/// Detects that the event loop was stalled recently, so that a socket may have been ready for a long time
+/// before it is handled.
 #pragma once
 
 #include <chrono>
--- a/src/net/memory_budget.h
+++ b/src/net/memory_budget.h
@@ -1,5 +1,5 @@
 /// \file
-/// The memory that large bodies may hold, of requests and of responses.
+/// Limits the memory held by large bodies of requests and responses.
 #pragma once
 
 #include <cstddef>
@@ -14,8 +14,8 @@
 /// written; reservations may outlive the budget. Single-threaded.
 class MemoryBudget {
  public:
-  /// Reserves `bytes` if they are available. If not, many bodies arrive at once, or clients are slow to take
-  /// theirs.
+  /// Reserves `bytes` if they are available. They are not when many bodies arrive at once, or when clients
+  /// read their responses slowly.
   [[nodiscard]] std::optional<engine::MemoryReservation> reserve(std::size_t bytes);
 
   /// Reservations that exceed a lowered limit stay.
--- a/src/net/socket_errors.h
+++ b/src/net/socket_errors.h
@@ -1,5 +1,5 @@
 /// \file
-/// Classes of failed socket calls: what may pass by itself, and what concerns one connection only.
+/// Classifies errors of socket calls: transient ones, and ones that concern a single connection only.
 #pragma once
 
 #include <boost/system/error_code.hpp>
--- a/src/net/upstream_resources.h
+++ b/src/net/upstream_resources.h
@@ -1,5 +1,5 @@
 /// \file
-/// What all connections to upstream servers share, whatever protocol they speak.
+/// Resources shared by all connections to upstream servers, in all protocols.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 /// When a response is streamed to its client while it arrives, instead of being read in full first. A
 /// response that was read in full can be requested again if it breaks off.
 struct StreamingLimits {
-  /// Bytes; a longer body is streamed, and so is one that there is no memory for.
+  /// Bytes; a longer body is streamed, and so is a body that MemoryBudget has no memory for.
   std::size_t max_buffered_body = std::size_t{1024} * 1024;
   /// Bytes; a longer body is an error.
   std::uint64_t max_body = std::uint64_t{32} * 1024 * 1024;
@@ -29,7 +29,7 @@
 struct StreamCounts {
   std::uint64_t started = 0;
   std::uint64_t truncated = 0;  ///< the server, or the connection to it, failed half-way
-  std::uint64_t abandoned = 0;  ///< the client went away half-way
+  std::uint64_t abandoned = 0;  ///< the client disconnected half-way
   std::size_t open = 0;         ///< now
 };
 
--- a/src/overload/cancellation_policy.h
+++ b/src/overload/cancellation_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether to close the connection of a cancelled attempt, or to drain its response and reuse the connection.
+/// Decides whether to close the connection of a cancelled attempt or to drain its response and reuse it.
 #pragma once
 
 #include <cstddef>
--- a/src/overload/keep_alive_policy.cpp
+++ b/src/overload/keep_alive_policy.cpp
@@ -5,7 +5,7 @@
 namespace streampick::overload {
 
 namespace {
-/// However few descriptors there are, so many connections are kept.
+/// Number of connections below which there is never pressure, however few descriptors there are.
 constexpr std::size_t kMinPressureThreshold = 4;
 
 std::size_t threshold(std::size_t descriptors, double share) {
--- a/src/overload/keep_alive_policy.h
+++ b/src/overload/keep_alive_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which client connections are kept open between requests when many are open.
+/// Decides which client connections are kept open between requests when many are open.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +11,10 @@
 
 /// A client that sends one request and stays connected occupies a connection that an active client may need:
 /// here, on its own machine, or at a proxy before the router, whose connection table may be full long before
-/// ours.
+/// the router's.
 ///
-/// From a share of the descriptors on, connections are under pressure: one is kept open only if it was reused
-/// before, and the idle timeout is shorter. No I/O.
+/// Once open connections use a given share of the descriptors, there is pressure: a connection is kept open
+/// only if it was reused before, and the idle timeout is shorter. No I/O.
 class KeepAlivePolicy {
  public:
   explicit KeepAlivePolicy(std::size_t descriptors, const Settings& settings = {});
--- a/src/overload/lag_window.h
+++ b/src/overload/lag_window.h
@@ -8,16 +8,17 @@
 
 namespace streampick::overload {
 
-/// Collects samples until its owner ends the window and begins the next. All times in microseconds, `now` on
-/// any monotonic scale whose zero is never read.
+/// Collects samples until its owner ends the window and begins the next. All times are in microseconds. `now`
+/// is on any monotonic scale, and is never 0.
 class LagWindow {
  public:
-  static constexpr Time kLength = 100'000;
+  static constexpr Time kLength = 100'000;  ///< microseconds
 
   struct Result {
     double mean_lag = 0;
     double cpu_utilization = 0;  ///< CPU time per time passed and core
-    double lengths = 0;          ///< time passed, in windows: more than 1 if no sample came when it was over
+    /// Duration in units of kLength: above 1 if the first sample after its end came late.
+    double lengths = 0;
   };
 
   /// Begins a window; `cpu_time` is what the process has used so far.
@@ -27,7 +28,7 @@
   [[nodiscard]] bool is_over(Time now) const { return age(now) >= kLength; }
 
   void add(Time lag);
-  /// At least one sample was added.
+  /// Requires at least one sample.
   [[nodiscard]] Result result(Time now, Time cpu_time, double cores) const;
 
  private:
--- a/src/overload/load_shedding_controller.cpp
+++ b/src/overload/load_shedding_controller.cpp
@@ -5,7 +5,7 @@
 namespace streampick::overload {
 
 namespace {
-/// After so long without a probe the level is reset.
+/// Time without a probe after which the level is reset.
 constexpr Time kResetAfter = 20 * LagWindow::kLength;
 constexpr double kMinCores = 0.01;
 
@@ -15,11 +15,11 @@
 constexpr double kProportionalIncrease = 0.12;  ///< at a lag of twice the target or more
 constexpr double kDecrease = 0.02;
 
-/// Saturated CPU counts as overload only from this share of the target lag on: a loop that keeps up may be
-/// busy.
+/// A saturated CPU counts as overload only if the lag is at least this share of its target: a loop that keeps
+/// up may be busy.
 constexpr double kMinLagShareIfSaturated = 0.5;
 
-/// Turns of the loop that a request still needs: it is read, forwarded and answered.
+/// Iterations of the event loop that a request still needs: it is read, forwarded and answered.
 constexpr Time kTurnsPerRequest = 3;
 /// How much a request's weight decides about its rejection; its id decides the rest.
 constexpr double kWeightInfluence = 0.4;
--- a/src/overload/load_shedding_controller.h
+++ b/src/overload/load_shedding_controller.h
@@ -1,5 +1,5 @@
 /// \file
-/// Adaptive load shedding by event loop lag: how much is rejected, and which requests.
+/// Adaptive load shedding by event loop lag: decides how many requests are rejected, and which.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 /// averaged over windows of 100 ms. In a window that is overloaded the shedding level rises, the faster the
 /// further the lag is above its target; in any other it falls slowly, so that the clients return gradually.
 ///
-/// At a level L, a share L of the requests that may be rejected is, those of the lowest weight first, and
-/// those that could not be answered in time. Protected classes are never rejected. No I/O; single-threaded;
-/// all times in microseconds.
+/// At a level L, a share L of the requests of unprotected classes is rejected, those of the lowest weight
+/// first. Requests that could not be answered in time are rejected too. Protected classes are never rejected.
+/// No I/O; single-threaded; all times in microseconds.
 class LoadSheddingController {
  public:
   /// Reads the CPU time that the process has used so far.
@@ -44,11 +44,11 @@
   /// Whether to reject the request. At one level the answer for a request is always the same.
   [[nodiscard]] bool should_reject(const Request& request) const;
 
-  /// The share of requests that is rejected, 0 to 0.95.
+  /// The share of requests that is rejected, from 0 to 0.95.
   [[nodiscard]] double level() const { return level_; }
   /// Mean lag of the last window.
   [[nodiscard]] Time mean_lag() const { return mean_lag_; }
-  /// Of the last window; 1 is all that the process may use.
+  /// CPU utilization of the last window; 1 is all that the process may use.
   [[nodiscard]] double cpu_utilization() const { return cpu_utilization_; }
   [[nodiscard]] std::uint64_t overloaded_windows() const { return overloaded_windows_; }
 
--- a/src/overload/retry_after.cpp
+++ b/src/overload/retry_after.cpp
@@ -6,8 +6,9 @@
 namespace streampick::overload {
 
 namespace {
-constexpr Time kMin = 1'000;
-// Between these levels the mean is that share of the maximum: so that the jitter has space on both sides.
+constexpr Time kMin = 1'000;  // microseconds
+// The mean, as a share of the maximum, is the level clamped to this range, so that the jitter has space on
+// both sides.
 constexpr double kMinShareOfMax = 0.1;
 constexpr double kMaxShareOfMax = 0.65;
 }  // namespace
--- a/src/overload/settings.h
+++ b/src/overload/settings.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an operator may set of the limits under load. The defaults hold wherever no options file is read.
+/// Operator settings for the limits under load. The defaults apply where no options file is read.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
   double upstream_minimum_share = 1.0 / 3;
 
   // ---- Connections of clients
-  /// Share of the descriptors from which on client connections are under pressure.
+  /// Client connections are under pressure once they use this share of the descriptors.
   double connection_pressure_share = 0.25;
   Time idle_timeout = 10'000'000;
   Time idle_timeout_under_pressure = 2'000'000;
--- a/tests/engine/body_stream_test.cpp
+++ b/tests/engine/body_stream_test.cpp
@@ -1,4 +1,4 @@
-// The way of a body in parts, without sockets.
+// Flow control and end states of BodyStream.
 #include "engine/body_stream.h"
 
 #include <gtest/gtest.h>
@@ -10,17 +10,17 @@
 
 TEST(BodyStream, FullBuffer_PausesTheWriterUntilTheReaderReads) {
   engine::BodyStream stream(10, 4);
-  int rooms = 0;
-  stream.on_writable = [&] { ++rooms; };
+  int writable_calls = 0;
+  stream.on_writable = [&] { ++writable_calls; };
   EXPECT_TRUE(stream.write("abc"));
   EXPECT_FALSE(stream.write("de"));
-  EXPECT_EQ(rooms, 0);
+  EXPECT_EQ(writable_calls, 0);
   std::string out;
   ASSERT_TRUE(stream.read(out));
   EXPECT_EQ(out, "abcde");
-  EXPECT_EQ(rooms, 1);
+  EXPECT_EQ(writable_calls, 1);
   EXPECT_FALSE(stream.read(out));
-  EXPECT_EQ(rooms, 1);
+  EXPECT_EQ(writable_calls, 1);
 }
 
 TEST(BodyStream, CompleteBody_ShowsItsEndOnlyAfterAllBytesWereRead) {
@@ -39,50 +39,50 @@
   stream.end(engine::BodyStream::State::complete);
   EXPECT_EQ(stream.state(), engine::BodyStream::State::truncated);
   std::string out;
-  EXPECT_FALSE(stream.read(out));  // nothing more is passed on
+  EXPECT_FALSE(stream.read(out));  // buffered bytes are discarded
 }
 
 TEST(BodyStream, ClosedReader_NotifiesTheWriterOnce) {
   const auto stream = std::make_shared<engine::BodyStream>(9, 16);
-  int gone = 0;
-  stream->on_reader_closed = [&] { ++gone; };
+  int closed_calls = 0;
+  stream->on_reader_closed = [&] { ++closed_calls; };
   {
     engine::BodyReader reader(stream);
     engine::BodyReader other = std::move(reader);
     EXPECT_FALSE(reader);
     stream->write("abc");
   }
-  EXPECT_EQ(gone, 1);
+  EXPECT_EQ(closed_calls, 1);
   EXPECT_FALSE(stream->write("def"));
   stream->end(engine::BodyStream::State::complete);
-  EXPECT_EQ(gone, 1);
+  EXPECT_EQ(closed_calls, 1);
 }
 
-// Whatever the order of parts and takes: the same bytes, never more than the bound and one part in between,
-// and each stop of the writer followed by one call.
+// In any order of writes and reads, the reader gets the bytes that were written, the buffer never holds more
+// than its capacity and one write, and a paused writer is always resumed.
 TEST(BodyStream, RandomOrderOfWritesAndReads_DeliversAllBytesInOrder) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
-    std::string sent, got, part;
-    const std::size_t most = 1 + random() % 50, length = random() % 500;
+    std::string sent, received, read_bytes;
+    const std::size_t capacity = 1 + random() % 50, length = random() % 500;
     for (std::size_t i = 0; i < length; ++i) sent += static_cast<char>(random());
-    engine::BodyStream stream(length, most);
-    bool stopped = false;
-    std::size_t at = 0, longest = 0;
-    stream.on_writable = [&] { stopped = false; };
+    engine::BodyStream stream(length, capacity);
+    bool is_paused = false;
+    std::size_t position = 0, longest_write = 0;
+    stream.on_writable = [&] { is_paused = false; };
     while (stream.state() == engine::BodyStream::State::open) {
-      if (!stopped && random() % 2 == 0) {
-        const std::size_t size = std::min<std::size_t>(1 + random() % 20, length - at);
-        longest = std::max(longest, size);
-        if (size > 0) stopped = !stream.write(std::string_view(sent).substr(at, size));
-        at += size;
-        if (at == length) stream.end(engine::BodyStream::State::complete);
-      } else if (stream.read(part)) {
-        ASSERT_LE(part.size(), most + longest) << seed;
-        got += part;
+      if (!is_paused && random() % 2 == 0) {
+        const std::size_t size = std::min<std::size_t>(1 + random() % 20, length - position);
+        longest_write = std::max(longest_write, size);
+        if (size > 0) is_paused = !stream.write(std::string_view(sent).substr(position, size));
+        position += size;
+        if (position == length) stream.end(engine::BodyStream::State::complete);
+      } else if (stream.read(read_bytes)) {
+        ASSERT_LE(read_bytes.size(), capacity + longest_write) << seed;
+        received += read_bytes;
       }
     }
-    ASSERT_EQ(got, sent) << seed;
+    ASSERT_EQ(received, sent) << seed;
     ASSERT_EQ(stream.state(), engine::BodyStream::State::complete) << seed;
   }
 }
--- a/tests/engine/class_table_test.cpp
+++ b/tests/engine/class_table_test.cpp
@@ -1,4 +1,4 @@
-// Classes under stable numbers, over many changes of settings.
+// Class numbers stay valid while settings change.
 #include "engine/class_table.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace streampick::test {
 namespace {
 
-RequestClass rule(Time deadline, std::uint32_t attempts = 3) {
+RequestClass class_rules(Time deadline, std::uint32_t attempts = 3) {
   RequestClass out;
   out.latency_objective = 1;
   out.deadline = deadline;
@@ -26,41 +26,41 @@
 }
 
 TEST(ClassTable, SettingsChange_KeepsNumbersOfUnchangedClassesOnly) {
-  engine::ClassTable table({rule(100), rule(200)}, {"read", "save"});
-  table.change({rule(250), rule(100)}, {"save", "read"});
+  engine::ClassTable table({class_rules(100), class_rules(200)}, {"read", "save"});
+  table.change({class_rules(250), class_rules(100)}, {"save", "read"});
   EXPECT_EQ(number_of(table, "read"), 0U);
-  EXPECT_EQ(number_of(table, "save"), 1U);  // nothing was open under its old rules
+  EXPECT_EQ(number_of(table, "save"), 1U);  // no request was open under the old rules
   EXPECT_EQ(table.rules()[1].deadline, 250);
   EXPECT_EQ(table.rules()[1].similar_class, 1U);
   table.request_opened(1);
-  table.change({rule(100), rule(300)}, {"read", "save"});
+  table.change({class_rules(100), class_rules(300)}, {"read", "save"});
   EXPECT_EQ(number_of(table, "save"), 2U);
-  EXPECT_EQ(table.rules()[1].deadline, 250);  // for the one that is open
+  EXPECT_EQ(table.rules()[1].deadline, 250);  // still the rules of the open request
   EXPECT_EQ(table.rules()[2].similar_class, 1U);
-  table.change({rule(100)}, {"read"});
+  table.change({class_rules(100)}, {"read"});
   EXPECT_EQ(number_of(table, "save"), kNone);
   EXPECT_EQ(table.rules()[1].deadline, 250);
   table.request_closed(1);
-  table.change({rule(100), rule(1)}, {"read", "pay"});
+  table.change({class_rules(100), class_rules(1)}, {"read", "pay"});
   EXPECT_EQ(number_of(table, "pay"), 1U);
   EXPECT_EQ(table.rules().size(), 3U);
 }
 
 TEST(ClassTable, FewerAttempts_GiveEveryClassANewNumber) {
-  engine::ClassTable table({rule(100, 3), rule(200, 3)}, {"read", "save"});
+  engine::ClassTable table({class_rules(100, 3), class_rules(200, 3)}, {"read", "save"});
   table.request_opened(0);
-  table.change({rule(100, 1), rule(200, 1)}, {"read", "save"});
+  table.change({class_rules(100, 1), class_rules(200, 1)}, {"read", "save"});
   EXPECT_EQ(table.rules()[0].max_attempts, 3U);
   EXPECT_EQ(table.rules()[number_of(table, "read")].max_attempts, 1U);
   EXPECT_NE(number_of(table, "read"), 0U);
 }
 
-// Drawn histories: a request's rules are the ones it was taken under until it ends, names lead to the rules
-// of the newest settings, and the table does not grow with the number of changes.
+// Over random changes of settings: an open request keeps the rules that it arrived under, names refer to the
+// rules of the newest settings, and the table does not grow with the number of changes.
 TEST(ClassTable, ThousandSettingsChanges_KeepRulesOfOpenRequestsAndStayBounded) {
   std::mt19937 random(29);
   const std::vector<std::string> all = {"read", "save", "pay", "look", "list"};
-  engine::ClassTable table({rule(1)}, {"read"});
+  engine::ClassTable table({class_rules(1)}, {"read"});
   struct Open {
     std::uint32_t number;
     RequestClass rules;
@@ -72,7 +72,7 @@
     for (const std::string& name : all) {
       if (random() % 3 == 0) continue;
       names.push_back(name);
-      rules.push_back(rule(1 + random() % 4, 1 + random() % 2));
+      rules.push_back(class_rules(1 + random() % 4, 1 + random() % 2));
     }
     if (names.empty()) continue;
     table.change(rules, names);
--- a/tests/engine/clock_steps_test.cpp
+++ b/tests/engine/clock_steps_test.cpp
@@ -1,5 +1,6 @@
-// The wall clock steps, forward and back, by seconds and by an hour, before and during the run: deadlines,
-// windows, ejections, graces and slow starts are spans of real time and notice nothing.
+// The wall clock steps forward or back by seconds or by an hour, before or during the run. Deadlines,
+// idempotency windows, ejections, shutdown phases and slow starts are measured on the monotonic clock and
+// must not change.
 #include <gtest/gtest.h>
 
 #include "engine/engine_fakes.h"
@@ -8,11 +9,11 @@
 namespace {
 
 constexpr Time kMs = 1'000, kSecond = 1'000'000, kHour = 3'600 * kSecond;
-constexpr Time kColdTime = 20 * kSecond;
+constexpr Time kSlowStartDuration = 20 * kSecond;
 enum Class : std::uint32_t { kRead, kSave };
 
 struct ClockSteps : ::testing::TestWithParam<Time> {
-  // A router that has run for 10 s.
+  // Starts an engine and runs it for 10 s.
   void begin(const std::function<void(Config&)>& adjust = {}) {
     engine::EngineSettings settings;
     Config& config = settings.config;
@@ -22,7 +23,7 @@
     config.can_cancel = true;
     config.answer_slack = 20 * kMs;
     config.slow_start_initial_share = 0.05;
-    config.slow_start_duration = kColdTime;
+    config.slow_start_duration = kSlowStartDuration;
     config.classes = {{2 * kSecond, 8 * kSecond, 1, Effect::safe, Group::all, 0},
                       {2 * kSecond, 8 * kSecond, 1, Effect::keyed, Group::all, 5 * kSecond}};
     if (adjust) adjust(config);
@@ -50,11 +51,11 @@
     out.member.started = started;
     return out;
   }
-  void tell(const std::string& id, Time started) {
+  void list_server(const std::string& id, Time started) {
     engine->on_endpoint_list(list_of({{id, started}}, false));
   }
 
-  RequestId ask(Class request_class, std::uint64_t key, Time remaining = 8 * kSecond) {
+  RequestId send_request(Class request_class, std::uint64_t key, Time remaining = 8 * kSecond) {
     engine::IncomingRequest incoming;
     incoming.message = std::make_shared<engine::Message>();
     incoming.message->operation = request_class == kRead ? engine::Operation::read : engine::Operation::write;
@@ -65,32 +66,32 @@
     incoming.remaining = remaining;
     return engine->on_request(sink, std::move(incoming));
   }
-  void end(std::size_t sent, Outcome outcome) {
+  void end_attempt(std::size_t sent, Outcome outcome) {
     engine::Answer answer;
     answer.body = "v";
     engine->on_attempt_ended(fleet.sent.at(sent).attempt, outcome, std::move(answer));
   }
-  // Of 400 first attempts within 0.4 s, how many came to this server.
-  std::size_t part_of(const std::string& server) {
+  // Returns how many of 400 first attempts within 0.4 s were sent to this server.
+  std::size_t attempts_at(const std::string& server) {
     const std::size_t before = fleet.sent.size();
     for (int i = 0; i < 400; ++i) {
       const std::size_t attempt = fleet.sent.size();
-      ask(kRead, ++last_key * 0x9e3779b97f4a7c15U);
-      for (std::size_t sent = attempt; sent < fleet.sent.size(); ++sent) end(sent, Outcome::served);
+      send_request(kRead, ++last_key * 0x9e3779b97f4a7c15U);
+      for (std::size_t sent = attempt; sent < fleet.sent.size(); ++sent) end_attempt(sent, Outcome::served);
       time.advance(kMs);
     }
     return static_cast<std::size_t>(
         std::count_if(fleet.sent.begin() + static_cast<std::ptrdiff_t>(before), fleet.sent.end(),
                       [&](const SentAttempt& sent) { return sent.server == server; }));
   }
-  // An even part of five is 80.
-  void expect_cold(const std::string& server) { EXPECT_LT(part_of(server), 25U); }
-  void expect_warm(const std::string& server) { EXPECT_GT(part_of(server), 50U); }
-  // Cold by the monotonic clock from now on, and for no longer than that.
+  // An even share among five servers is 80.
+  void expect_reduced_share(const std::string& server) { EXPECT_LT(attempts_at(server), 25U); }
+  void expect_full_share(const std::string& server) { EXPECT_GT(attempts_at(server), 50U); }
+  // Expects a slow start that begins now and lasts kSlowStartDuration on the monotonic clock.
   void expect_slow_start(const std::string& server) {
-    expect_cold(server);
-    time.advance(kColdTime);
-    expect_warm(server);
+    expect_reduced_share(server);
+    time.advance(kSlowStartDuration);
+    expect_full_share(server);
   }
   std::size_t responses() const { return sink->responses.size(); }
 
@@ -105,7 +106,7 @@
 TEST_P(ClockSteps, ServerStartedAfterTheStep_HasASlowStart) {
   begin();
   step();
-  tell("new", time.wall_time());
+  list_server("new", time.wall_time());
   expect_slow_start("new");
 }
 
@@ -113,44 +114,44 @@
   begin();
   const Time started = time.wall_time();
   step();
-  tell("new", started);
+  list_server("new", started);
   expect_slow_start("new");
 }
 
 TEST_P(ClockSteps, StepDuringASlowStart_DoesNotChangeItsEnd) {
   begin();
   const Time started = time.wall_time();
-  tell("new", started);
-  expect_cold("new");
+  list_server("new", started);
+  expect_reduced_share("new");
   step();
-  tell("new", started);  // told again, as a whole list does
+  list_server("new", started);  // listed again, as in a complete list
   expect_slow_start("new");
 }
 
 TEST_P(ClockSteps, StepBeforeTheProcess_DoesNotSkipSlowStartOfNewServers) {
-  const Time before_the_step = time.wall_time();
+  const Time before_step = time.wall_time();
   step();
   begin();
   time.advance(30 * kSecond);
-  tell("other", time.wall_time());
-  tell("new", GetParam() < 0 ? before_the_step + 40 * kSecond : before_the_step);
+  list_server("other", time.wall_time());
+  list_server("new", GetParam() < 0 ? before_step + 40 * kSecond : before_step);
   expect_slow_start("new");
 }
 
 TEST_P(ClockSteps, ServerEnabledAtTheStep_HasASlowStart) {
   begin();
-  tell("c-5", 0);
-  expect_warm("c-5");
+  list_server("c-5", 0);
+  expect_full_share("c-5");
   engine->set_override("c-5", true, 0);
-  const Time called_back = time.wall_time();
+  const Time enabled_at = time.wall_time();
   step();
-  engine->set_override("c-5", false, called_back);
+  engine->set_override("c-5", false, enabled_at);
   expect_slow_start("c-5");
 }
 
 TEST_P(ClockSteps, ServerEnabledAfterTheStep_HasASlowStart) {
   begin();
-  tell("c-5", 0);
+  list_server("c-5", 0);
   engine->set_override("c-5", true, 0);
   step();
   engine->set_override("c-5", false, time.wall_time());
@@ -159,7 +160,7 @@
 
 TEST_P(ClockSteps, RequestDeadline_IsMonotonic) {
   begin();
-  ask(kRead, 1, 2 * kSecond);
+  send_request(kRead, 1, 2 * kSecond);
   step();
   time.advance(1'900 * kMs);
   EXPECT_EQ(responses(), 0U);
@@ -170,41 +171,41 @@
 
 TEST_P(ClockSteps, IdempotencyWindow_IsMonotonic) {
   begin();
-  ask(kSave, 2);
+  send_request(kSave, 2);
   ASSERT_EQ(fleet.sent.size(), 1U);
   const Time first = time.now();
   step();
   time.advance(4'400 * kMs);
-  end(0, Outcome::reset);
+  end_attempt(0, Outcome::reset);
   ASSERT_EQ(fleet.sent.size(), 2U);
   EXPECT_EQ(fleet.sent[1].begin_by, first + 4'500 * kMs);
 }
 
 TEST_P(ClockSteps, AfterTheIdempotencyWindow_NothingIsSentAgain) {
   begin();
-  ask(kSave, 2);
+  send_request(kSave, 2);
   step();
   time.advance(4'600 * kMs);
-  end(0, Outcome::reset);
+  end_attempt(0, Outcome::reset);
   time.advance(kSecond);
   EXPECT_EQ(fleet.sent.size(), 1U);
 }
 
 TEST_P(ClockSteps, EjectionTime_IsMonotonic) {
   begin();
-  // Three failures in a row put a server off for 0.75 to 1.25 s.
+  // Three consecutive failures eject a server for 0.75 to 1.25 s.
   for (std::uint64_t key = 1; engine->endpoint_counts().down == 0 && key < 200; ++key) {
     const std::size_t first = fleet.sent.size();
-    ask(kRead, key * 0x9e3779b97f4a7c15U);
+    send_request(kRead, key * 0x9e3779b97f4a7c15U);
     for (std::size_t sent = first; sent < fleet.sent.size(); ++sent)
-      end(sent, fleet.sent[sent].server == "c-1" ? Outcome::connect_failed : Outcome::served);
+      end_attempt(sent, fleet.sent[sent].server == "c-1" ? Outcome::connect_failed : Outcome::served);
   }
   ASSERT_EQ(engine->endpoint_counts().down, 1U);
   step();
   time.advance(700 * kMs);
-  EXPECT_LT(part_of("c-1"), 60U);  // mostly off
+  EXPECT_LT(attempts_at("c-1"), 60U);  // ejected for most of this time
   time.advance(2 * kSecond);
-  EXPECT_GT(part_of("c-1"), 60U);
+  EXPECT_GT(attempts_at("c-1"), 60U);
   EXPECT_EQ(engine->endpoint_counts().down, 0U);
 }
 
@@ -213,7 +214,7 @@
   FakeDownstream downstream;
   downstream.waiting = 1;
   engine->add(downstream);
-  ask(kRead, 3, 8 * kSecond);
+  send_request(kRead, 3, 8 * kSecond);
   bool done = false;
   engine->shut_down([&] { done = true; });
   step();
@@ -232,7 +233,8 @@
 INSTANTIATE_TEST_SUITE_P(By, ClockSteps, ::testing::Values(30 * kSecond, -30 * kSecond, kHour, -kHour),
                          [](const auto& info) {
                            const Time seconds = info.param / kSecond;
-                           return (seconds < 0 ? "Back" : "Forth") + std::to_string(std::abs(seconds)) + "s";
+                           return (seconds < 0 ? "Backward" : "Forward") + std::to_string(std::abs(seconds)) +
+                                  "s";
                          });
 
 }  // namespace
--- a/tests/engine/engine_fakes.h
+++ b/tests/engine/engine_fakes.h
@@ -24,8 +24,8 @@
   std::unique_ptr<engine::Timer> timer(std::function<void()> due) override {
     return std::make_unique<ManualTimer>(*this, std::move(due));
   }
-  /// Advances time, calling each timer at its time in order; of two at one time, the one that was created
-  /// first.
+  /// Advances time and calls the timers that become due, in order of time. Timers that are due at the same
+  /// time are called in order of their creation.
   void advance(Time by) {
     const Time until = now_ + by;
     for (;;) {
@@ -83,7 +83,7 @@
   std::vector<std::pair<std::string, std::string>> cache_fills;  // server, value
   std::set<std::string> gone;                                    // names of destroyed upstreams
   bool wants_cache_fills = false;
-  int close_idle_calls = 0;          // times that all idle connections of a server were closed
+  int close_idle_calls = 0;          // calls that closed all idle connections of a server
   std::set<std::string> connecting;  // servers whose connections are still being established
 
  private:
@@ -131,7 +131,7 @@
   }
   bool client_gone() override { return gone; }
   std::vector<std::pair<std::uint64_t, engine::Response>> responses;
-  bool gone = false;  // the disconnect is visible, but was not reported yet
+  bool gone = false;  // the client has disconnected, which was not reported to the engine yet
 };
 
 struct FakeDiscovery final : engine::EndpointDiscovery {
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -1,4 +1,5 @@
-// The engine on a hand-driven clock: one final answer whatever crosses what, the guard, drains.
+// The engine on manually advanced time: exactly one response in any order of events, the deadline guard,
+// draining, overrides and shutdown.
 #include "engine/engine_fixture.h"
 
 namespace streampick::test {
@@ -14,7 +15,7 @@
   EXPECT_EQ(response().answer.body, "tile");
 }
 
-// ---- A client that is seen to have gone before it is told
+// ---- Clients whose disconnect is visible before it is reported
 
 TEST_F(EngineTest, DisconnectSeenBeforeAHedge_SendsNoHedgeAndCancelsTheRequest) {
   ask(kRead);
@@ -35,7 +36,7 @@
   EXPECT_EQ(responses(), 0U);
 }
 
-// What waits for its connection asks right before its first byte.
+// An attempt that waited for its connection asks may_write() right before its first byte.
 TEST_F(EngineTest, DisconnectedOrFinishedRequest_MayNotWrite) {
   const RequestId request = ask(kRead);
   const engine::AttemptId attempt = fleet.sent.at(0).attempt;
@@ -44,14 +45,14 @@
   EXPECT_FALSE(engine->may_write({request, 7}));
   sink->gone = true;
   EXPECT_FALSE(engine->may_write(attempt));
-  EXPECT_EQ(engine->counts().cancelled_by_client, 0U);  // not from within the question
+  EXPECT_EQ(engine->counts().cancelled_by_client, 0U);  // not from within may_write()
   end(0, Outcome::not_sent);
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
   EXPECT_FALSE(engine->may_write(attempt));
   EXPECT_EQ(responses(), 0U);
 }
 
-// The time of its client counts from its last byte.
+// The client's timeout counts from the last byte of the upload.
 TEST_F(EngineTest, UploadInProgress_TellsTheServerTheTimeAfterTheLastByte) {
   const auto [request, body] = start_upload(kPay, 2 * kSecond);
   const engine::AttemptId attempt = fleet.sent.at(0).attempt;
@@ -62,13 +63,13 @@
 
 TEST_F(EngineTest, SecondOrLateAnswer_IsNotForwarded) {
   ask(kRead);
-  time.advance(1'500 * kMs);  // a copy goes out
+  time.advance(1'500 * kMs);  // a hedged request is sent
   ASSERT_GE(fleet.sent.size(), 2U);
-  end(1, Outcome::served, "copy");
+  end(1, Outcome::served, "hedge");
   end(1, Outcome::served, "again");
   end(0, Outcome::served, "late");
   EXPECT_EQ(responses(), 1U);
-  EXPECT_EQ(response().answer.body, "copy");
+  EXPECT_EQ(response().answer.body, "hedge");
   EXPECT_EQ(engine->counts().served, 1U);
   EXPECT_EQ(engine->counts().outcomes[static_cast<std::size_t>(Outcome::served)], 1U);
 }
@@ -77,7 +78,7 @@
   ask(kRead);
   time.advance(1'500 * kMs);
   ASSERT_GE(fleet.sent.size(), 2U);
-  end(0, Outcome::served, "first");  // the module cancels the copy within this call
+  end(0, Outcome::served, "first");  // the Router cancels the hedged request within this call
   EXPECT_TRUE(fleet.sent[1].cancelled);
   end(1, Outcome::served, "crossed");
   EXPECT_EQ(responses(), 1U);
@@ -97,7 +98,8 @@
   EXPECT_EQ(engine->counts().cancelled_by_client, 1U);
 }
 
-// The source's work goes on for the caches when its client has left: its answer is nobody's.
+// An origin read continues after its client has disconnected, so that caches can be filled. Its answer is not
+// a response to any client.
 TEST_F(EngineTest, AnswerAfterTheEnd_IsNotCounted) {
   const RequestId id = ask(kRead);
   end(0, Outcome::miss);
@@ -111,7 +113,7 @@
   EXPECT_EQ(engine->counts().outcomes[static_cast<std::size_t>(Outcome::served)], 1U);
 }
 
-TEST_F(EngineTest, UnsafeWriteThatMayHaveRun_FailsOnceAndSaysSo) {
+TEST_F(EngineTest, UnsafeWriteThatMayHaveRun_FailsOnceAndReportsIt) {
   ask(kPay);
   ASSERT_EQ(fleet.sent.size(), 1U);
   EXPECT_EQ(fleet.sent[0].server, "origin");
@@ -136,7 +138,7 @@
   EXPECT_FALSE(response().may_have_run);
 }
 
-TEST_F(EngineTest, SilentServers_AreAnsweredForBeforeTheDeadline) {
+TEST_F(EngineTest, SilentServers_RequestFailsBeforeTheDeadline) {
   const Time asked = time.now();
   ask(kRead, 0, 600 * kMs);
   while (responses() == 0 && time.now() < asked + 2 * kSecond) time.advance(kMs);
@@ -160,13 +162,13 @@
   EXPECT_EQ(ask(kRead), 0U);
   end(0, Outcome::served);
   --transaction_id;
-  EXPECT_EQ(ask(kRead), 0U);  // a moment too late
+  EXPECT_EQ(ask(kRead), 0U);  // the id stays in use for a short time after the response
   time.advance(3 * kSecond);
   --transaction_id;
   EXPECT_NE(ask(kRead), 0U);
 }
 
-TEST_F(EngineTest, DrainingServer_GetsNothingNewAndIsRemovedAfterItsLastAttempt) {
+TEST_F(EngineTest, DrainingServer_GetsNoNewRequestsAndIsRemovedAfterItsLastAttempt) {
   ask(kRead, 1);
   const std::string server = fleet.sent[0].server;
   engine->on_endpoint_list(list(2, false, {{server, Phase::draining}}));
@@ -198,7 +200,7 @@
   EXPECT_FALSE(done);
   time.advance(2'700 * kMs);
   ASSERT_EQ(responses(), 1U);
-  EXPECT_FALSE(done);  // the front has not written it yet
+  EXPECT_FALSE(done);  // the downstream has not written the response yet
   downstream.waiting = 0;
   time.advance(300 * kMs);
   EXPECT_TRUE(done);
@@ -224,12 +226,12 @@
   std::tie(cache, origin) = read();
   ask(kSave);
   const std::size_t write = fleet.sent.size() - 1;
-  end(origin, Outcome::served, "older");  // the write is out
+  end(origin, Outcome::served, "older");  // the write is in progress
   EXPECT_EQ(fleet.cache_fills.size(), 1U);
   time.advance(kSecond);
   std::tie(cache, origin) = read();
   end(write, Outcome::served, "");
-  end(origin, Outcome::served, "older still");  // the write ended after the read was asked for
+  end(origin, Outcome::served, "older still");  // the write ended after the read request arrived
   EXPECT_EQ(fleet.cache_fills.size(), 1U);
   time.advance(kSecond);
   std::tie(cache, origin) = read();
@@ -237,7 +239,7 @@
   EXPECT_EQ(fleet.cache_fills.size(), 2U);
 }
 
-// ---- What is stuck, and a host that stands still
+// ---- Stuck attempts and suspensions of the process
 
 TEST_F(EngineTest, RetriedOriginRead_ClosesItsConnectionAndAHedgeLoserDoesNot) {
   ask(kRead, 1, 8 * kSecond, 1);
@@ -254,7 +256,7 @@
   ASSERT_EQ(fleet.sent.back().server, "origin");
   EXPECT_EQ(fleet.sent.back().attempt.request, fleet.sent.at(1).attempt.request);
   end(fleet.sent.size() - 1, Outcome::served);
-  // A copy that lost: its answer may be waited for.
+  // A hedged request that lost: its connection stays open for the answer.
   const std::size_t first = fleet.sent.size();
   ask(kRead, 100, 8 * kSecond, 100);
   time.advance(1'000 * kMs);
@@ -264,9 +266,9 @@
   EXPECT_FALSE(fleet.sent.at(first + 1).closed);
 }
 
-// An origin read is left to end when its request is over, so that its answer is stored: not one that has not
-// begun, whose connection is still being made when the request's answer comes from elsewhere, or nobody
-// waits.
+// When a request is finished, an origin read that was sent continues, so that its answer can be stored. One
+// that still waits for its connection is cancelled, whether the request was answered by another server or its
+// client has disconnected.
 TEST_F(EngineTest, FinishedRequest_CancelsAttemptsThatWaitForAConnection) {
   const auto not_sent = [this] {
     return engine->counts().outcomes[static_cast<std::size_t>(Outcome::not_sent)];
@@ -278,7 +280,7 @@
       const std::size_t first = fleet.sent.size();
       const std::uint64_t before = not_sent();
       const RequestId request = ask(kRead, 1, 8 * kSecond, 300 + first);
-      time.advance(900 * kMs);  // a copy is out
+      time.advance(900 * kMs);  // a hedged request was sent
       ASSERT_EQ(fleet.sent.size(), first + 2);
       end(first, Outcome::miss);
       ASSERT_EQ(fleet.sent.size(), first + 3);
@@ -296,19 +298,20 @@
   ask(kRead, 1, 2 * kSecond, 1);
   ask(kRead, 2, 8 * kSecond, 2);
   const std::size_t before = fleet.sent.size();
-  engine->process_suspended(3 * kSecond);  // left out of `time`, as the client's clock does
+  engine->process_suspended(3 * kSecond);  // `time` does not count the suspension
   ASSERT_EQ(responses(), 1U);
   EXPECT_EQ(sink->responses[0].first, 1U);
   EXPECT_EQ(response().kind, engine::Response::Kind::failed);
   EXPECT_TRUE(response().late);
-  EXPECT_EQ(fleet.sent.size(), before);  // no copy for the time that nobody saw
-  time.advance(5 * kSecond);             // of eight, three were gone
+  EXPECT_EQ(fleet.sent.size(), before);  // no hedged request because of the suspension
+  time.advance(5 * kSecond);             // 3 of its 8 s passed in the suspension
   EXPECT_EQ(responses(), 2U);
-  EXPECT_TRUE(log.empty());  // it was not the guard
+  EXPECT_TRUE(log.empty());  // no deadline guard was logged
 }
 
-// News may be old when it is read, after a pause or a silent watch: none of the grace is used.
-TEST_F(EngineTest, DepartureInAList_HoldsAtOnceAlsoAfterASuspension) {
+// A list may be outdated when it is read, after a suspension or an interrupted watch: the grace period that
+// the discovery protocol allows is not used.
+TEST_F(EngineTest, DepartureInAList_TakesEffectAtOnceEvenAfterASuspension) {
   engine->process_suspended(3 * kSecond);
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::draining}, {"c-2", Phase::ready}}, true));
   EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
@@ -316,7 +319,7 @@
   EXPECT_EQ(fleet.sending_stops_at("c-2"), time.now());
 }
 
-// ---- Windows of repeats
+// ---- Idempotency windows
 
 TEST_F(EngineTest, Repeat_BeginsWithinTheWindowOfTheFirstAttemptThatMayHaveRun) {
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
@@ -328,20 +331,21 @@
   end(0, Outcome::reset);
   ASSERT_EQ(fleet.sent.size(), 2U);
   EXPECT_EQ(fleet.sent[1].begin_by, first + 4'500 * kMs);
-  // Nothing of it ran: there is nothing to repeat.
+  // An attempt that never ran opens no window.
   ask(kSave, 1);
   end(2, Outcome::connect_failed);
   time.advance(300 * kMs);
   ASSERT_EQ(fleet.sent.size(), 4U);
   EXPECT_EQ(fleet.sent[3].begin_by, kNever);
-  // A read may be repeated for ever.
+  // A read may be repeated at any time.
   ask(kRead, 2);
   end(4, Outcome::reset);
   ASSERT_EQ(fleet.sent.size(), 6U);
   EXPECT_EQ(fleet.sent[5].begin_by, kNever);
 }
 
-// The repeat could not be made just before the window's end; the next try, after its wait, would be too late.
+// The repeat fails to connect just before the window's end; after the retry delay the next one would be too
+// late.
 TEST_F(EngineTest, QueueingBeyondTheWindow_EndsTheRequestWithoutARepeat) {
   build([](Config& config) { config.classes[kSave].idempotency_window = 500 * kMs; });
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
@@ -358,7 +362,7 @@
   EXPECT_TRUE(response().may_have_run);
 }
 
-// Settings that come meanwhile change nothing for a request that is open.
+// New settings do not apply to an open request.
 TEST_F(EngineTest, ShorterWindowInNewSettings_HoldsForNewRequestsOnly) {
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}}, true));
   ask(kSave);
@@ -377,7 +381,7 @@
   EXPECT_EQ(fleet.sent[1].begin_by, first + 4'500 * kMs);
 }
 
-// ---- The end
+// ---- Shutdown
 
 TEST_F(EngineTest, ShutdownWithShortDeadlines_EndsBeforeTheKill) {
   build([](Config& config) {
@@ -391,22 +395,22 @@
   ask(kRead, 1, kSecond);
   time.advance(1'000 * kMs);
   EXPECT_EQ(responses(), 2U);
-  time.advance(200 * kMs);  // 1.6 s after the signal: the kill comes after 1.7 s
+  time.advance(200 * kMs);  // 1.6 s after the signal: the platform kills the process after 1.7 s
   EXPECT_TRUE(done);
 }
 
 // ---- Operators
 
-TEST_F(EngineTest, DisabledServer_GetsNothingFromThatMomentWhateverTheListSays) {
+TEST_F(EngineTest, DisabledServer_GetsNoRequestsWhateverTheListContains) {
   time.advance(kSecond);
   engine->set_override("c-1", true, 0);
   EXPECT_EQ(fleet.sending_stops_at("c-1"), time.now());
   EXPECT_EQ(fleet.sending_stops_at("c-2"), kNever);
-  const Time said = time.now();
+  const Time disabled_at = time.now();
   time.advance(kSecond);
   engine->on_endpoint_list(list(2, true, {{"c-1", Phase::ready}, {"c-2", Phase::ready}}, true));
-  EXPECT_EQ(fleet.sending_stops_at("c-1"), said);
-  // It leaves the list and comes back, as another transport.
+  EXPECT_EQ(fleet.sending_stops_at("c-1"), disabled_at);
+  // The server leaves the list and returns with a new Upstream.
   engine->on_endpoint_list(list(3, true, {{"c-2", Phase::ready}}, true));
   EXPECT_TRUE(fleet.gone.contains("c-1"));
   EXPECT_FALSE(engine->lists_cache("c-1"));
@@ -416,14 +420,14 @@
   EXPECT_EQ(engine->endpoint_counts().listed, 2U);
   EXPECT_EQ(engine->endpoint_counts().down, 1U);
   for (std::uint64_t key = 0; key < 50; ++key) ask(kRead, 0, 8 * kSecond, key);
-  time.advance(1'500 * kMs);  // copies too
+  time.advance(1'500 * kMs);  // hedged requests too
   EXPECT_FALSE(fleet.sent.empty());
   for (const SentAttempt& sent : fleet.sent) EXPECT_NE(sent.server, "c-1");
   engine->set_override("c-1", false, time.now());
   EXPECT_EQ(fleet.sending_stops_at("c-1"), kNever);
 }
 
-TEST_F(EngineTest, EnabledWhileListedAsDraining_GetsNothing) {
+TEST_F(EngineTest, ServerEnabledWhileListedAsDraining_GetsNoRequests) {
   engine->set_override("c-1", true, 0);
   engine->on_endpoint_list(list(2, false, {{"c-1", Phase::draining}}));
   engine->set_override("c-1", false, time.now());
@@ -456,13 +460,13 @@
 }
 
 TEST_F(EngineTest, Metrics_CountEachResultOnceAndDisconnectedClientsNowhere) {
-  const RequestId left = ask(kRead, 0, 8 * kSecond, 1);
+  const RequestId disconnected = ask(kRead, 0, 8 * kSecond, 1);
   ask(kRead, 0, 8 * kSecond, 2);
   EXPECT_EQ(engine->metrics().in_flight(), 2U);
-  engine->on_client_cancelled(left);
+  engine->on_client_cancelled(disconnected);
   EXPECT_EQ(engine->metrics().in_flight(), 1U);
   end(1, Outcome::served);
-  EXPECT_EQ(engine->metrics().in_flight(), 1U);  // until the answer is out
+  EXPECT_EQ(engine->metrics().in_flight(), 1U);  // until the response is written
   sink->responses.clear();
   EXPECT_EQ(engine->metrics().in_flight(), 0U);
   engine->on_rejected_unread(kRead);
@@ -472,7 +476,7 @@
   EXPECT_EQ(ends.failed, 0U);
 }
 
-// Its time runs from the last byte of the body, and not from the first.
+// The deadline counts from the last byte of the body, not from the first.
 TEST_F(EngineTest, StreamedBody_HasItsDeadlineFromTheLastByte) {
   const auto [id, upload] = start_upload(kPay, kSecond);
   time.advance(5 * kSecond);
@@ -492,19 +496,19 @@
     const auto upload = start_upload(kind, 8 * kSecond).second;
     ASSERT_EQ(fleet.sent.size(), 1U);
     upload->write("half");
-    std::string taken;
-    upload->read(taken);
+    std::string read_bytes;
+    upload->read(read_bytes);
     const std::size_t before = responses();
     end(0, Outcome::connect_failed);
-    EXPECT_EQ(responses(), before + 1);  // at once
+    EXPECT_EQ(responses(), before + 1);  // immediately
     time.advance(2 * kSecond);
     EXPECT_EQ(fleet.sent.size(), 1U);
     EXPECT_EQ(sink->responses.back().second.kind, engine::Response::Kind::rejected);
   }
 }
 
-// Hundreds of routers don't keep what each of them uses seldom; a count that comes while it serves holds from
-// then on.
+// Where hundreds of routers use the same servers, each closes connections that it uses rarely. A router count
+// that changes at run time applies from then on.
 TEST_F(EngineTest, RouterCount_TakesEffectForNewDecisions) {
   build([](Config& config) {
     config.connect_timeout = 250 * kMs;
--- a/tests/engine/production_test.cpp
+++ b/tests/engine/production_test.cpp
@@ -1,5 +1,5 @@
-/// The engine under what production adds, on virtual time: trouble behind a long quiet time, attempts that
-/// fail at once, calm times in which caches lack what is asked for, half of the servers replaced.
+/// The engine on virtual time in situations of production: faults after a long idle period, attempts that
+/// fail immediately, cache misses under low load, and the replacement of half of the servers.
 #include <set>
 
 #include "engine/engine_fixture.h"
@@ -11,11 +11,11 @@
 constexpr Time kHour = 3'600 * kSecond, kDay = 24 * kHour;
 constexpr Time kObjective = 2 * kSecond;  // the fixture's latency objective
 
-// ---- Trouble behind a long quiet time
+// ---- Faults after a long idle period
 
 class AfterQuietTime : public EngineTest {
  protected:
-  // Traffic of which everything is answered soon.
+  // Sends requests that are all served within 5 ms.
   void serve_some(std::uint64_t requests = 40) {
     for (std::uint64_t key = 0; key < requests; ++key) {
       ask(kRead, 0, 8 * kSecond, key);
@@ -24,19 +24,19 @@
       time.advance(45 * kMs);
     }
   }
-  // Ends every attempt that is out and not at `silent`.
+  // Ends every new attempt except those at the server `silent`.
   void end_new(Outcome outcome, const std::string& silent = {}) {
-    for (; next_ < fleet.sent.size(); ++next_)
-      if (fleet.sent[next_].server != silent) end(next_, outcome);
+    for (; next_attempt_ < fleet.sent.size(); ++next_attempt_)
+      if (fleet.sent[next_attempt_].server != silent) end(next_attempt_, outcome);
   }
-  // Nothing is sent and nobody is answered meanwhile.
-  void rest_for(Time length) {
+  // Lets time pass without requests; expects no attempt and no response.
+  void idle_for(Time length) {
     const std::size_t sent = fleet.sent.size(), answered = responses();
     time.advance(length);
     EXPECT_EQ(fleet.sent.size(), sent);
     EXPECT_EQ(responses(), answered);
   }
-  // How long the request that was asked for last waits for its answer.
+  // Serves all attempts except those at `silent` until the next response. Returns the time until then.
   Time answered_after(const std::string& silent) {
     const Time asked = time.now();
     const std::size_t before = responses();
@@ -46,37 +46,37 @@
     }
     return time.now() - asked;
   }
-  // Attempts that `requests` cost where each of them is reset at once.
+  // Returns the number of attempts for `requests` requests if every attempt is reset immediately.
   std::size_t attempts_where_all_is_reset(std::uint64_t requests) {
     const std::size_t before = fleet.sent.size(), answered = responses();
     for (std::uint64_t key = 0; key < requests; ++key) {
       ask(kRead, 0, 8 * kSecond, key);
-      while (next_ < fleet.sent.size()) end_new(Outcome::reset);
+      while (next_attempt_ < fleet.sent.size()) end_new(Outcome::reset);
     }
     EXPECT_EQ(responses() - answered, requests);
     return fleet.sent.size() - before;
   }
-  std::size_t next_ = 0;
+  std::size_t next_attempt_ = 0;
 };
 
 TEST_F(AfterQuietTime, OneDayIdle_FirstReadsAreServedInTimeDespiteASilentServer) {
   serve_some();
   for (const char* silent : {"c-1", "c-2"}) {
-    rest_for(kDay);
+    idle_for(kDay);
     for (std::uint64_t key = 0; key < 6; ++key) {
       ask(kRead, 0, 8 * kSecond, key);
       EXPECT_LE(answered_after(silent), kObjective) << silent << ", key " << key;
       EXPECT_EQ(sink->responses.back().second.kind, engine::Response::Kind::served);
     }
     time.advance(10 * kSecond);
-    next_ = fleet.sent.size();
+    next_attempt_ = fleet.sent.size();
   }
   EXPECT_EQ(engine->counts().deadline_guards, 0U);
 }
 
-TEST_F(AfterQuietTime, OneDayIdle_ReplacedListHoldsFromTheFirstRequest) {
+TEST_F(AfterQuietTime, OneDayIdle_ReplacedListAppliesToTheFirstRequest) {
   serve_some();
-  rest_for(kDay);
+  idle_for(kDay);
   engine->on_endpoint_list(list(2, true, {{"c-3", Phase::ready}, {"c-4", Phase::ready}}, true));
   EXPECT_TRUE(fleet.gone.contains("c-1") && fleet.gone.contains("c-2"));
   const std::size_t first = fleet.sent.size();
@@ -86,28 +86,29 @@
   EXPECT_EQ(used, (std::set<std::string>{"c-3", "c-4"}));
 }
 
-// Budgets of retries and hedged requests are neither spent nor saved up by time alone.
+// The budgets of retries and hedged requests neither shrink nor grow while no requests arrive.
 TEST_F(AfterQuietTime, OneDayIdle_FaultsCostNoMoreAttemptsThanOnANewRouter) {
   const std::size_t fresh = attempts_where_all_is_reset(100);
   build();
-  rest_for(kDay);
+  idle_for(kDay);
   EXPECT_LE(attempts_where_all_is_reset(100), fresh);
-  EXPECT_LT(fresh, 200U);  // where all fails, not everything is sent twice
+  EXPECT_LT(fresh, 200U);  // if all attempts fail, not every request is retried
 }
 
-// All servers are slow for a while, and are well again for an hour in which nobody asks.
+// All servers are slow for a while and recover during an hour without requests.
 TEST_F(AfterQuietTime, OneHourAfterFaults_NothingIsRejected) {
   constexpr Time kSlow = 3 * kSecond;
   serve_some();
   for (std::uint64_t tenth = 0; tenth < 150; ++tenth) {
     if (tenth < 100) ask(kRead, 0, 8 * kSecond, tenth);
     time.advance(100 * kMs);
-    for (; next_ < fleet.sent.size() && fleet.sent[next_].at + kSlow <= time.now(); ++next_)
-      end(next_, Outcome::served);
+    for (; next_attempt_ < fleet.sent.size() && fleet.sent[next_attempt_].at + kSlow <= time.now();
+         ++next_attempt_)
+      end(next_attempt_, Outcome::served);
   }
   time.advance(8 * kSecond);
-  next_ = fleet.sent.size();
-  rest_for(kHour);
+  next_attempt_ = fleet.sent.size();
+  idle_for(kHour);
   const std::size_t before = responses();
   for (std::uint64_t key = 0; key < 12; ++key) ask(kRead, 0, 8 * kSecond, key);
   for (int i = 0; i < 400 && responses() < before + 12; ++i) {
@@ -119,7 +120,7 @@
     EXPECT_EQ(response(i).kind, engine::Response::Kind::served);
 }
 
-// ---- Attempts that fail at once
+// ---- Attempts that fail immediately
 
 struct Failing {
   Class request_class;
@@ -146,7 +147,7 @@
   for (int i = 0; i < 9'000; ++i) {
     while (ended < fleet.sent.size()) {
       end(ended++, failing.outcome);
-      ASSERT_LE(fleet.sent.size(), kMaxAttempts);  // also within one turn: no spin
+      ASSERT_LE(fleet.sent.size(), kMaxAttempts);  // also within one turn of the event loop
     }
     ASSERT_TRUE(responses() == 1 || time.now() < asked + 8 * kSecond);
     time.advance(kMs);
@@ -170,11 +171,12 @@
   EXPECT_EQ(responses(), 1U);
 }
 
-// ---- Held up between the clock and the write
+// ---- Delay between reading the clock and writing
 
-// The clock is read, the router is held up, and the repeat is written: still inside its window.
+// The router may be delayed between reading the clock and writing the repeat. The repeat must still be within
+// the idempotency window.
 TEST_F(EngineTest, Repeat_LeavesAMarginForADelayedLoop) {
-  constexpr Time kHoldUp = 150 * kMs;
+  constexpr Time kDelay = 150 * kMs;
   for (const Time window : {1'500 * kMs, 5 * kSecond}) {
     build([&](Config& config) { config.classes[kSave].idempotency_window = window; });
     fleet.sent.clear();
@@ -182,12 +184,12 @@
     ask(kSave);
     end(0, Outcome::reset);
     ASSERT_EQ(fleet.sent.size(), 2U);
-    EXPECT_LE(fleet.sent[1].begin_by - first, window - kHoldUp);
+    EXPECT_LE(fleet.sent[1].begin_by - first, window - kDelay);
     EXPECT_GT(fleet.sent[1].begin_by - first, window / 2);
   }
 }
 
-// ---- Servers that answer as a script says
+// ---- Servers with scripted faults
 
 class Scripted : public EngineTest {
  protected:
@@ -201,7 +203,7 @@
   std::unique_ptr<ScriptedUpstreams> scripted_;
 };
 
-// A cache of the script lacks each key when it is first asked for it.
+// A scripted cache server lacks each key at the first request for it.
 TEST_F(Scripted, CalmTraffic_ReadsEachMissedKeyOnceFromTheOrigin) {
   constexpr std::uint64_t kKeys = 200;
   build_scripted({}, list(1, true, {{"c-1", Phase::ready}, {"c-2", Phase::ready}}, true));
@@ -215,30 +217,30 @@
   EXPECT_EQ(scripted_->requests["origin"], kKeys);
 }
 
-/// What came, was rejected, and was attempted in one tenth of a second.
+/// Requests, rejections and attempts in one tenth of a second.
 struct Slot {
-  std::uint64_t asked = 0, rejected = 0, attempts = 0;
+  std::uint64_t requests = 0, rejected = 0, attempts = 0;
 };
 
-// Windows of 4 s in which 15 requests or more came and all of them were rejected, with no attempt.
+// Counts the windows of 4 s with at least 15 requests, all of which were rejected without an attempt.
 std::size_t windows_that_reject_all(const std::vector<Slot>& slots) {
   constexpr std::size_t kWindow = 40;  // 4 s
-  constexpr std::uint64_t kEnough = 15;
+  constexpr std::uint64_t kMinRequests = 15;
   std::size_t out = 0;
   for (std::size_t first = 0; first + kWindow <= slots.size(); ++first) {
     Slot sum;
     for (std::size_t i = first; i < first + kWindow; ++i) {
-      sum.asked += slots[i].asked;
+      sum.requests += slots[i].requests;
       sum.rejected += slots[i].rejected;
       sum.attempts += slots[i].attempts;
     }
-    if (sum.asked >= kEnough && sum.rejected >= sum.asked && sum.attempts == 0) ++out;
+    if (sum.requests >= kMinRequests && sum.rejected >= sum.requests && sum.attempts == 0) ++out;
   }
   return out;
 }
 
-// Ten of twenty are replaced, one each second: it drains, and has gone a second later, when another comes
-// that has just started. One of the rest hangs.
+// Ten of twenty servers are replaced, one each second: a server drains for a second and departs, and a newly
+// started one is listed in its place. One of the other servers hangs.
 TEST_F(Scripted, HalfOfTheServersReplaced_NeverRejectsEverythingForFourSeconds) {
   constexpr int kServers = 20, kReplaced = 10;
   std::vector<std::pair<std::string, Phase>> caches;
@@ -255,10 +257,10 @@
         changes.emplace_back("c-" + std::to_string(leaves - 1), Phase::gone);
         changes.emplace_back("new-" + std::to_string(leaves - 1), Phase::ready);
       }
-      engine::EndpointList news = list(++revision, false, changes);
-      for (engine::ListedEndpoint& one : news.members)
+      engine::EndpointList changes_list = list(++revision, false, changes);
+      for (engine::ListedEndpoint& one : changes_list.members)
         if (one.id.starts_with("new-")) one.member.started = time.now();
-      engine->on_endpoint_list(news);
+      engine->on_endpoint_list(changes_list);
     }
     const engine::Counters before = engine->counts();
     for (std::uint64_t i = 0; i < 2; ++i) {
@@ -271,7 +273,7 @@
   }
   EXPECT_EQ(windows_that_reject_all(slots), 0U);
   const engine::Counters& all = engine->counts();
-  EXPECT_LT(all.refused * 20, all.requests);  // and hardly any is, at any time
+  EXPECT_LT(all.refused * 20, all.requests);  // and fewer than 5% of all requests are rejected
 }
 
 }  // namespace
--- a/tests/engine/scripted_upstreams.h
+++ b/tests/engine/scripted_upstreams.h
@@ -12,9 +12,9 @@
 
 struct ServerFault {
   enum class Kind : std::uint8_t { stall, reset, malformed, overloaded, connect_refused, flush, slow } kind;
-  Time from = 0, to = 0;    // after the start, us
-  std::string server = {};  // empty: all but the origin
-  int per_thousand = 1'000;
+  Time from = 0, to = 0;     // microseconds after the start
+  std::string server = {};   // empty: all except the origin
+  int per_thousand = 1'000;  // share of the attempts that are affected
 };
 
 class ScriptedUpstreams final : public engine::UpstreamFactory {
@@ -24,18 +24,18 @@
         seed_(seed),
         start_(time.now()),
         faults_(std::move(faults)),
-        timer_(time.timer([this] { play(); })) {}
+        timer_(time.timer([this] { deliver_due_results(); })) {}
   void report_to(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
   std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override {
     return std::make_unique<Server>(*this, name, kind == 1);
   }
-  bool is_idle() const { return out_.empty(); }
+  bool is_idle() const { return pending_.empty(); }
 
-  // By server; and by server and key.
+  // Requests by server, and by server and key.
   std::map<std::string, std::uint64_t> requests;
   std::map<std::pair<std::string, std::string>, std::uint64_t> asked;
-  std::map<std::string, std::uint64_t> saves;  // executions, by idempotency key or id
-  std::map<std::string, Time> last_send;
+  std::map<std::string, std::uint64_t> saves;  // executions of writes, by idempotency key or transaction id
+  std::map<std::string, Time> last_send;       // by server, microseconds after the start
 
  private:
   struct Event {
@@ -59,7 +59,7 @@
     }
     bool cancel_unsent(engine::AttemptId) override { return false; }
     void cancel(engine::AttemptId attempt, engine::CancelReason) override {
-      owner_.out_.erase({attempt.request, attempt.number});
+      owner_.pending_.erase({attempt.request, attempt.number});
     }
     void close_idle(Time) override {}
     bool close_oldest_idle() override { return false; }
@@ -87,7 +87,7 @@
     const std::uint64_t draw_bits = draw(server, message.key, turn);
     const bool write = engine::is_write(message.operation);
     Outcome outcome = Outcome::served;
-    Time takes = 1'000 + static_cast<Time>(draw_bits % 4'000) * (origin ? 6 : 1);
+    Time duration = 1'000 + static_cast<Time>(draw_bits % 4'000) * (origin ? 6 : 1);
     Time& filled = filled_[{server, message.key}];
     // A cache server has a key from 60 ms after the first request for it.
     if (!origin && !write) {
@@ -99,8 +99,8 @@
       if (fault.server.empty() ? origin : fault.server != server) continue;
       if (static_cast<int>((draw_bits >> 20U) % 1'000) >= fault.per_thousand) continue;
       switch (fault.kind) {
-        case ServerFault::Kind::stall: takes += fault.to - since; break;
-        case ServerFault::Kind::slow: takes *= 20; break;
+        case ServerFault::Kind::stall: duration += fault.to - since; break;
+        case ServerFault::Kind::slow: duration *= 20; break;
         case ServerFault::Kind::reset: outcome = Outcome::reset; break;
         case ServerFault::Kind::malformed: outcome = Outcome::malformed; break;
         case ServerFault::Kind::overloaded: outcome = Outcome::overloaded; break;
@@ -110,18 +110,18 @@
     }
     if (write && outcome != Outcome::overloaded && outcome != Outcome::connect_failed)
       ++saves[message.idempotency_key.empty() ? message.transaction_id : message.idempotency_key];
-    later(takes, attempt, outcome, outcome == Outcome::served ? "value of " + message.key : "");
+    later(duration, attempt, outcome, outcome == Outcome::served ? "value of " + message.key : "");
   }
   void later(Time by, engine::AttemptId attempt, Outcome outcome, std::string body) {
-    out_.emplace(attempt.request, attempt.number);
+    pending_.emplace(attempt.request, attempt.number);
     events_.push({time_.now() + by, ++number_, attempt, outcome, std::move(body)});
     timer_->set(events_.top().at);
   }
-  void play() {
+  void deliver_due_results() {
     while (!events_.empty() && events_.top().at <= time_.now()) {
       const Event event = events_.top();
       events_.pop();
-      if (out_.erase({event.attempt.request, event.attempt.number}) == 0) continue;  // cancelled
+      if (pending_.erase({event.attempt.request, event.attempt.number}) == 0) continue;  // cancelled
       engine::Answer answer;
       answer.body = event.body;
       outcomes_->on_attempt_ended(event.attempt, event.outcome, std::move(answer));
@@ -134,7 +134,7 @@
   Time start_;
   std::vector<ServerFault> faults_;
   engine::AttemptObserver* outcomes_ = nullptr;
-  std::set<std::pair<RequestId, std::uint32_t>> out_;
+  std::set<std::pair<RequestId, std::uint32_t>> pending_;
   std::map<std::pair<std::string, std::string>, Time> filled_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::uint64_t number_ = 0;
--- a/tests/engine/server_starts_test.cpp
+++ b/tests/engine/server_starts_test.cpp
@@ -1,4 +1,4 @@
-// How starts that are told as Unix time are dated, on a clock whose wall time steps.
+// Conversion of server starts from Unix time to monotonic time while the wall clock steps.
 #include "engine/server_starts.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   return out;
 }
 
-// A process that runs for a minute and knows three servers that started an hour before it.
+// A process that has run for a minute and knows three servers that started an hour before it.
 struct ServerStartsTest : ::testing::TestWithParam<Time> {
   ServerStartsTest() {
     const Time long_ago = time.wall_time() - kHour;
@@ -30,7 +30,7 @@
     starts.on_endpoint_list(known);
     time.advance(60 * kSecond);
   }
-  void tell(const std::string& id, Time started) { starts.on_endpoint_list(list_of({{id, started}})); }
+  void list_server(const std::string& id, Time started) { starts.on_endpoint_list(list_of({{id, started}})); }
   Time age_of(const std::string& id) { return time.now() - starts.start_of(id); }
 
   ManualTime time;
@@ -40,34 +40,34 @@
 
 TEST_F(ServerStartsTest, SteadyClock_KeepsListedStarts) {
   EXPECT_EQ(age_of("a"), kHour + 60 * kSecond);
-  tell("new", time.now() - 3 * kSecond);
+  list_server("new", time.now() - 3 * kSecond);
   EXPECT_EQ(age_of("new"), 3 * kSecond);
-  tell("late", time.now() - 29 * kSecond);
+  list_server("late", time.now() - 29 * kSecond);
   EXPECT_EQ(age_of("late"), 29 * kSecond);
   time.advance(3 * kHour);
-  tell("after a quiet time", time.now() - kHour);
-  EXPECT_EQ(age_of("after a quiet time"), kHour);
+  list_server("after an idle period", time.now() - kHour);
+  EXPECT_EQ(age_of("after an idle period"), kHour);
   EXPECT_EQ(age_of("new"), 3 * kHour + 3 * kSecond);
 }
 
 TEST_F(ServerStartsTest, StartOfZero_MeansLongAgo) {
-  tell("new", 0);
+  list_server("new", 0);
   EXPECT_EQ(starts.start_of("new"), 0);
   EXPECT_EQ(starts.start_of("never listed"), 0);
 }
 
 TEST_F(ServerStartsTest, FutureStart_IsNow) {
-  tell("new", time.wall_time() + kHour);
+  list_server("new", time.wall_time() + kHour);
   EXPECT_EQ(age_of("new"), 0);
   time.advance(5 * kSecond);
-  tell("new", time.wall_time() + kHour - 5 * kSecond);
+  list_server("new", time.wall_time() + kHour - 5 * kSecond);
   EXPECT_EQ(age_of("new"), 5 * kSecond);
 }
 
 TEST_F(ServerStartsTest, OldStartOfANewServer_IsNow) {
   time.advance(10 * kSecond);
-  tell("known before", time.wall_time());
-  tell("new", time.wall_time() - kHour);
+  list_server("known before", time.wall_time());
+  list_server("new", time.wall_time() - kHour);
   EXPECT_EQ(age_of("new"), 0);
 }
 
@@ -76,8 +76,8 @@
   gone.members[0].member.phase = Phase::gone;
   starts.on_endpoint_list(gone);
   time.advance(10 * kSecond);
-  tell("other", time.wall_time());
-  tell("a", time.wall_time() - kHour - 70 * kSecond);
+  list_server("other", time.wall_time());
+  list_server("a", time.wall_time() - kHour - 70 * kSecond);
   EXPECT_EQ(age_of("a"), kHour + 70 * kSecond);
 }
 
@@ -90,14 +90,14 @@
 
 TEST_F(ServerStartsTest, DepartedServers_AreRemovedBeyondABound) {
   const Time started = time.wall_time();
-  tell("first", started);
+  list_server("first", started);
   engine::EndpointList gone = list_of({{"first", started}});
   gone.members[0].member.phase = Phase::gone;
   starts.on_endpoint_list(gone);
   EXPECT_EQ(starts.start_of("first"), started);
   for (std::size_t i = 0; i <= engine::ServerStarts::kMaxDeparted; ++i) {
     const std::string id = "s-" + std::to_string(i);
-    tell(id, started);
+    list_server(id, started);
     engine::EndpointList list = list_of({{id, started}});
     list.members[0].member.phase = Phase::gone;
     starts.on_endpoint_list(list);
@@ -111,11 +111,11 @@
   time.advance(2 * kSecond);
   const Time started = time.wall_time();
   time.advance(kSecond);
-  tell("new", started);
+  list_server("new", started);
   EXPECT_EQ(age_of("new"), kSecond);
 }
 
-// Two readings of two clocks differ by some microseconds.
+// Readings of two clocks at nearly the same time differ by some microseconds.
 TEST_P(ServerStartsSteps, StartSlightlyInTheFuture_IsNow) {
   time.step_wall_clock(GetParam());
   for (const Time ahead : {Time{0}, Time{1}, engine::WallClockHistory::kMinStep})
@@ -126,68 +126,68 @@
   const Time started = time.wall_time();
   time.advance(3 * kSecond);
   time.step_wall_clock(GetParam());
-  tell("new", started);
+  list_server("new", started);
   EXPECT_GE(age_of("new"), 0);
   EXPECT_LE(age_of("new"), 3 * kSecond);
 }
 
 TEST_P(ServerStartsSteps, ConvertedStart_IsNotMovedByAStep) {
   const Time started = time.wall_time();
-  tell("new", started);
+  list_server("new", started);
   time.advance(kSecond);
   time.step_wall_clock(GetParam());
-  tell("other", time.wall_time());
-  tell("new", started);
+  list_server("other", time.wall_time());
+  list_server("new", started);
   EXPECT_EQ(age_of("new"), kSecond);
 }
 
 TEST_P(ServerStartsSteps, StepForwardAndBack_MakesNoServerOlder) {
   time.step_wall_clock(GetParam());
-  tell("first", time.wall_time());
+  list_server("first", time.wall_time());
   time.advance(2 * kSecond);
   const Time started = time.wall_time();
   time.advance(kSecond);
   time.step_wall_clock(-GetParam());
-  tell("new", started);
+  list_server("new", started);
   EXPECT_GE(age_of("new"), 0);
   EXPECT_LE(age_of("new"), kSecond);
 }
 
-// It may have been read in none of the times that the clock ran as it ran then.
+// The wall clock reads a start during an earlier offset only if that offset was in force at that time.
 TEST_P(ServerStartsSteps, ReadingUnderAFormerOffset_CountsOnlyForItsPeriod) {
-  tell("before", time.wall_time());
+  list_server("before", time.wall_time());
   time.step_wall_clock(GetParam());
-  tell("first", time.wall_time());
+  list_server("first", time.wall_time());
   time.advance(kSecond);
   time.step_wall_clock(-GetParam());
-  tell("second", time.wall_time());
-  tell("new", time.wall_time() + 2 * kSecond);
+  list_server("second", time.wall_time());
+  list_server("new", time.wall_time() + 2 * kSecond);
   EXPECT_EQ(age_of("new"), 0);
 }
 
-// What a process that begins after the step can know.
+// A process that began after the step cannot know the step.
 TEST_P(ServerStartsSteps, StepBeforeTheProcess_LeavesNewServersWithTheirSlowStart) {
-  const Time before_the_step = time.wall_time();
+  const Time before_step = time.wall_time();
   time.step_wall_clock(GetParam());
   engine::ServerStarts fresh(time);
-  const Time after_the_step = time.wall_time();
-  const engine::EndpointList known = list_of({{"a", 0}, {"after", after_the_step}}, true);
+  const Time after_step = time.wall_time();
+  const engine::EndpointList known = list_of({{"a", 0}, {"after", after_step}}, true);
   fresh.known_at_start(known);
   fresh.on_endpoint_list(known);
   EXPECT_EQ(time.now() - fresh.start_of("after"), 0);
   time.advance(40 * kSecond);
   fresh.on_endpoint_list(list_of({{"other", time.wall_time()}}));
-  fresh.on_endpoint_list(list_of({{"new", before_the_step}}));
+  fresh.on_endpoint_list(list_of({{"new", before_step}}));
   const Time age = time.now() - fresh.start_of("new");
   EXPECT_GE(age, 0);
   EXPECT_LE(age, 40 * kSecond);
 }
 
 TEST_P(ServerStartsSteps, EnabledServer_CountsFromThatMoment) {
-  const Time called_back = time.wall_time();
+  const Time enabled_at = time.wall_time();
   time.advance(kSecond);
   time.step_wall_clock(GetParam());
-  const Time age = time.now() - starts.start_at(called_back);
+  const Time age = time.now() - starts.start_at(enabled_at);
   EXPECT_GE(age, 0);
   EXPECT_LE(age, kSecond);
   EXPECT_EQ(starts.start_at(time.wall_time()), time.now());
@@ -196,7 +196,8 @@
 INSTANTIATE_TEST_SUITE_P(By, ServerStartsSteps, ::testing::Values(5 * kSecond, -5 * kSecond, kHour, -kHour),
                          [](const auto& info) {
                            const Time seconds = info.param / kSecond;
-                           return (seconds < 0 ? "Back" : "Forth") + std::to_string(std::abs(seconds)) + "s";
+                           return (seconds < 0 ? "Backward" : "Forward") + std::to_string(std::abs(seconds)) +
+                                  "s";
                          });
 
 }  // namespace
--- a/tests/net/clock_test.cpp
+++ b/tests/net/clock_test.cpp
@@ -1,4 +1,4 @@
-// The router's clock where the wall clock steps: time and timers run on, and wall_time() follows.
+// net::Clock while the wall clock steps: monotonic time and timers are unaffected, and wall_time() follows.
 #include "net/clock.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 constexpr Time kMs = 1'000, kSecond = 1'000'000, kHour = 3'600 * kSecond;
 
 struct WallClockStep : ::testing::TestWithParam<Time> {
-  // Far below any step.
+  // Tolerance of the comparisons, below the size of any step.
   static constexpr Time kNear = kSecond;
   void step() { steps += GetParam(); }
   Time now() {
@@ -56,7 +56,8 @@
 INSTANTIATE_TEST_SUITE_P(By, WallClockStep, ::testing::Values(5 * kSecond, -5 * kSecond, kHour, -kHour),
                          [](const auto& info) {
                            const Time seconds = info.param / kSecond;
-                           return (seconds < 0 ? "Back" : "Forth") + std::to_string(std::abs(seconds)) + "s";
+                           return (seconds < 0 ? "Backward" : "Forward") + std::to_string(std::abs(seconds)) +
+                                  "s";
                          });
 
 TEST(WallOffset, ThreadSuspendedBetweenReadings_OffsetIsUnchanged) {
@@ -64,7 +65,7 @@
   int readings = 0;
   const auto offset = net::wall_offset(
       [&] {
-        // Held up for a minute within the first sample.
+        // The thread is suspended for a minute within the first sample.
         if (++readings == 1) monotonic += 60 * kSecond, wall += 60 * kSecond;
         return wall;
       },
--- a/tests/net/net_digest_test.cpp
+++ b/tests/net/net_digest_test.cpp
@@ -1,5 +1,5 @@
-// Digests of what src/net decides: on drawn inputs, on a scripted clock, and for the listener by the order in
-// which it asks its owner.
+// Digests of the decisions of src/net: on random inputs, on a scripted clock, and for the listener by the
+// order of its calls to its handler.
 #include <gtest/gtest.h>
 
 #include <boost/asio.hpp>
@@ -66,7 +66,7 @@
   EXPECT_TRUE(has_hash(digest, "20ba81fbeb417869"));
 }
 
-Config drawn_config(Draw& draw) {
+Config random_config(Draw& draw) {
   Config config;
   config.max_retry_after = draw.chance(0.1) ? 0 : draw.between(1, 5'000'000);
   for (std::uint64_t count = draw.below(5); count > 0; --count) {
@@ -77,28 +77,28 @@
   return config;
 }
 
-std::vector<bool> drawn_spared(Draw& draw) {
-  std::vector<bool> spared(draw.below(6));
-  for (std::size_t i = 0; i < spared.size(); ++i) spared[i] = draw.chance(0.3);
-  return spared;
+std::vector<bool> random_protected_classes(Draw& draw) {
+  std::vector<bool> is_protected(draw.below(6));
+  for (std::size_t i = 0; i < is_protected.size(); ++i) is_protected[i] = draw.chance(0.3);
+  return is_protected;
 }
 
 TEST(NetDigest, ScriptedClock_LoadShedderDecidesAsRecorded) {
   Digest digest;
   Draw draw(kSeed);
-  for (int world = 0; world < 40; ++world) {
+  for (int trial = 0; trial < 40; ++trial) {
     ScriptedClock clock(kStart);
     boost::asio::io_context io{1};
     overload::Settings settings;
     settings.target_loop_lag = draw.chance(0.1) ? 0 : draw.between(1'000, 100'000);
     settings.saturated_cpu = 0.1 + 1.2 * draw.unit();
-    const Config config = drawn_config(draw);
+    const Config config = random_config(draw);
     const double cores = 2 * draw.unit();
-    net::LoadShedder load_shedder(io, settings, config, cores, drawn_spared(draw));
+    net::LoadShedder load_shedder(io, settings, config, cores, random_protected_classes(draw));
     for (int step = 0; step < 300; ++step) {
       if (draw.chance(0.01)) {
-        const Config changed = drawn_config(draw);
-        load_shedder.update(changed, drawn_spared(draw));
+        const Config changed = random_config(draw);
+        load_shedder.update(changed, random_protected_classes(draw));
       }
       load_shedder.on_client_activity();
       if (draw.chance(0.3)) load_shedder.on_client_activity();
@@ -107,13 +107,13 @@
       clock.advance(lag, static_cast<long long>(static_cast<double>(lag) * 1.5 * draw.unit()));
       const std::size_t probes = io.poll();
       io.restart();
-      std::string refusals;
+      std::string decisions;
       for (int request = 0; request < 5; ++request) {
         const auto request_class = static_cast<std::uint32_t>(draw.below(6));
         const Time remaining = draw.between(0, 1'000'000);
-        refusals += load_shedder.should_reject(request_class, remaining, draw.below(~0ULL)) ? 'r' : '.';
+        decisions += load_shedder.should_reject(request_class, remaining, draw.below(~0ULL)) ? 'r' : '.';
       }
-      digest.add("step", probes, load_shedder.admits_all(), refusals, load_shedder.rejected(),
+      digest.add("step", probes, load_shedder.admits_all(), decisions, load_shedder.rejected(),
                  load_shedder.retry_after(draw.below(~0ULL)), load_shedder.controller().level(),
                  load_shedder.controller().mean_lag(), load_shedder.controller().overloaded_windows());
     }
@@ -125,12 +125,13 @@
   Digest digest;
   Draw draw(kSeed + 1);
   ScriptedClock clock(kStart);
-  net::LoopStallDetector delay;
+  net::LoopStallDetector stall_detector;
   for (int step = 0; step < 2'000; ++step) {
     clock.advance(draw.chance(0.03) ? draw.between(0, 600'000) : draw.between(0, 45'000));
-    const bool before = delay.was_stalled();
-    if (draw.chance(0.7)) delay.on_tick();
-    digest.add("step", before, delay.was_stalled(), delay.next_tick().time_since_epoch().count());
+    const bool before = stall_detector.was_stalled();
+    if (draw.chance(0.7)) stall_detector.on_tick();
+    digest.add("step", before, stall_detector.was_stalled(),
+               stall_detector.next_tick().time_since_epoch().count());
   }
   EXPECT_TRUE(has_hash(digest, "d520e5fccebb0e65"));
 }
@@ -178,7 +179,7 @@
 TEST(NetDigest, DrawnUse_UpstreamResourcesDecideAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 4);
-  for (int world = 0; world < 60; ++world) {
+  for (int trial = 0; trial < 60; ++trial) {
     overload::DescriptorBudget descriptors({.total = 40, .downstream_minimum = 10, .upstream_minimum = 10});
     net::UpstreamResources resources;
     if (draw.chance(0.5)) {
@@ -212,9 +213,9 @@
   EXPECT_TRUE(has_hash(digest, "9ae31a4c873403cf"));
 }
 
-// An owner whose answers are drawn, and that records all that it is asked.
-struct DrawnOwner final : net::Listener::Handler {
-  DrawnOwner(Digest& to, Draw& from) : digest(to), draw(from) {}
+// A handler that gives random answers and records all calls.
+struct RandomHandler final : net::Listener::Handler {
+  RandomHandler(Digest& to, Draw& from) : digest(to), draw(from) {}
   bool can_accept() override {
     const bool answer = draw.chance(0.8);
     digest.add("has_place", answer);
@@ -236,11 +237,11 @@
 TEST(NetDigest, DrawnCapacity_ListenerCallsItsHandlerAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 5);
-  for (int world = 0; world < 8; ++world) {
+  for (int trial = 0; trial < 8; ++trial) {
     boost::asio::io_context io{1};
-    DrawnOwner owner(digest, draw);
-    net::Listener listener(io, {boost::asio::ip::make_address("127.0.0.1"), 0}, owner);
-    owner.listener = &listener;
+    RandomHandler handler(digest, draw);
+    net::Listener listener(io, {boost::asio::ip::make_address("127.0.0.1"), 0}, handler);
+    handler.listener = &listener;
     digest.add("world", listener.is_listening(), listener.is_shared());
     std::vector<net::tcp::socket> clients;
     const auto connect = [&](int count) {
@@ -248,10 +249,10 @@
     };
     connect(10);
     listener.resume();
-    while (owner.sockets.size() < clients.size()) io.run_one();
+    while (handler.sockets.size() < clients.size()) io.run_one();
     connect(5);
     listener.stop();
-    digest.add("stopped", listener.is_listening(), owner.sockets.size());
+    digest.add("stopped", listener.is_listening(), handler.sockets.size());
     io.run();
   }
   EXPECT_TRUE(has_hash(digest, "b0602d1491270a0c"));
--- a/tests/overload/options_digest_test.cpp
+++ b/tests/overload/options_digest_test.cpp
@@ -1,4 +1,4 @@
-// Digest of what the options file's section [overload] is read as, and of what is said against its mistakes.
+// Digests of the settings read from section [overload] of the options file, and of its error messages.
 #include <gtest/gtest.h>
 
 #include <array>
--- a/tests/overload/overload_digest_test.cpp
+++ b/tests/overload/overload_digest_test.cpp
@@ -1,4 +1,4 @@
-// Digests of the decisions of src/overload over drawn inputs with fixed seeds.
+// Digests of the decisions of src/overload on random inputs with fixed seeds.
 #include <gtest/gtest.h>
 
 #include "overload/cancellation_policy.h"
@@ -18,7 +18,7 @@
 
 constexpr std::uint64_t kSeed = 20261203;
 
-Settings drawn_settings(Draw& draw) {
+Settings random_settings(Draw& draw) {
   Settings settings;
   settings.client_minimum_share = 0.05 + 0.45 * draw.unit();
   settings.upstream_minimum_share = 0.05 + 0.45 * draw.unit();
@@ -36,43 +36,43 @@
 TEST(OverloadDigest, DrawnLoads_LoadSheddingDecidesAsRecorded) {
   Digest digest;
   Draw draw(kSeed);
-  for (int world = 0; world < 40; ++world) {
-    const Settings settings = drawn_settings(draw);
+  for (int trial = 0; trial < 40; ++trial) {
+    const Settings settings = random_settings(draw);
     const double cores = draw.chance(0.1) ? 0 : 4 * draw.unit();
-    LoadSheddingController pressure(settings, cores);
-    digest.add("world", pressure.is_disabled());
+    LoadSheddingController controller(settings, cores);
+    digest.add("world", controller.is_disabled());
     long long now = draw.between(0, 1'000'000);
     long long cpu = 0;
-    long long usual_late = draw.between(0, 300'000);
+    long long usual_lag = draw.between(0, 300'000);
     double usual_load = draw.unit();
-    std::string refusals;
+    std::string decisions;
     for (int step = 0; step < 400; ++step) {
       if (step % 100 == 0) {
-        usual_late = draw.between(0, draw.chance(0.5) ? 300'000 : 5'000);
+        usual_lag = draw.between(0, draw.chance(0.5) ? 300'000 : 5'000);
         usual_load = draw.unit() * 1.5;
       }
       const long long passed = draw.chance(0.01) ? draw.between(0, 5'000'000) : draw.between(0, 40'000);
       now += passed;
       cpu += static_cast<long long>(static_cast<double>(passed) * usual_load * cores);
-      pressure.on_probe_queued(now);
+      controller.on_probe_queued(now);
       int cpu_readings = 0;
-      const bool ended = pressure.on_probe_run(now, draw.between(0, 2 * usual_late + 1), [&] {
+      const bool ended = controller.on_probe_run(now, draw.between(0, 2 * usual_lag + 1), [&] {
         ++cpu_readings;
         return cpu;
       });
       if (ended) {
-        digest.add("window", step, cpu_readings, pressure.level(), pressure.mean_lag(),
-                   pressure.cpu_utilization(), pressure.overloaded_windows());
+        digest.add("window", step, cpu_readings, controller.level(), controller.mean_lag(),
+                   controller.cpu_utilization(), controller.overloaded_windows());
       }
       for (int request = 0; request < 5; ++request) {
-        const bool refused = pressure.should_reject({.weight = draw.unit(),
-                                                     .time_left = draw.between(0, 2'000'000),
-                                                     .is_protected = draw.chance(0.2),
-                                                     .id = draw.below(~0ULL)});
-        refusals += refused ? 'r' : '.';
+        const bool is_rejected = controller.should_reject({.weight = draw.unit(),
+                                                           .time_left = draw.between(0, 2'000'000),
+                                                           .is_protected = draw.chance(0.2),
+                                                           .id = draw.below(~0ULL)});
+        decisions += is_rejected ? 'r' : '.';
       }
     }
-    digest.add("refusals", refusals);
+    digest.add("refusals", decisions);
   }
   EXPECT_TRUE(has_hash(digest, "32a3c7e716dee908"));
 }
@@ -89,12 +89,12 @@
   Digest digest;
   Draw draw(kSeed + 2);
   for (int i = 0; i < 1'000; ++i) {
-    const RetryAfterJitter spread(draw.chance(0.1) ? 0 : draw.between(1, 10'000'000));
-    const long long meant = draw.between(-1'000, 10'000'000);
+    const RetryAfterJitter jitter(draw.chance(0.1) ? 0 : draw.between(1, 10'000'000));
+    const long long mean = draw.between(-1'000, 10'000'000);
     const double level = draw.unit();
-    const double place = draw.unit();
-    digest.add("after", spread.around(meant, place));
-    digest.add("under", spread.at_level(level, place));
+    const double draw_value = draw.unit();
+    digest.add("after", jitter.around(mean, draw_value));
+    digest.add("under", jitter.at_level(level, draw_value));
   }
   EXPECT_TRUE(has_hash(digest, "3b4e17cf2f4b03c4"));
 }
@@ -102,16 +102,16 @@
 TEST(OverloadDigest, DrawnConnectionCounts_KeepAliveIsAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 3);
-  for (int world = 0; world < 100; ++world) {
+  for (int trial = 0; trial < 100; ++trial) {
     const std::size_t descriptors = draw.chance(0.1) ? draw.below(4) : draw.below(20'000);
-    const KeepAlivePolicy rules(descriptors, drawn_settings(draw));
-    digest.add("world", rules.pressure_threshold());
+    const KeepAlivePolicy policy(descriptors, random_settings(draw));
+    digest.add("world", policy.pressure_threshold());
     for (int step = 0; step < 20; ++step) {
-      const std::size_t held =
-          draw.chance(0.5) ? rules.pressure_threshold() - 2 + draw.below(4) : draw.below(descriptors + 1);
-      const std::size_t answers = 1 + draw.below(3);
-      digest.add("held", held, rules.is_under_pressure(held), rules.keeps_open(answers, held),
-                 rules.idle_timeout(held));
+      const std::size_t connections =
+          draw.chance(0.5) ? policy.pressure_threshold() - 2 + draw.below(4) : draw.below(descriptors + 1);
+      const std::size_t responses = 1 + draw.below(3);
+      digest.add("held", connections, policy.is_under_pressure(connections),
+                 policy.keeps_open(responses, connections), policy.idle_timeout(connections));
     }
   }
   const KeepAlivePolicy by_default(352);
@@ -123,21 +123,22 @@
 TEST(OverloadDigest, DrawnCancelledAttempts_DrainTimeoutsAreAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 4);
-  for (int world = 0; world < 100; ++world) {
-    const CancellationPolicy rules =
-        world == 0 ? CancellationPolicy() : CancellationPolicy(drawn_settings(draw));
+  for (int trial = 0; trial < 100; ++trial) {
+    const CancellationPolicy policy =
+        trial == 0 ? CancellationPolicy() : CancellationPolicy(random_settings(draw));
     for (int step = 0; step < 40; ++step) {
-      const long long usual = draw.chance(0.1) ? 0 : draw.between(1, 100'000);
-      const long long waited = draw.between(0, 6 * usual + 1);
+      const long long usual_latency = draw.chance(0.1) ? 0 : draw.between(1, 100'000);
+      const long long elapsed = draw.between(0, 6 * usual_latency + 1);
       const std::size_t connections = draw.below(400);
       const std::size_t draining = draw.below(connections / 2 + 2);
-      const std::size_t here = draw.below(12);
-      const long long wait = rules.drain_timeout({.elapsed = waited,
-                                                  .usual_latency = usual,
-                                                  .draining = draining,
-                                                  .open_connections = connections,
-                                                  .draining_at_endpoint = here});
-      digest.add("attempt", waited, usual, draining, connections, here, wait);
+      const std::size_t draining_at_endpoint = draw.below(12);
+      const long long drain_timeout = policy.drain_timeout({.elapsed = elapsed,
+                                                            .usual_latency = usual_latency,
+                                                            .draining = draining,
+                                                            .open_connections = connections,
+                                                            .draining_at_endpoint = draining_at_endpoint});
+      digest.add("attempt", elapsed, usual_latency, draining, connections, draining_at_endpoint,
+                 drain_timeout);
     }
   }
   EXPECT_TRUE(has_hash(digest, "85d54b501d5f8397"));
@@ -154,8 +155,8 @@
 TEST(OverloadDigest, DrawnReservations_DescriptorCapacityIsAsRecorded) {
   Digest digest;
   Draw draw(kSeed + 5);
-  for (int world = 0; world < 60; ++world) {
-    const Settings settings = drawn_settings(draw);
+  for (int trial = 0; trial < 60; ++trial) {
+    const Settings settings = random_settings(draw);
     DescriptorBudget budget(DescriptorBudget::Limits::from_shares(draw.below(300), settings));
     add_state(digest, budget);
     for (int step = 0; step < 200; ++step) {
