--- a/bench/overload/open_load.cpp
+++ b/bench/overload/open_load.cpp
@@ -20,89 +20,92 @@
 using boost::system::error_code;
 using Steady = std::chrono::steady_clock;
 
-class Crowd {
+class LoadGenerator {
  public:
-  Crowd(const OpenLoad& load, OpenResult& out) : load_(load), out_(out), random_(load.seed), next_(io_) {}
+  LoadGenerator(const OpenLoad& load, OpenResult& out)
+      : load_(load), out_(out), random_(load.seed), arrival_timer_(io_) {}
   void run() {
     start_ = Steady::now();
     end_ = start_ + in(load_.seconds);
-    at_ = start_;
-    arrive();
-    // Nobody waits for longer than this behind the last arrival.
+    next_arrival_ = start_;
+    send_due_requests();
+    // No client waits longer than this after the last arrival.
     asio::steady_timer last(io_, end_ + in(load_.patience + 2.5));
     last.async_wait([this](error_code) { io_.stop(); });
     io_.run();
   }
 
  private:
-  struct Ask {
-    Steady::time_point came;
+  struct PendingRequest {
+    Steady::time_point arrived_at;
     std::uint64_t key = 0;
-    bool save = false, again = false;
+    bool save = false, is_retry = false;
   };
-  struct Link : std::enable_shared_from_this<Link> {
-    explicit Link(Crowd& owner) : owner(owner), socket(owner.io_), patience(owner.io_) {}
-    Crowd& owner;
+  struct Connection : std::enable_shared_from_this<Connection> {
+    explicit Connection(LoadGenerator& generator)
+        : owner(generator), socket(generator.io_), timeout_timer(generator.io_) {}
+    LoadGenerator& owner;
     tcp::socket socket;
-    asio::steady_timer patience;
+    asio::steady_timer timeout_timer;
     std::array<char, 16384> chunk{};
     std::string in, out;
-    Ask ask;
-    Steady::time_point begun;
-    std::uint64_t turn = 0;
+    PendingRequest request;
+    Steady::time_point sent_at;
+    std::uint64_t generation = 0;
     bool busy = false, closed = false;
 
     void close() {
       if (std::exchange(closed, true)) return;
       error_code ignored;
       socket.close(ignored);
-      patience.cancel();
+      timeout_timer.cancel();
       --owner.open_;
     }
-    void begin(const Ask& asked, bool connected) {
-      ask = asked;
-      begun = Steady::now();
+    void begin(const PendingRequest& pending, bool connected) {
+      request = pending;
+      sent_at = Steady::now();
       busy = true;
-      const std::uint64_t mine = ++turn;
-      patience.expires_at(ask.came + in_(owner.load_.patience));
-      patience.async_wait([self = shared_from_this(), mine](error_code cancelled) {
-        if (cancelled || mine != self->turn || !self->busy) return;
-        ++self->owner.out_.given_up;
+      const std::uint64_t this_generation = ++generation;
+      timeout_timer.expires_at(request.arrived_at + to_duration(owner.load_.patience));
+      timeout_timer.async_wait([self = shared_from_this(), this_generation](error_code cancelled) {
+        if (cancelled || this_generation != self->generation || !self->busy) return;
+        ++self->owner.out_.timed_out;
         self->close();
       });
       if (connected) return write();
       socket.async_connect({asio::ip::make_address("127.0.0.1"), owner.load_.port},
                            [self = shared_from_this()](error_code error) {
                              if (self->closed) return;
-                             if (error) return self->ended(0);
+                             if (error) return self->on_ended(0);
                              self->socket.set_option(tcp::no_delay(true), error);
                              self->read();
                              self->write();
                            });
     }
-    static Steady::duration in_(double s) { return Crowd::in(s); }
+    static Steady::duration to_duration(double s) { return LoadGenerator::in(s); }
     void write() {
-      const double left =
-          std::chrono::duration<double>(ask.came + in_(owner.load_.patience) - Steady::now()).count();
+      const double left = std::chrono::duration<double>(request.arrived_at +
+                                                        to_duration(owner.load_.patience) - Steady::now())
+                              .count();
       std::array<char, 17> key{};
-      std::snprintf(key.data(), key.size(), "%016llx", static_cast<unsigned long long>(ask.key));
-      out = standin::request_text({.request_class = ask.save ? "annotation-save" : "tile-read",
+      std::snprintf(key.data(), key.size(), "%016llx", static_cast<unsigned long long>(request.key));
+      out = standin::request_text({.request_class = request.save ? "annotation-save" : "tile-read",
                                    .key = key.data(),
-                                   .id = 0x100000 + ++owner.last_id_,
+                                   .id = 0x100000 + ++owner.last_transaction_id_,
                                    .remaining = std::max(left, 0.001),
-                                   .save = ask.save,
-                                   .value = ask.save ? "mark" : ""});
+                                   .save = request.save,
+                                   .value = request.save ? "mark" : ""});
       asio::async_write(socket, asio::buffer(out),
                         [self = shared_from_this()](error_code error, std::size_t) {
-                          if (error && !self->closed) self->ended(0);
+                          if (error && !self->closed) self->on_ended(0);
                         });
     }
     void read() {
       socket.async_read_some(asio::buffer(chunk),
-                             [self = shared_from_this()](error_code error, std::size_t got) {
+                             [self = shared_from_this()](error_code error, std::size_t bytes_read) {
                                if (self->closed) return;
-                               if (error) return self->ended(0);
-                               self->in.append(self->chunk.data(), got);
+                               if (error) return self->on_ended(0);
+                               self->in.append(self->chunk.data(), bytes_read);
                                self->parse();
                                if (!self->closed) self->read();
                              });
@@ -114,25 +117,25 @@
       const std::size_t length = at < head ? std::strtoul(in.c_str() + at + 16, nullptr, 10) : 0;
       if (in.size() < head + 4 + length) return;
       const int status = std::atoi(in.c_str() + 9);
-      double after = 0;
+      double retry_after = 0;
       if (const std::size_t told = in.find("Retry-After: "); told < head)
-        after = std::atof(in.c_str() + told + 13);
+        retry_after = std::atof(in.c_str() + told + 13);
       const bool closes = in.find("Connection: close") < head;
       in.erase(0, head + 4 + length);
-      ended(status, after, closes);
+      on_ended(status, retry_after, closes);
     }
-    // 0: the connection ended instead of an answer.
-    void ended(int status, double after = 0, bool closes = true) {
-      Crowd& crowd = owner;
+    // `status` is 0 if the connection ended without a response.
+    void on_ended(int status, double retry_after = 0, bool closes = true) {
+      LoadGenerator& generator = owner;
       const auto self = shared_from_this();
-      if (std::exchange(busy, false)) crowd.answered(ask, status, after, begun);
-      patience.cancel();
-      if (closes || status == 0 || crowd.chance(crowd.load_.once)) {
+      if (std::exchange(busy, false)) generator.on_response(request, status, retry_after, sent_at);
+      timeout_timer.cancel();
+      if (closes || status == 0 || generator.chance(generator.load_.closing_share)) {
         close();
       } else {
-        crowd.idle_.push_back(self);
+        generator.idle_.push_back(self);
       }
-      crowd.serve_waiting();
+      generator.dispatch_queued();
     }
   };
 
@@ -141,69 +144,70 @@
   }
   bool chance(double share) { return share > 0 && std::uniform_real_distribution<>(0, 1)(random_) < share; }
 
-  void arrive() {
-    // All that is due by now: a client that is late itself must not thin the crowd out.
-    while (at_ <= Steady::now() && at_ < end_) {
+  void send_due_requests() {
+    // Sends all requests that are due: a delay of the generator must not lower the load.
+    while (next_arrival_ <= Steady::now() && next_arrival_ < end_) {
       ++out_.asked;
       const bool save = chance(load_.saves);
       if (save) ++out_.saves;
       const std::uint64_t a = random_() % load_.keys, b = random_() % load_.keys;
-      put({at_, std::min(a, b) * 0x9e3779b97f4a7c15U, save, false});
-      at_ += in(std::exponential_distribution<>(load_.rate)(random_));
+      dispatch({next_arrival_, std::min(a, b) * 0x9e3779b97f4a7c15U, save, false});
+      next_arrival_ += in(std::exponential_distribution<>(load_.rate)(random_));
     }
-    if (at_ >= end_) return;
-    next_.expires_at(at_);
-    next_.async_wait([this](error_code cancelled) {
-      if (!cancelled) arrive();
+    if (next_arrival_ >= end_) return;
+    arrival_timer_.expires_at(next_arrival_);
+    arrival_timer_.async_wait([this](error_code cancelled) {
+      if (!cancelled) send_due_requests();
     });
   }
-  void put(const Ask& ask) {
+  void dispatch(const PendingRequest& request) {
     while (!idle_.empty()) {
-      const auto link = idle_.back();
+      const auto connection = idle_.back();
       idle_.pop_back();
-      if (!link->closed) return link->begin(ask, true);
+      if (!connection->closed) return connection->begin(request, true);
     }
-    if (open_ >= load_.most_connections) {
-      waiting_.push_back(ask);
+    if (open_ >= load_.max_connections) {
+      queue_.push_back(request);
       return;
     }
     ++open_;
     ++out_.opened;
-    std::make_shared<Link>(*this)->begin(ask, false);
+    std::make_shared<Connection>(*this)->begin(request, false);
   }
-  void serve_waiting() {
-    while (!waiting_.empty()) {
-      const Ask ask = waiting_.front();
-      if (Steady::now() >= ask.came + in(load_.patience)) {
-        waiting_.pop_front();
+  void dispatch_queued() {
+    while (!queue_.empty()) {
+      const PendingRequest request = queue_.front();
+      if (Steady::now() >= request.arrived_at + in(load_.patience)) {
+        queue_.pop_front();
         ++out_.unsent;
         continue;
       }
-      if (idle_.empty() && open_ >= load_.most_connections) return;
-      waiting_.pop_front();
-      put(ask);
+      if (idle_.empty() && open_ >= load_.max_connections) return;
+      queue_.pop_front();
+      dispatch(request);
     }
   }
-  void answered(const Ask& ask, int status, double after, Steady::time_point begun) {
-    const double took = std::chrono::duration<double>(Steady::now() - ask.came).count();
+  void on_response(const PendingRequest& request, int status, double retry_after,
+                   Steady::time_point sent_at) {
+    const double took = std::chrono::duration<double>(Steady::now() - request.arrived_at).count();
     if (status == 200) {
-      out_.took.push_back(took);
-      out_.waited.push_back(std::chrono::duration<double>(begun - ask.came).count());
+      out_.latencies.push_back(took);
+      out_.connection_waits.push_back(std::chrono::duration<double>(sent_at - request.arrived_at).count());
       ++(took <= load_.aim ? out_.good : out_.late);
-      if (ask.save && took <= load_.aim) ++out_.saves_good;
+      if (request.save && took <= load_.aim) ++out_.saves_good;
       return;
     }
     if (status != 503 && status != 429) {
       ++out_.failed;
       return;
     }
-    ++out_.refused;
-    out_.turned.push_back(std::chrono::duration<double>(Steady::now() - begun).count());
-    if (ask.again || after <= 0 || !chance(load_.returns)) return;
-    const auto timer = std::make_shared<asio::steady_timer>(io_, in(after));
-    timer->async_wait([this, ask, timer](error_code cancelled) {
+    ++out_.rejected;
+    out_.rejection_durations.push_back(std::chrono::duration<double>(Steady::now() - sent_at).count());
+    if (request.is_retry || retry_after <= 0 || !chance(load_.retry_share)) return;
+    const auto timer = std::make_shared<asio::steady_timer>(io_, in(retry_after));
+    timer->async_wait([this, request, timer](error_code cancelled) {
       if (cancelled || Steady::now() >= end_) return;
-      put({Steady::now(), ask.key, ask.save, true});
+      dispatch({Steady::now(), request.key, request.save, true});
     });
   }
 
@@ -211,27 +215,27 @@
   OpenResult& out_;
   std::mt19937_64 random_;
   asio::io_context io_{1};
-  asio::steady_timer next_;
-  Steady::time_point start_, end_, at_;
+  asio::steady_timer arrival_timer_;
+  Steady::time_point start_, end_, next_arrival_;
   std::size_t open_ = 0;
-  std::uint64_t last_id_ = (std::random_device{}() & 0xffffffU) * 0x1000000ULL;
-  std::vector<std::shared_ptr<Link>> idle_;
-  std::deque<Ask> waiting_;
+  std::uint64_t last_transaction_id_ = (std::random_device{}() & 0xffffffU) * 0x1000000ULL;
+  std::vector<std::shared_ptr<Connection>> idle_;
+  std::deque<PendingRequest> queue_;
 };
 
 }  // namespace
 
-double OpenResult::quantile(std::vector<double>& took, double share) {
-  if (took.empty()) return 0;
-  const auto at =
-      std::min(took.size() - 1, static_cast<std::size_t>(share * static_cast<double>(took.size())));
-  std::nth_element(took.begin(), took.begin() + static_cast<std::ptrdiff_t>(at), took.end());
-  return took[at];
+double OpenResult::quantile(std::vector<double>& values, double share) {
+  if (values.empty()) return 0;
+  const auto index =
+      std::min(values.size() - 1, static_cast<std::size_t>(share * static_cast<double>(values.size())));
+  std::nth_element(values.begin(), values.begin() + static_cast<std::ptrdiff_t>(index), values.end());
+  return values[index];
 }
 
 OpenResult run_open_load(const OpenLoad& load) {
   OpenResult out;
-  Crowd(load, out).run();
+  LoadGenerator(load, out).run();
   return out;
 }
 
--- a/bench/overload/overload.cpp
+++ b/bench/overload/overload.cpp
@@ -1,10 +1,10 @@
-// What is left of the service when more is asked than there is strength for.
+// Measures the router's service while more requests arrive than the servers can process.
 //
 //   bench_overload curve --router build-full/streampick_router --svg docs/overload-goodput.svg
 //   bench_overload soak --router ... --seconds 600
 //
-// curve: a fleet of bounded strength, loads from 0.5 to 6 times what it can do; how much is answered in time.
-// soak: one load for long, with ever new connections; memory and descriptors of the router as time passes.
+// curve: goodput at loads from 0.5 to 6 times the capacity of the fleet.
+// soak: memory and descriptors of the router over a long time of constant load with ever new connections.
 #include <CLI/CLI.hpp>
 #include <atomic>
 #include <cstdio>
@@ -27,16 +27,16 @@
 
 constexpr std::size_t kCaches = 8, kSlots = 4;
 constexpr std::chrono::milliseconds kWork{8}, kOriginWork{16};
-constexpr double kAim = 0.2, kPatience = 0.8;  // s
+constexpr double kLatencyObjective = 0.2, kClientTimeout = 0.8;  // s
 
-// s that the calling thread has used.
+// CPU time that the calling thread has used, s.
 double thread_cpu() {
   timespec used{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
   return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) / 1e9;
 }
 
-// The caches and the origin on a thread of their own, and a router over them.
+// Cache servers and an origin on a thread of their own, and a router process in front of them.
 class Fleet {
  public:
   Fleet(const std::string& program, const std::string& options, std::size_t sockets) {
@@ -47,17 +47,17 @@
       servers_.back()->delay = origin ? kOriginWork : kWork;
       servers_.back()->slots = kSlots;
       servers_.back()->line = 4 * kSlots;
-      servers_.back()->keys = origin ? 0 : 10;  // one key in ten is at the origin alone
+      servers_.back()->keys = origin ? 0 : 10;  // cache servers lack one key in ten
       members.push_back({(origin ? "o-" : "c-") + std::to_string(i), servers_.back()->address(), origin});
     }
     discovery_ = std::make_unique<standin::StaticDiscovery>(io_, members);
     port_ = standin::free_port(io_);
     auto config =
         standin::router_config("127.0.0.1:" + std::to_string(port_), discovery_->address(), members, sockets);
-    // What the router is told is what its answers are judged by.
+    // The router's objectives are those by which its responses are counted.
     for (auto& profile : config["settings"]["Profiles"]) {
-      profile["AimUs"] = static_cast<std::int64_t>(kAim * 1e6);
-      profile["HardLimitUs"] = static_cast<std::int64_t>(kPatience * 1e6);
+      profile["AimUs"] = static_cast<std::int64_t>(kLatencyObjective * 1e6);
+      profile["HardLimitUs"] = static_cast<std::int64_t>(kClientTimeout * 1e6);
     }
     log_ = std::filesystem::temp_directory_path() / ("bench-overload-" + std::to_string(::getpid()) + ".log");
     router_ = std::make_unique<standin::RouterProcess>(program, config, options, log_);
@@ -82,7 +82,7 @@
   }
   unsigned short port() const { return port_; }
   const standin::RouterProcess& router() const { return *router_; }
-  double servers_cpu() const { return servers_cpu_; }  // s, of the thread that all of them share
+  double servers_cpu() const { return servers_cpu_; }  // CPU time of the servers' shared thread, s
   std::size_t descriptors() const {
     std::size_t out = 0;
     for (const auto& entry :
@@ -92,8 +92,8 @@
     }
     return out;
   }
-  // Requests a second that the caches can do, one in ten of which the origin has to do again.
-  static double strength() {
+  // Requests a second that the cache servers can process; the origin processes one in ten of them again.
+  static double capacity() {
     return static_cast<double>(kCaches * kSlots) / std::chrono::duration<double>(kWork).count();
   }
 
@@ -110,55 +110,57 @@
 };
 
 void curve(const std::string& program, const std::string& options, double seconds, const std::string& svg) {
-  // The origin can do a part of it only; what the caches lack is a tenth.
-  const double strength = std::min(Fleet::strength(), 10 * static_cast<double>(kSlots) /
+  // The origin may limit the capacity: it processes a tenth of the requests, those that the cache servers
+  // lack.
+  const double capacity = std::min(Fleet::capacity(), 10 * static_cast<double>(kSlots) /
                                                           std::chrono::duration<double>(kOriginWork).count());
-  std::printf("strength %.0f requests a second; aim 200 ms, patience 800 ms\n", strength);
+  std::printf("capacity %.0f requests a second; latency objective 200 ms, client timeout 800 ms\n", capacity);
   std::printf("%6s %8s %8s %8s %8s %8s %8s %9s %9s %9s %9s %9s %22s\n", "load", "asked/s", "good/s", "late/s",
               "refused/s", "failed", "gave up", "p50 ms", "p99 ms", "waited ms", "turned ms", "saves ok",
               "cpu router/fleet/load");
-  Line good{"answered in time", {}}, refused{"refused", {}}, rest{"late, failed, given up", {}},
+  Line good{"answered in time", {}}, refused{"refused", {}}, rest{"late, failed, timed out", {}},
       asked{"asked", {}};
-  for (const double times : {0.5, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0}) {
+  for (const double load_factor : {0.5, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0}) {
     Fleet fleet(program, options, 8'192);
     OpenLoad load;
     load.port = fleet.port();
-    load.rate = strength * times;
+    load.rate = capacity * load_factor;
     load.seconds = seconds;
-    load.most_connections = 3'000;
-    load.aim = kAim;
-    load.patience = kPatience;
-    load.returns = 0.9;
+    load.max_connections = 3'000;
+    load.aim = kLatencyObjective;
+    load.patience = kClientTimeout;
+    load.retry_share = 0.9;
     load.saves = 0.05;
     load.seed = 7;
     const double clients_before = thread_cpu(), router_before = fleet.router().cpu_seconds(),
                  servers_before = fleet.servers_cpu();
-    const auto began = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     OpenResult out = run_open_load(load);
-    const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
     const double all = seconds;
     std::printf(
         "%6.1f %8.0f %8.0f %8.0f %8.0f %8llu %8llu %9.1f %9.1f %9.1f %9.1f %8.0f%% %8.2f %6.2f %6.2f\n",
-        times, static_cast<double>(out.asked) / all, static_cast<double>(out.good) / all,
-        static_cast<double>(out.late) / all, static_cast<double>(out.refused) / all,
+        load_factor, static_cast<double>(out.asked) / all, static_cast<double>(out.good) / all,
+        static_cast<double>(out.late) / all, static_cast<double>(out.rejected) / all,
         static_cast<unsigned long long>(out.failed),
-        static_cast<unsigned long long>(out.given_up + out.unsent), 1e3 * OpenResult::quantile(out.took, 0.5),
-        1e3 * OpenResult::quantile(out.took, 0.99), 1e3 * OpenResult::quantile(out.waited, 0.5),
-        1e3 * OpenResult::quantile(out.turned, 0.5),
+        static_cast<unsigned long long>(out.timed_out + out.unsent),
+        1e3 * OpenResult::quantile(out.latencies, 0.5), 1e3 * OpenResult::quantile(out.latencies, 0.99),
+        1e3 * OpenResult::quantile(out.connection_waits, 0.5),
+        1e3 * OpenResult::quantile(out.rejection_durations, 0.5),
         100.0 * static_cast<double>(out.saves_good) /
             static_cast<double>(std::max<std::uint64_t>(1, out.saves)),
         (fleet.router().cpu_seconds() - router_before) / took, (fleet.servers_cpu() - servers_before) / took,
         (thread_cpu() - clients_before) / took);
     std::fflush(stdout);
-    good.points.emplace_back(times, static_cast<double>(out.good) / all);
-    refused.points.emplace_back(times, static_cast<double>(out.refused) / all);
-    rest.points.emplace_back(times,
-                             static_cast<double>(out.late + out.failed + out.given_up + out.unsent) / all);
-    asked.points.emplace_back(times, static_cast<double>(out.asked) / all);
+    good.points.emplace_back(load_factor, static_cast<double>(out.good) / all);
+    refused.points.emplace_back(load_factor, static_cast<double>(out.rejected) / all);
+    rest.points.emplace_back(load_factor,
+                             static_cast<double>(out.late + out.failed + out.timed_out + out.unsent) / all);
+    asked.points.emplace_back(load_factor, static_cast<double>(out.asked) / all);
   }
   if (svg.empty()) return;
-  std::ofstream(svg) << line_chart("Requests a second, by what became of them",
-                                   "load over the fleet's strength", "a second",
+  std::ofstream(svg) << line_chart("Requests a second, by result",
+                                   "load, as a multiple of the fleet's capacity", "a second",
                                    {good, refused, rest, asked});
 }
 
@@ -166,14 +168,14 @@
   Fleet fleet(program, options, 1024);
   std::printf("%8s %12s %12s %10s %10s %10s\n", "s", "resident KB", "descriptors", "asked", "good",
               "connections");
-  const double part = std::min(30.0, seconds);
+  const double interval = std::min(30.0, seconds);
   std::uint64_t asked = 0, good = 0, opened = 0;
-  for (double at = 0; at < seconds; at += part) {
+  for (double at = 0; at < seconds; at += interval) {
     OpenLoad load;
     load.port = fleet.port();
     load.rate = 800;
-    load.seconds = part;
-    load.once = 0.5;
+    load.seconds = interval;
+    load.closing_share = 0.5;
     load.saves = 0.05;
     load.keys = 100'000;
     load.seed = static_cast<std::uint64_t>(at) + 1;
@@ -181,7 +183,7 @@
     asked += out.asked;
     good += out.good;
     opened += out.opened;
-    std::printf("%8.0f %12ld %12zu %10llu %10llu %10llu\n", at + part, fleet.router().resident_kb(),
+    std::printf("%8.0f %12ld %12zu %10llu %10llu %10llu\n", at + interval, fleet.router().resident_kb(),
                 fleet.descriptors(), static_cast<unsigned long long>(asked),
                 static_cast<unsigned long long>(good), static_cast<unsigned long long>(opened));
     std::fflush(stdout);
@@ -192,15 +194,16 @@
 }  // namespace streampick::bench
 
 int main(int argc, char** argv) {
-  CLI::App app("What is left of the service under overload.");
+  CLI::App app("Measures the router's service under overload.");
   std::string router = "build-full/streampick_router", svg, options_path;
   double seconds = 6;
-  for (CLI::App* mode : {app.add_subcommand("curve", "loads from 0.5 to 6 times the fleet's strength"),
-                         app.add_subcommand("soak", "one load for long, with ever new connections")}) {
+  for (CLI::App* mode :
+       {app.add_subcommand("curve", "loads from 0.5 to 6 times the capacity of the fleet"),
+        app.add_subcommand("soak", "constant load for a long time, with ever new connections")}) {
     mode->add_option("--router", router, "the router's program")->check(CLI::ExistingFile);
     mode->add_option("--options", options_path, "an options file")->check(CLI::ExistingFile);
-    mode->add_option("--seconds", seconds, "of each load, or in all");
-    mode->add_option("--svg", svg, "where to draw the curve");
+    mode->add_option("--seconds", seconds, "duration of each load (curve) or of the whole run (soak)");
+    mode->add_option("--svg", svg, "file for the chart of the curve");
   }
   app.require_subcommand(1);
   CLI11_PARSE(app, argc, argv);
