--- a/bench/overload/open_load.cpp
+++ b/bench/overload/open_load.cpp
@@ -30,7 +30,7 @@
     next_arrival_ = start_;
     send_due_requests();
     // No client waits longer than this after the last arrival.
-    asio::steady_timer last(io_, end_ + in(load_.patience + 2.5));
+    asio::steady_timer last(io_, end_ + in(load_.client_timeout + 2.5));
     last.async_wait([this](error_code) { io_.stop(); });
     io_.run();
   }
@@ -66,7 +66,7 @@
       sent_at = Steady::now();
       busy = true;
       const std::uint64_t this_generation = ++generation;
-      timeout_timer.expires_at(request.arrived_at + to_duration(owner.load_.patience));
+      timeout_timer.expires_at(request.arrived_at + to_duration(owner.load_.client_timeout));
       timeout_timer.async_wait([self = shared_from_this(), this_generation](error_code cancelled) {
         if (cancelled || this_generation != self->generation || !self->busy) return;
         ++self->owner.out_.timed_out;
@@ -84,8 +84,8 @@
     }
     static Steady::duration to_duration(double s) { return LoadGenerator::in(s); }
     void write() {
-      const double left = std::chrono::duration<double>(request.arrived_at +
-                                                        to_duration(owner.load_.patience) - Steady::now())
+      const double left = std::chrono::duration<double>(
+                              request.arrived_at + to_duration(owner.load_.client_timeout) - Steady::now())
                               .count();
       std::array<char, 17> key{};
       std::snprintf(key.data(), key.size(), "%016llx", static_cast<unsigned long long>(request.key));
@@ -177,7 +177,7 @@
   void dispatch_queued() {
     while (!queue_.empty()) {
       const PendingRequest request = queue_.front();
-      if (Steady::now() >= request.arrived_at + in(load_.patience)) {
+      if (Steady::now() >= request.arrived_at + in(load_.client_timeout)) {
         queue_.pop_front();
         ++out_.unsent;
         continue;
--- a/bench/overload/overload.cpp
+++ b/bench/overload/overload.cpp
@@ -128,7 +128,7 @@
     load.seconds = seconds;
     load.max_connections = 3'000;
     load.aim = kLatencyObjective;
-    load.patience = kClientTimeout;
+    load.client_timeout = kClientTimeout;
     load.retry_share = 0.9;
     load.saves = 0.05;
     load.seed = 7;
