--- a/bench/fleet_size/fleet_size.cpp
+++ b/bench/fleet_size/fleet_size.cpp
@@ -200,7 +200,7 @@
     out.rate = options_.requests_per_second;
     out.seconds = options_.seconds;
     out.seed = options_.seed;
-    out.client_timeout = out.aim = 0.8;
+    out.client_timeout = out.latency_objective = 0.8;
     out.saves = 0.1;
     return out;
   }
--- a/bench/overload/open_load.cpp
+++ b/bench/overload/open_load.cpp
@@ -193,8 +193,8 @@
     if (status == 200) {
       out_.latencies.push_back(took);
       out_.connection_waits.push_back(std::chrono::duration<double>(sent_at - request.arrived_at).count());
-      ++(took <= load_.aim ? out_.good : out_.late);
-      if (request.save && took <= load_.aim) ++out_.saves_good;
+      ++(took <= load_.latency_objective ? out_.good : out_.late);
+      if (request.save && took <= load_.latency_objective) ++out_.saves_good;
       return;
     }
     if (status != 503 && status != 429) {
--- a/bench/overload/overload.cpp
+++ b/bench/overload/overload.cpp
@@ -127,7 +127,7 @@
     load.rate = capacity * load_factor;
     load.seconds = seconds;
     load.max_connections = 3'000;
-    load.aim = kLatencyObjective;
+    load.latency_objective = kLatencyObjective;
     load.client_timeout = kClientTimeout;
     load.retry_share = 0.9;
     load.saves = 0.05;
