--- a/tests/overload/crowd_test.cpp
+++ b/tests/overload/crowd_test.cpp
@@ -1,4 +1,5 @@
-// Crowds over loopback sockets: whoever asks is answered once, and those who work are not locked out.
+// Many clients over loopback sockets: each request gets exactly one response, and active clients are served
+// while many idle clients stay connected.
 #include <sys/resource.h>
 
 #include <deque>
@@ -21,89 +22,93 @@
     const engine::Counters& counts = host->counts();
     return counts.served + counts.refused + counts.failed;
   }
-  static std::size_t times(const std::string& text, const std::string& part) {
+  static std::size_t occurrences(const std::string& text, const std::string& part) {
     std::size_t out = 0;
     for (std::size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++out;
     return out;
   }
 };
 
-// A client that goes on working: asks again once it is answered, and on a new connection when its own ended.
-struct Worker {
-  Worker(asio::io_context& context, const net::tcp::endpoint& address) : io(context), to(address) {}
+// An active client: sends the next request once it has a response, and reconnects when its connection ended.
+struct ActiveClient {
+  ActiveClient(asio::io_context& context, const net::tcp::endpoint& address) : io(context), to(address) {}
   void step() {
     bool again = !client;
     if (client && !client->answers.empty()) {
-      ++(client->status() == 200 ? served : refused);
+      ++(client->status() == 200 ? served : rejected);
       again = client->answers[0].find("Connection: close") != std::string::npos;
       client->answers.clear();
-      asked = false;
+      awaits_response = false;
     } else if (client && client->peer->ended) {
-      if (asked) ++lost;
+      if (awaits_response) ++unanswered;
       again = true;
     }
     if (again) {
       client = std::make_unique<FakeClient>(io, to);
-      asked = false;
+      awaits_response = false;
     }
-    if (asked) return;
+    if (awaits_response) return;
     client->ask(a_read());
-    asked = true;
+    awaits_response = true;
   }
   asio::io_context& io;
   net::tcp::endpoint to;
   std::unique_ptr<FakeClient> client;
-  bool asked = false;
-  int served = 0, refused = 0, lost = 0;
+  bool awaits_response = false;
+  int served = 0, rejected = 0, unanswered = 0;
 };
 
-TEST_F(Crowd, TwoThousandThatAskOnceAndStayAreAllAnsweredAndTwentyGoOnWorking) {
+TEST_F(Crowd, TwoThousandIdleClients_AreAllAnsweredAndTwentyActiveOnesAreServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  std::deque<Worker> workers;
-  for (int i = 0; i < 20; ++i) workers.emplace_back(io, host->address());
-  std::vector<std::unique_ptr<FakeClient>> stay;
-  const auto work = [&] {
-    for (Worker& worker : workers) worker.step();
+  std::deque<ActiveClient> active_clients;
+  for (int i = 0; i < 20; ++i) active_clients.emplace_back(io, host->address());
+  std::vector<std::unique_ptr<FakeClient>> idle_clients;
+  const auto step_active_clients = [&] {
+    for (ActiveClient& active_client : active_clients) active_client.step();
   };
-  // 2,000 a second: as fast as the machine can, a quick one would leave the workers fewer turns.
-  constexpr std::chrono::milliseconds kBatchEvery{25};
+  // 2,000 connections a second. Without a fixed rate, a fast machine would leave the active clients fewer
+  // turns.
+  constexpr std::chrono::milliseconds kBatchInterval{25};
   const auto begun = std::chrono::steady_clock::now();
   for (int batch = 0; batch < 40; ++batch) {
     for (int i = 0; i < 50; ++i) {
-      stay.push_back(client());
-      stay.back()->ask(a_read());
+      idle_clients.push_back(client());
+      idle_clients.back()->ask(a_read());
     }
     ASSERT_TRUE(wait_for([&] {
-      work();
-      return stay.back()->answers.size() == 1 &&
-             std::chrono::steady_clock::now() >= begun + (batch + 1) * kBatchEvery;
+      step_active_clients();
+      return idle_clients.back()->answers.size() == 1 &&
+             std::chrono::steady_clock::now() >= begun + (batch + 1) * kBatchInterval;
     }));
     ASSERT_LE(host->descriptors().used(overload::DescriptorBudget::Side::downstream),
               host->descriptors().capacity(overload::DescriptorBudget::Side::downstream));
   }
   ASSERT_TRUE(wait_for([&] {
-    work();
-    return std::all_of(stay.begin(), stay.end(), [](const auto& one) { return one->answers.size() == 1; });
+    step_active_clients();
+    return std::all_of(idle_clients.begin(), idle_clients.end(),
+                       [](const auto& one) { return one->answers.size() == 1; });
   }));
-  // One answer each; a module that has seen one server of a fleet at work for a second refuses a few.
+  // Each has one response; a few are rejected, since the decision module has seen only one server of the
+  // fleet respond, for one second.
   std::size_t served = 0;
-  for (const auto& one : stay) served += one->status() == 200 ? 1 : 0;
-  EXPECT_GT(served, stay.size() * 9 / 10);
-  for (const Worker& worker : workers) {
-    EXPECT_GE(worker.served, 40);
-    EXPECT_LT(worker.refused, worker.served);
-    // One that crosses the end of an idle connection is sent once more by the client, and was not taken.
-    EXPECT_LE(worker.lost, 2);
+  for (const auto& one : idle_clients) served += one->status() == 200 ? 1 : 0;
+  EXPECT_GT(served, idle_clients.size() * 9 / 10);
+  for (const ActiveClient& active_client : active_clients) {
+    EXPECT_GE(active_client.served, 40);
+    EXPECT_LT(active_client.rejected, active_client.served);
+    // A request sent while the router closes its idle connection is lost unread; the client sends it
+    // again.
+    EXPECT_LE(active_client.unanswered, 2);
   }
-  for (Worker& worker : workers) worker.client.reset();
+  for (ActiveClient& active_client : active_clients) active_client.client.reset();
   quiet();
   EXPECT_EQ(host->counts().requests, answered() + host->counts().cancelled_by_client);
   EXPECT_EQ(host->counts().deadline_guards, 0U);
 }
 
-TEST_F(Crowd, ASaveGetsThroughWhileTheCachesHaveNoRoomForReads) {
-  cache.answer = [](const std::string&) { return std::string(); };  // every read stands still
+TEST_F(Crowd, SaveWhileCachesAreSaturatedByReads_IsServed) {
+  cache.answer = [](const std::string&) { return std::string(); };  // no read is answered
   origin.answer = [](const std::string& message) {
     return message.rfind("PUT", 0) == 0 ? response(200, "kept") : std::string();
   };
@@ -128,7 +133,7 @@
   EXPECT_EQ(answered(), 61U);
 }
 
-TEST_F(Crowd, WhileTheLoopIsBehindReadsAreTurnedAwayUnreadAndSavesThatAreSparedAreNot) {
+TEST_F(Crowd, LaggingEventLoop_RejectsReadsUnreadButNotProtectedSaves) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   settings = platform::parse_settings(
       config_json(
@@ -160,7 +165,7 @@
   load.end();
   EXPECT_EQ(shed, 3U);
   EXPECT_GT(saved, 3U);
-  // Of what was turned away nothing was taken: it went to no server.
+  // Rejected requests were not forwarded to any server.
   EXPECT_EQ(cache.requests.size() + origin.requests.size() + shed, 2 * saved);
   EXPECT_EQ(host->load_shedder().rejected(), shed);
 }
