--- a/bench/overload/open_load.h
+++ b/bench/overload/open_load.h
@@ -13,8 +13,8 @@
   double rate = 100;   // mean arrivals a second, without retries
   double seconds = 5;  // duration of the arrivals
   std::size_t max_connections = 256;
-  double client_timeout = 0.8;     // client timeout, s
-  double latency_objective = 0.2;  // latency objective, s
+  double client_timeout = 0.8;     // s
+  double latency_objective = 0.2;  // s; a response within it counts as good
   double retry_share = 0;  // share of the rejected requests that are retried once, at their Retry-After time
   double saves = 0;        // share of the requests that are saves
   double closing_share = 0;  // share of the responses after which the client closes its connection
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -44,7 +44,7 @@
 /// Router; the Router's actions become calls to them. The engine decides nothing and does no I/O: time comes
 /// from a TimeSource.
 ///
-/// Single-threaded. The Router is never called from within its own actions: attempts that end meanwhile are
+/// Single-threaded. The Router is never called from within its own actions: attempts that end during them are
 /// queued and reported by process_pending_events().
 class Engine final : public ActionSink,
                      public RequestHandler,
@@ -79,7 +79,7 @@
 
   // ---- Operators
 
-  /// Disables a cache server, whatever endpoint lists say, or enables it again. An enabled server counts as
+  /// Disables a cache server regardless of endpoint lists, or enables it again. An enabled server counts as
   /// started at `started` (Unix time in microseconds) unless a list has a later start; 0: as listed.
   void set_override(const std::string& name, bool is_disabled, Time started);
   /// Whether the endpoint list contains a cache server of this name.
--- a/src/engine/engine_attempts.cpp
+++ b/src/engine/engine_attempts.cpp
@@ -50,8 +50,8 @@
   return deadline_for_server(*open, *attempt);
 }
 
-// While a body is uploaded, the client's deadline counts from its last byte: the server is told no more than
-// the client's timeout from now.
+// While a body is uploaded, the client's deadline counts from the last byte, which is still to come: the
+// deadline for the server is at most the client's timeout from now.
 Time Engine::deadline_for_server(const OpenRequest& open, const AttemptRecord& attempt) {
   const auto& upload = open.message->upload;
   if (!upload || upload->state() != BodyStream::State::open) return attempt.expires;
--- a/src/engine/upstream.h
+++ b/src/engine/upstream.h
@@ -19,7 +19,7 @@
   /// Called once for each attempt that was not cancelled, never from within Upstream::send().
   virtual void on_attempt_ended(AttemptId attempt, Outcome outcome, Answer answer) = 0;
   /// Called right before the first byte of an attempt is written, and before writing resumes after a partial
-  /// write. Returns the latest deadline that the server may be told, or nothing if no byte may be written
+  /// write. Returns the latest deadline that may be sent to the server, or nothing if no byte may be written
   /// because the client has disconnected or the request is finished. The attempt then ends as not sent.
   virtual std::optional<Time> may_write(AttemptId /*attempt*/) { return kNever; }
 };
--- a/src/engine/wall_clock_history.h
+++ b/src/engine/wall_clock_history.h
@@ -34,7 +34,7 @@
   static constexpr Time kBeginning = INT64_MIN;
   // A period with one offset, at most from `first` to `last`.
   struct Period {
-    Time offset = 0;  // wall clock less now()
+    Time offset = 0;  // the wall clock's reading minus now()
     Time first = kBeginning;
     Time last = kNever;
   };
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -30,7 +30,7 @@
   }
   Time fresh() override;
   Time wall_time() override;
-  /// A new batch of events begins: now() is read anew.
+  /// Begins a new batch of events: the next now() reads the clock again.
   void next_batch() { is_stale_ = true; }
 
   std::unique_ptr<engine::Timer> timer(std::function<void()> on_due) override;
--- a/src/net/loop_stall_detector.h
+++ b/src/net/loop_stall_detector.h
@@ -11,11 +11,12 @@
 /// one event loop: the owner arms a timer for next_tick(), calls on_tick() when it is served, and arms it
 /// again.
 ///
-/// While was_stalled() is false, whatever became ready more than 2 x kInterval + 3 x kMaxDelay (95 ms) ago on
-/// a socket that the loop waits for has been handled. Proof: let the loop have looked at its descriptors last
-/// at P without finding the socket ready, again at E, and handle it at R. The tick before E came at most
-/// kMaxDelay after its time, so at most kInterval + kMaxDelay + kMaxDelay before the one after E; that one
-/// came within kMaxDelay of its own time, and the next is not yet late by more than kMaxDelay at R.
+/// While was_stalled() is false, any event that became ready more than 2 x kInterval + 3 x kMaxDelay (95 ms)
+/// ago on a socket that the loop waits for has been handled. Proof: let the loop have looked at its
+/// descriptors last at P without finding the socket ready, again at E, and handle it at R. The tick before E
+/// came at most kMaxDelay after its time, so at most kInterval + kMaxDelay + kMaxDelay before the one after
+/// E; that one came within kMaxDelay of its own time, and the next is not yet late by more than kMaxDelay at
+/// R.
 class LoopStallDetector {
  public:
   using Steady = std::chrono::steady_clock;
--- a/src/overload/cancellation_policy.h
+++ b/src/overload/cancellation_policy.h
@@ -14,8 +14,8 @@
 /// soon: the attempt has run for less than a few times the usual latency, and gets at most as long again.
 ///
 /// The number of connections that drain at the same time is bounded, in all and for each endpoint, so that
-/// many clients that disconnect at once neither hold all descriptors nor keep a server busy for nobody. No
-/// I/O.
+/// many clients that disconnect at once neither hold all descriptors nor keep a server busy with unused
+/// responses. No I/O.
 class CancellationPolicy {
  public:
   /// Times in microseconds.
