--- a/bench/fleet_size/fleet_size.cpp
+++ b/bench/fleet_size/fleet_size.cpp
@@ -202,7 +202,7 @@
     load.rate = options_.requests_per_second;
     load.seconds = options_.seconds;
     load.seed = options_.seed;
-    load.patience = load.aim = 0.8;
+    load.client_timeout = load.latency_objective = 0.8;
     load.saves = 0.1;
     return load;
   }
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -12,8 +12,8 @@
 
 namespace streampick::net {
 
-/// Monotonic microseconds on a scale that begins at the wall clock's reading at the start, and the wall clock
-/// beside it. now() is read once for each batch of events. For one event loop's thread.
+/// Monotonic time in microseconds, on a scale that begins at the wall clock's reading at the start, and the
+/// wall clock's time. now() is read once for each batch of events. For one event loop's thread.
 class Clock final : public engine::TimeSource {
  public:
   using Steady = std::chrono::steady_clock;
@@ -30,7 +30,7 @@
   }
   Time fresh() override;
   Time wall_time() override;
-  /// A new batch of events begins: now() is read anew.
+  /// Begins a new batch of events: the next now() reads the clock again.
   void next_batch() { is_stale_ = true; }
 
   std::unique_ptr<engine::Timer> timer(std::function<void()> on_due) override;
