--- a/bench/resp/codec.cpp
+++ b/bench/resp/codec.cpp
@@ -1,5 +1,5 @@
-// The decoder's and encoder's bytes a second, beside a copy of the same bytes and hiredis' reader, in one
-// run.
+// Measures the throughput of the decoder and the encoder, and for comparison of a copy of the same bytes and
+// of the reader of hiredis.
 //   bench_resp_codec --benchmark_min_time=1
 #include <benchmark/benchmark.h>
 #include <hiredis/hiredis.h>
@@ -15,7 +15,7 @@
 
 using namespace streampick::resp;
 
-// Replies to GETs of `size` bytes, about 256 KB of them.
+// About 256 KB of replies to GET with values of `size` bytes.
 std::string replies(std::size_t size) {
   std::string out;
   while (out.size() < 256 * 1024) encode(Value::blob(std::string(size, 'x')), Version::resp2, out);
@@ -50,7 +50,7 @@
   const std::string bytes = replies(static_cast<std::size_t>(state.range(0)));
   redisReader* reader = redisReaderCreate();
   for (auto _ : state) {
-    // As its own reads do: by 16 KB.
+    // Feeds 16 KB at a time, as the reads of hiredis do.
     for (std::size_t at = 0; at < bytes.size(); at += 16 * 1024) {
       redisReaderFeed(reader, bytes.data() + at, std::min<std::size_t>(16 * 1024, bytes.size() - at));
       for (void* reply = nullptr;;) {
--- a/bench/resp/requests.cpp
+++ b/bench/resp/requests.cpp
@@ -1,5 +1,5 @@
-// Requests per second of the router's CPU, for GETs of 1 KB: HTTP over HTTP caches, RESP over HTTP caches,
-// HTTP over RESP caches and RESP over RESP caches, in one run; and the memory of a RESP connection.
+// Measures requests per CPU second of the router for GETs of 1 KB, with HTTP and RESP clients in front of
+// HTTP and RESP caches, and the memory of a RESP connection.
 //   bench_resp_requests --router build-full/streampick_router --requests 40000
 #include <sys/resource.h>
 
@@ -34,7 +34,7 @@
   return text;
 }
 
-// One client, one request at a time; returns how many were answered with a value.
+// Runs one client with one request at a time. Returns the number of replies that hold a value.
 int ask_http(tcp::socket& socket, int count) {
   int good = 0;
   std::string in;
@@ -57,7 +57,7 @@
 
 int ask_resp(tcp::socket& socket, int count, int depth) {
   int good = 0, sent = 0, got = 0;
-  static std::atomic<bool> told = false;
+  static std::atomic<bool> error_printed = false;
   resp::Decoder decoder;
   std::array<char, 16 * 1024> chunk{};
   while (got < count) {
@@ -70,7 +70,7 @@
       part.remove_prefix(decoder.put(part));
       if (!decoder.done()) continue;
       const resp::Value reply = decoder.take();
-      if (reply.is_error() && !told.exchange(true)) std::cout << "(" << reply.text << ")\n";
+      if (reply.is_error() && !error_printed.exchange(true)) std::cout << "(" << reply.text << ")\n";
       good += reply.type == resp::Type::blob ? 1 : 0;
       ++got;
     }
@@ -88,11 +88,12 @@
 int main(int argc, char** argv) {
   std::string program = "build-full/streampick_router";
   int requests = 40'000;
-  CLI::App app("Requests per second of the router's CPU.");
+  CLI::App app("Requests per CPU second of the router.");
   app.add_option("--router", program);
   app.add_option("--requests", requests);
   bool only_reference = false;
-  app.add_flag("--only-reference", only_reference, "HTTP over HTTP caches alone, for counting instructions");
+  app.add_flag("--only-reference", only_reference,
+               "only HTTP clients with HTTP caches, for counting instructions");
   CLI11_PARSE(app, argc, argv);
   std::setbuf(stdout, nullptr);
 
@@ -137,7 +138,7 @@
             [&] { good += resp_front ? ask_resp(*socket, each, depth) : ask_http(*socket, each); });
       for (std::thread& client : clients) client.join();
     };
-    all(requests / kClients / 10);  // connections and caches are warm
+    all(requests / kClients / 10);  // warm-up of connections and caches
     good = 0;
     const double before = router.cpu_seconds();
     const auto begin = std::chrono::steady_clock::now();
@@ -145,7 +146,7 @@
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
     const double cpu = router.cpu_seconds() - before;
     if (good != requests / kClients * kClients)
-      std::cout << "(next line: " << good << " of " << requests << " were served)\n" << std::flush;
+      std::cout << "(next line: " << good << " of " << requests << " requests were served)\n" << std::flush;
     return Result{requests / cpu, requests / took};
   };
   const Result reference = run(false, false, 1);
@@ -157,7 +158,7 @@
   }
   const auto print = [&](const char* name, const Result& result) {
     std::fflush(stdout);
-    std::printf("%-44s %8.0f per CPU second  %8.0f a second  ratio %.2f\n", name, result.per_cpu_second,
+    std::printf("%-44s %8.0f per CPU second  %8.0f per second  ratio %.2f\n", name, result.per_cpu_second,
                 result.rate, result.per_cpu_second / reference.per_cpu_second);
   };
   print("HTTP front, HTTP caches (the reference)", reference);
@@ -166,7 +167,7 @@
   print("RESP front, RESP caches, one at a time", run(true, true, 1));
   print("RESP front, RESP caches, pipelines of 16", run(true, true, 16));
 
-  // Memory: connections that asked once and stay.
+  // Memory of connections that sent one command and stay open.
   {
     const std::vector<standin::PlatformMember> members = {{"cache-1", resp_cache.address()},
                                                           {"origin", resp_origin.address(), true}};
@@ -192,7 +193,7 @@
       }
       ask_resp(*sockets.back(), 1, 1);
     }
-    std::printf("memory of a RESP connection that asked once: %.2f KB (800 of them)\n",
+    std::printf("memory of a RESP connection that sent one command: %.2f KB (mean of 800)\n",
                 static_cast<double>(router.resident_kb() - before) / 800);
   }
   io.stop();
--- a/fuzz/resp_decode.cpp
+++ b/fuzz/resp_decode.cpp
@@ -1,6 +1,6 @@
-// Fuzz target of the RESP decoder: whatever comes, it neither crashes nor reads past its limits, and it reads
-// the same in one part and byte by byte. With libFuzzer (STREAMPICK_FUZZ, clang) it is that library's target;
-// without, `main` below drives it with cases of a fixed seed, which is what the tests run.
+// Fuzz target of the RESP decoder. Any input must be decoded without a crash and within the limits, and with
+// the same result in one part and byte by byte. With STREAMPICK_FUZZ (clang), libFuzzer provides the inputs;
+// otherwise `main` below generates cases from a fixed seed, which the tests run.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -39,13 +39,14 @@
     bytes.remove_prefix(part.size());
     while (!part.empty() && !decoder.failed()) {
       const std::size_t used = decoder.put(part);
-      require(used <= part.size(), "used more than there was");
-      require(used > 0 || decoder.done() || decoder.failed(), "no progress");
+      require(used <= part.size(), "put() consumed more bytes than it was given");
+      require(used > 0 || decoder.done() || decoder.failed(),
+              "put() consumed no bytes and completed no value");
       part.remove_prefix(used);
       if (!decoder.done()) continue;
       std::string again;
       encode(decoder.take(), Version::resp3, again);
-      require(again.size() <= limits.bytes * 2 + limits.items * 32 + 1024, "a value past the limits");
+      require(again.size() <= limits.bytes * 2 + limits.items * 32 + 1024, "a value exceeds the limits");
       out.values.push_back(std::move(again));
     }
   }
@@ -67,21 +68,23 @@
   for (const bool commands : {false, true}) {
     limits.inline_commands = limits.commands_only = commands;
     require(read_all(bytes, bytes.size() + 1, limits) == read_all(bytes, 1, limits),
-            "a split changed what was read");
+            "splitting the input changed the decoded values");
   }
-  // What encodes must decode to the same bytes again.
+  // An encoded value must be equal after decoding and encoding it again.
   limits.inline_commands = limits.commands_only = false;
   for (const std::string& value : read_all(bytes, bytes.size() + 1, limits).values) {
     const Read again = read_all(value, value.size(), Limits{});
-    require(again.values.size() == 1 && again.values.front() == value, "a round trip changed a value");
+    require(again.values.size() == 1 && again.values.front() == value,
+            "decoding and encoding again changed a value");
   }
-  // A client's bytes through the whole conversation, a server's through a pipeline with something owed.
+  // Passes the bytes to a conversation as those of a client, and to a pipeline with open attempts as those of
+  // a server.
   FrontRules rules;
-  Conversation talk(rules, 1);
-  talk.put(bytes);
-  for (const Ask& ask : talk.take_asks()) talk.answered(ask.tag, {});
-  talk.take_output();
-  talk.written();
+  Conversation conversation(rules, 1);
+  conversation.put(bytes);
+  for (const KeyRequest& request : conversation.take_requests()) conversation.answered(request.tag, {});
+  conversation.take_output();
+  conversation.written();
   ServerRules servers;
   Pipeline pipe(servers, true);
   pipe.written(pipe.output().size());
@@ -92,14 +95,14 @@
   }
   pipe.put(bytes);
   pipe.end();
-  require(pipe.take_ended().size() == 3, "an attempt without one outcome");
+  require(pipe.take_ended().size() == 3, "an attempt did not get exactly one outcome");
   return 0;
 }
 
 #ifndef STREAMPICK_LIBFUZZER
 int main(int argc, char** argv) {
   streampick::fuzz::Draw next;
-  // Pieces of the grammar, so that a fair share of what is put together can be read.
+  // Fragments of the grammar, so that many of the generated inputs are valid.
   const std::vector<std::string> pieces = {"*1\r\n",
                                            "*2\r\n",
                                            "*3\r\n",
--- a/src/resp/commands.cpp
+++ b/src/resp/commands.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using K = Command::Kind;
-using G = Command::Gather;
+using G = Command::Combine;
 using M = Command::Miss;
 using R = Command::Reply;
 
@@ -58,54 +58,56 @@
   return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-constexpr std::int64_t kLongestWaitMs = 86'400'000;
+constexpr std::int64_t kMaxDeadlineMs = 86'400'000;
 
-// One name and its value. Returns what is wrong with it; empty: nothing.
-std::string tell(Told& told, std::string_view name, const std::string& value) {
+// Sets one option. Returns an error text, or an empty string on success.
+std::string set_option(RequestOptions& options, std::string_view name, const std::string& value) {
   if (name == "ID") {
     if (!is_id(value)) return "ERR ID must be 16 hex digits";
-    told.id = value;
+    options.id = value;
   } else if (name == "DEADLINE") {
     const auto ms = to_count(value);
-    if (!ms || *ms == 0 || *ms > kLongestWaitMs)
+    if (!ms || *ms == 0 || *ms > kMaxDeadlineMs)
       return "ERR DEADLINE must be a number of milliseconds, above 0";
-    told.deadline = *ms * 1000;
+    options.deadline = *ms * 1000;
   } else if (name == "KEY") {
-    // It goes on as a line of text to servers of other protocols.
-    const bool plain = std::all_of(value.begin(), value.end(), [](char c) { return c > ' ' && c < 127; });
-    if (value.empty() || value.size() > 128 || !plain) return "ERR KEY must be 1 to 128 printable characters";
-    told.idempotency_key = value;
+    // Servers of other protocols receive the key in a line of text, such as an HTTP header.
+    const bool is_printable =
+        std::all_of(value.begin(), value.end(), [](char c) { return c > ' ' && c < 127; });
+    if (value.empty() || value.size() > 128 || !is_printable)
+      return "ERR KEY must be 1 to 128 printable characters";
+    options.idempotency_key = value;
   } else if (name == "TENANT") {
-    told.tenant = value;
+    options.tenant = value;
   } else {
     return "ERR unknown option of ROUTE";
   }
   return {};
 }
 
-bool is_told(std::string_view name) {
+bool is_request_option(std::string_view name) {
   return name == "ID" || name == "DEADLINE" || name == "KEY" || name == "TENANT";
 }
 
-std::string read_attributes(Told& told, const std::vector<Value>& attributes) {
+std::string read_attributes(RequestOptions& options, const std::vector<Value>& attributes) {
   for (std::size_t i = 0; i + 1 < attributes.size(); i += 2) {
     const Value& value = attributes[i + 1];
     if (!attributes[i].is_text()) continue;
     const std::string name = upper(attributes[i].text);
-    if (!is_told(name)) continue;  // others are for others
+    if (!is_request_option(name)) continue;  // attributes with other names are ignored
     const std::string text = value.type == Type::number ? std::to_string(value.number) : value.text;
-    if (std::string wrong = tell(told, name, text); !wrong.empty()) return wrong;
+    if (std::string error = set_option(options, name, text); !error.empty()) return error;
   }
   return {};
 }
 
-// Takes the options of ROUTE and leaves the command.
-std::string read_route(Told& told, std::vector<std::string>& words) {
+// Removes ROUTE and its options from `words`, so that the command remains. Returns an error text or "".
+std::string read_route(RequestOptions& options, std::vector<std::string>& words) {
   std::size_t at = 1;
   while (at + 1 < words.size()) {
     const std::string name = upper(words[at]);
-    if (!is_told(name)) break;
-    if (std::string wrong = tell(told, name, words[at + 1]); !wrong.empty()) return wrong;
+    if (!is_request_option(name)) break;
+    if (std::string error = set_option(options, name, words[at + 1]); !error.empty()) return error;
     at += 2;
   }
   words.erase(words.begin(), words.begin() + static_cast<std::ptrdiff_t>(at));
@@ -114,7 +116,7 @@
   return {};
 }
 
-// The options of SET: what is wrong with them, or empty.
+// Checks the options of SET. Returns an error text, or an empty string if the options are valid.
 std::string check_set(const std::vector<std::string>& words, const TableSettings& settings, bool& expires) {
   bool nx = false, xx = false;
   expires = false;
@@ -135,15 +137,15 @@
     }
   }
   if (nx && xx) return "ERR syntax error";
-  // A copy at a cache would be served past the time at which its source drops the value.
+  // A cache would serve its copy after the origin has expired the value.
   if (expires && settings.cache_aside)
     return "ERR an expiry can't be kept here: caches hold copies that would outlive it";
-  if (settings.plain_only && words.size() > 3)
+  if (settings.any_protocol_only && words.size() > 3)
     return "ERR the options of SET need servers that speak RESP, which not all do here";
   return {};
 }
 
-void add_part(Plan& out, Operation operation, std::string key, std::vector<std::string> words,
+void add_part(ParsedCommand& out, Operation operation, std::string key, std::vector<std::string> words,
               std::string body = {}) {
   out.parts.push_back({operation, std::move(key), std::move(body), std::move(words)});
 }
@@ -167,14 +169,14 @@
 std::span<const Command> commands() { return kCommands; }
 
 const Command* find_command(std::string_view name) {
-  const std::string wanted = upper(name);
+  const std::string is_wanted = upper(name);
   const auto found = std::find_if(kCommands.begin(), kCommands.end(),
-                                  [&](const Command& command) { return command.name == wanted; });
+                                  [&](const Command& command) { return command.name == is_wanted; });
   return found == kCommands.end() ? nullptr : &*found;
 }
 
-Plan plan(Value command, const TableSettings& settings) {
-  Plan out;
+ParsedCommand parse_command(Value command, const TableSettings& settings) {
+  ParsedCommand out;
   std::vector<std::string> words;
   words.reserve(command.items.size());
   for (Value& item : command.items) {
@@ -188,8 +190,8 @@
     out.error = "ERR an empty command";
     return out;
   }
-  if (command.attributes) out.error = read_attributes(out.told, *command.attributes);
-  if (out.error.empty() && upper(words.front()) == "ROUTE") out.error = read_route(out.told, words);
+  if (command.attributes) out.error = read_attributes(out.options, *command.attributes);
+  if (out.error.empty() && upper(words.front()) == "ROUTE") out.error = read_route(out.options, words);
   if (!out.error.empty()) return out;
 
   out.command = find_command(words.front());
@@ -208,11 +210,11 @@
     out.words = std::move(words);
     return out;
   }
-  if (!row.plain && settings.plain_only) {
+  if (!row.any_protocol && settings.any_protocol_only) {
     out.error = "ERR " + std::string(row.name) + " needs servers that speak RESP, which not all do here";
     return out;
   }
-  const bool each = row.gather != G::one;
+  const bool each = row.combine != G::one;
   const std::size_t keys = each ? words.size() - 1 : 1;
   if (keys > settings.most_keys) {
     out.error = "ERR over " + std::to_string(settings.most_keys) + " keys in one command";
@@ -223,7 +225,7 @@
       out.error = "ERR a key must have 1 to " + std::to_string(settings.longest_key) + " bytes";
       return out;
     }
-  if (!out.told.id.empty() && keys > 1) {
+  if (!out.options.id.empty() && keys > 1) {
     out.error = "ERR ID names one request, and this command is one for each key";
     return out;
   }
@@ -242,13 +244,14 @@
     for (std::size_t i = 1; i <= keys; ++i) add_part(out, Operation::read, std::move(words[i]), {});
   } else if (row.kind == K::read) {
     for (std::size_t i = 1; i <= keys; ++i) {
-      std::vector<std::string> own = {name, words[i]};
-      add_part(out, row.plain ? Operation::read : Operation::other_read, std::move(words[i]), std::move(own));
+      std::vector<std::string> part_words = {name, words[i]};
+      add_part(out, row.any_protocol ? Operation::read : Operation::other_read, std::move(words[i]),
+               std::move(part_words));
     }
   } else if (each) {
     for (std::size_t i = 1; i <= keys; ++i) {
-      std::vector<std::string> own = {name, words[i]};
-      add_part(out, Operation::other_write, std::move(words[i]), std::move(own));
+      std::vector<std::string> part_words = {name, words[i]};
+      add_part(out, Operation::other_write, std::move(words[i]), std::move(part_words));
     }
   } else {
     std::string key = words[1];
@@ -259,7 +262,7 @@
 
 namespace {
 
-Value missing(const Command& command) {
+Value reply_to_missing_key(const Command& command) {
   switch (command.miss) {
     case M::zero: return Value::integer(0);
     case M::minus_two: return Value::integer(-2);
@@ -270,13 +273,13 @@
 
 Value answer_value(const Command& command, engine::Answer answer) {
   using Form = engine::Answer::Form;
-  if (answer.form == Form::nothing) return missing(command);
+  if (answer.form == Form::nothing) return reply_to_missing_key(command);
   if (answer.form == Form::count) return Value::integer(answer.count);
   switch (command.reply) {
     case R::length: return Value::integer(static_cast<std::int64_t>(answer.body.size()));
     case R::present: return Value::integer(1);
     case R::done:
-      // SET with GET answers with what the key held.
+      // SET with the option GET replies with the previous value of the key.
       if (answer.form == Form::old_value) return Value::blob(std::move(answer.body));
       return Value::simple("OK");
     default: break;
@@ -287,14 +290,15 @@
 
 }  // namespace
 
-Value spell(const Command& command, engine::Response reply, bool has_key) {
+Value reply_to_part(const Command& command, engine::Response reply, bool has_key) {
   using Kind = engine::Response::Kind;
   if (reply.kind == Kind::served) return answer_value(command, std::move(reply.answer));
-  // The source of all values has said that there is none: that is an answer, whatever else was tried.
-  if (reply.not_found && command.kind == K::read) return missing(command);
+  // The origin reported that the value does not exist, which is final even if other attempts failed.
+  if (reply.not_found && command.kind == K::read) return reply_to_missing_key(command);
   const bool write = command.kind == K::write;
-  // A refusal promises that a repeat does no harm. The module refuses a keyed write that may have run, for
-  // its servers drop repeats of its key; but where the client told none, its repeat has another.
+  // TRYAGAIN promises that a repeat is safe. The engine rejects a keyed write that may have run, because
+  // servers drop repeats of its key. If the client sent no key, its repeat gets another key, and the promise
+  // fails.
   if (reply.kind == Kind::rejected && (!write || !reply.may_have_run || has_key)) {
     std::string text = "TRYAGAIN refused";
     if (write) text += reply.may_have_run ? ", it may have run: repeat it with its KEY" : ", nothing ran";
@@ -307,9 +311,9 @@
   return Value::error((reply.late ? "TIMEOUT no answer in time" : "UNAVAILABLE failed") + std::string(ran));
 }
 
-Value gather(const Command& command, std::vector<Value> parts) {
-  if (command.gather == G::list) return Value::array(std::move(parts));
-  if (command.gather == G::one) return std::move(parts.front());
+Value combine(const Command& command, std::vector<Value> parts) {
+  if (command.combine == G::list) return Value::array(std::move(parts));
+  if (command.combine == G::one) return std::move(parts.front());
   std::int64_t sum = 0;
   std::size_t failed = 0;
   std::string why;
@@ -322,7 +326,7 @@
   }
   if (failed == 0) return Value::integer(sum);
   if (parts.size() == 1) return Value::error(std::move(why));
-  // The error's word comes first, as clients look for it there.
+  // Clients look for the error code in the first word.
   return Value::error(why + " (" + std::to_string(failed) + " of " + std::to_string(parts.size()) + " keys)");
 }
 
@@ -332,15 +336,16 @@
     for (char& c : name) c = static_cast<char>(c >= 'A' && c <= 'Z' ? c - 'A' + 'a' : c);
     return name;
   };
-  const std::string what = words.size() > 1 ? upper(words[1]) : "";
-  if (what == "COUNT") return Value::integer(static_cast<std::int64_t>(kCommands.size()));
-  if (what == "DOCS") {
+  const std::string subcommand = words.size() > 1 ? upper(words[1]) : "";
+  if (subcommand == "COUNT") return Value::integer(static_cast<std::int64_t>(kCommands.size()));
+  if (subcommand == "DOCS") {
     Value docs = Value::of(Type::map);
     for (const Command& command : kCommands) {
-      const bool wanted = words.size() == 2 ||
-                          std::any_of(words.begin() + 2, words.end(),
-                                      [&](const std::string& word) { return upper(word) == command.name; });
-      if (!wanted) continue;
+      const bool is_wanted =
+          words.size() == 2 || std::any_of(words.begin() + 2, words.end(), [&](const std::string& word) {
+            return upper(word) == command.name;
+          });
+      if (!is_wanted) continue;
       Value doc = Value::of(Type::map);
       doc.items.push_back(Value::blob("summary"));
       doc.items.push_back(Value::blob(std::string(command.summary)));
@@ -351,10 +356,11 @@
     }
     return docs;
   }
-  if (!what.empty() && what != "INFO") return Value::error("ERR COMMAND knows COUNT, DOCS and INFO");
-  const auto row = [&](const Command& command) {
+  if (!subcommand.empty() && subcommand != "INFO")
+    return Value::error("ERR COMMAND knows COUNT, DOCS and INFO");
+  const auto to_array = [&](const Command& command) {
     const bool keys = command.kind != K::local;
-    const bool many = command.gather != G::one;
+    const bool many = command.combine != G::one;
     std::vector<Value> flags;
     flags.push_back(Value::simple(command.kind == K::write ? "write" : keys ? "readonly" : "fast"));
     return Value::array([&] {
@@ -369,14 +375,14 @@
     }());
   };
   Value out = Value::of(Type::array);
-  if (what == "INFO" && words.size() > 2) {
+  if (subcommand == "INFO" && words.size() > 2) {
     for (std::size_t i = 2; i < words.size(); ++i) {
       const Command* command = find_command(words[i]);
-      out.items.push_back(command != nullptr ? row(*command) : Value::null());
+      out.items.push_back(command != nullptr ? to_array(*command) : Value::null());
     }
     return out;
   }
-  for (const Command& command : kCommands) out.items.push_back(row(command));
+  for (const Command& command : kCommands) out.items.push_back(to_array(command));
   return out;
 }
 
--- a/src/resp/commands.h
+++ b/src/resp/commands.h
@@ -1,4 +1,4 @@
-// The commands that the router knows, and what each means to it. No I/O.
+// The RESP commands that the router supports, and how each maps to requests of the engine. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,70 +14,71 @@
 
 using engine::Operation;
 
-// One row of the table. Names, arity and groups are as the commands' own documentation has them.
+// One row of the command table. Names, arity and groups follow the Redis command documentation.
 struct Command {
   enum class Kind : std::uint8_t { local, read, write };
-  enum class Gather : std::uint8_t { one, list, sum };       // how the parts' answers become one reply
-  enum class Miss : std::uint8_t { null, zero, minus_two };  // how a key that nobody has is spelled
+  enum class Combine : std::uint8_t { one, list, sum };      // how the replies to the parts are combined
+  enum class Miss : std::uint8_t { null, zero, minus_two };  // the reply for a key that does not exist
   enum class Reply : std::uint8_t { value, length, present, count, done };
 
   std::string_view name;
-  int arity = 0;  // with the name; negative: at least so many
+  int arity = 0;  // argument count including the name; negative: a minimum
   Kind kind = Kind::local;
-  Gather gather = Gather::one;
+  Combine combine = Combine::one;
   Miss miss = Miss::null;
   Reply reply = Reply::value;
-  bool plain = false;  // servers of any protocol can answer it; others need a server that speaks RESP
+  bool any_protocol = false;  // servers of any protocol can answer it; else only RESP servers can
   std::string_view group, summary;
 };
 
 std::span<const Command> commands();
-const Command* find_command(std::string_view name);  // in any case; none: not known
+const Command* find_command(std::string_view name);  // ignores case; nullptr: unknown command
 
-// What a client says of one command, beside the command. Empty or 0: not told.
-struct Told {
+// Options that a client attaches to one command by ROUTE or by attributes. Empty or 0: not given.
+struct RequestOptions {
   std::string id;  // 16 hex digits
   std::string idempotency_key;
   std::string tenant;
-  Time deadline = 0;  // microseconds from now on
+  Time deadline = 0;  // microseconds from the arrival of the command
 };
 
-// One key's share of a command: it becomes one request of the engine.
+// The part of a command that concerns one key. Each part becomes one request of the engine.
 struct Part {
   Operation operation = Operation::read;
   std::string key, body;
   std::vector<std::string> words;
 };
 
-struct Plan {
+struct ParsedCommand {
   const Command* command = nullptr;
-  std::vector<Part> parts;         // none: the command is local
-  std::vector<std::string> words;  // of a local command, its name first
-  Told told;
-  std::string error;  // not empty: the command is turned away with it, and nothing ran
+  std::vector<Part> parts;         // empty: the router answers the command itself
+  std::vector<std::string> words;  // of a command that the router answers itself, starting with its name
+  RequestOptions options;
+  std::string error;  // if not empty, the command is rejected with this error and nothing runs
 };
 
 struct TableSettings {
-  bool cache_aside = false;  // values have one source, and the caches hold copies
-  bool plain_only = false;   // some server does not speak RESP
+  bool cache_aside = false;        // values are stored at an origin, and caches hold copies
+  bool any_protocol_only = false;  // at least one server does not speak RESP
   std::size_t most_keys = 256;
   std::size_t longest_key = 512;
 };
 
-// Reads one command as a client sent it; attributes before it tell what ROUTE would.
-Plan plan(Value command, const TableSettings& settings);
+// Parses one command of a client. Attributes before the command have the same meaning as options of ROUTE.
+ParsedCommand parse_command(Value command, const TableSettings& settings);
 
-// The reply to one part, and to a whole command once all of its parts have ended. `parts` holds a part's
-// answer each, in the command's order.
-// `has_key`: the client told a KEY, so that its own repeat can be told from another write.
-Value spell(const Command& command, engine::Response reply, bool has_key = false);
-Value gather(const Command& command, std::vector<Value> parts);
+// The reply to one part of a command. `has_key`: the client sent an idempotency key (KEY), so servers
+// recognize a repeat of the same write.
+Value reply_to_part(const Command& command, engine::Response reply, bool has_key = false);
+// Combines the replies to all parts of a command, in the order of the parts, into the reply to the command.
+Value combine(const Command& command, std::vector<Value> parts);
 
-// COMMAND, COMMAND COUNT, COMMAND DOCS [name ...]: `words` begins with COMMAND.
+// The reply to COMMAND, COMMAND COUNT, COMMAND DOCS [name ...] or COMMAND INFO [name ...]. `words` starts
+// with COMMAND.
 Value describe(std::span<const std::string> words);
 
 std::string upper(std::string_view text);
-// With '?' for what is not plain ASCII: for error texts and the log.
+// Replaces each byte that is not printable ASCII by '?', for error texts and the log.
 std::string printable(std::string_view text);
 
 }  // namespace streampick::resp
--- a/src/resp/conversation.cpp
+++ b/src/resp/conversation.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kPartBits = 16;
 
-Limits limits_of(const FrontRules& rules) {
+Limits decoder_limits(const FrontRules& rules) {
   Limits out;
   out.inline_commands = true;
   out.commands_only = true;
@@ -22,10 +22,10 @@
   return out;
 }
 
-std::uint64_t hash_of(const std::string& key) { return std::hash<std::string>{}(key); }
+std::uint64_t hash_key(const std::string& key) { return std::hash<std::string>{}(key); }
 
-// Whether these words are the first line or a header line of an HTTP request. None of them is a command here,
-// and what follows them is a stranger's: a body's lines would be run as inline commands.
+// Whether these words are the request line or a header line of an HTTP request. Reading must stop there: the
+// lines of an HTTP body would otherwise run as inline commands.
 bool speaks_http(const std::vector<Value>& words) {
   const std::string first = upper(words.front().text);
   if (first == "POST" || first == "HOST:") return true;
@@ -40,10 +40,10 @@
 }  // namespace
 
 Conversation::Conversation(const FrontRules& rules, std::int64_t id)
-    : rules_(rules), id_(id), decoder_(limits_of(rules)) {}
+    : rules_(rules), id_(id), decoder_(decoder_limits(rules)) {}
 
 bool Conversation::wants_more() const {
-  return !over_ && !parked_ && unwritten_parts_ < rules_.pipeline && slots_.size() < rules_.replies &&
+  return !ended_ && !waiting_ && unwritten_parts_ < rules_.pipeline && pending_.size() < rules_.replies &&
          output_.size() < rules_.longest_value;
 }
 
@@ -52,17 +52,17 @@
   while (used < bytes.size() && wants_more()) {
     used += decoder_.put(bytes.substr(used));
     if (decoder_.failed()) {
-      // Where the next command begins is not known any more.
+      // After a protocol error the start of the next command is unknown.
       reply(Value::error("ERR Protocol error: " + decoder_.error()));
-      over_ = true;
+      ended_ = true;
       break;
     }
     if (!decoder_.done()) continue;
     Value command = decoder_.take();
-    // An empty command has no reply: the client that sends one waits for none.
+    // An empty command gets no reply, and clients expect none.
     if (command.items.empty()) continue;
     if (speaks_http(command.items)) {
-      over_ = foreign_ = true;
+      ended_ = is_http_ = true;
       break;
     }
     take(std::move(command));
@@ -71,152 +71,153 @@
 }
 
 void Conversation::abandon_command(const std::string& error) {
-  if (over_ || !half_asked()) return;
+  if (ended_ || !in_command()) return;
   reply(Value::error("ERR Protocol error: " + error));
-  over_ = true;
+  ended_ = true;
 }
 
-// Whose request it is; or what is wrong.
-std::string Conversation::who(const Told& told, std::string& tenant) const {
+// Determines the tenant of a request. Returns an error text, or an empty string on success.
+std::string Conversation::determine_tenant(const RequestOptions& options, std::string& tenant) const {
   tenant = user_ != nullptr ? user_->tenant : rules_.tenant;
-  if (told.tenant.empty() || told.tenant == tenant) return {};
+  if (options.tenant.empty() || options.tenant == tenant) return {};
   if (!rules_.users.empty()) return "NOPERM this user's requests are not that tenant's";
-  tenant = told.tenant;
+  tenant = options.tenant;
   return {};
 }
 
 void Conversation::take(Value command) {
-  Plan planned = plan(std::move(command), rules_.table);
-  const bool anybody = rules_.users.empty() || user_ != nullptr;
-  if (!anybody) {
-    const std::string_view name = planned.command != nullptr ? planned.command->name : std::string_view{};
+  ParsedCommand parsed = parse_command(std::move(command), rules_.table);
+  const bool is_authorized = rules_.users.empty() || user_ != nullptr;
+  if (!is_authorized) {
+    const std::string_view name = parsed.command != nullptr ? parsed.command->name : std::string_view{};
     if (name != "HELLO" && name != "AUTH" && name != "QUIT" && name != "RESET")
       return reply(Value::error("NOAUTH Authentication required."));
   }
-  if (!planned.error.empty()) return reply(Value::error(std::move(planned.error)));
-  if (planned.parts.empty()) return local(std::move(planned));
+  if (!parsed.error.empty()) return reply(Value::error(std::move(parsed.error)));
+  if (parsed.parts.empty()) return local(std::move(parsed));
   std::string tenant;
-  if (std::string wrong = who(planned.told, tenant); !wrong.empty())
+  if (std::string wrong = determine_tenant(parsed.options, tenant); !wrong.empty())
     return reply(Value::error(std::move(wrong)));
 
-  if (conflicts(planned)) {
-    parked_ = {std::move(planned), std::move(tenant)};
+  if (conflicts(parsed)) {
+    waiting_ = {std::move(parsed), std::move(tenant)};
     return;
   }
-  admit(std::move(planned), tenant);
+  admit(std::move(parsed), tenant);
 }
 
-bool Conversation::conflicts(const Plan& planned) const {
-  const bool write = planned.command->kind == Command::Kind::write;
-  return std::any_of(planned.parts.begin(), planned.parts.end(), [&](const Part& part) {
-    const auto found = keys_.find(hash_of(part.key));
-    return found != keys_.end() && (write || found->second.writes > 0);
+bool Conversation::conflicts(const ParsedCommand& parsed) const {
+  const bool write = parsed.command->kind == Command::Kind::write;
+  return std::any_of(parsed.parts.begin(), parsed.parts.end(), [&](const Part& part) {
+    const auto found = open_by_key_.find(hash_key(part.key));
+    return found != open_by_key_.end() && (write || found->second.writes > 0);
   });
 }
 
-void Conversation::admit(Plan planned, const std::string& tenant) {
-  const std::size_t count = planned.parts.size();
-  const bool write = planned.command->kind == Command::Kind::write;
-  Slot& slot = slots_.emplace_back();
-  slot.command = planned.command;
-  slot.version = version_;
-  slot.left = count;
-  slot.has_key = !planned.told.idempotency_key.empty();
-  slot.parts.resize(count);
-  slot.answered.resize(count);
+void Conversation::admit(ParsedCommand parsed, const std::string& tenant) {
+  const std::size_t count = parsed.parts.size();
+  const bool write = parsed.command->kind == Command::Kind::write;
+  PendingReply& pending = pending_.emplace_back();
+  pending.command = parsed.command;
+  pending.version = version_;
+  pending.left = count;
+  pending.has_key = !parsed.options.idempotency_key.empty();
+  pending.parts.resize(count);
+  pending.answered.resize(count);
   open_parts_ += count;
   unwritten_parts_ += count;
   for (std::size_t i = 0; i < count; ++i) {
-    Ask ask;
-    ask.tag = next_slot_ << kPartBits | i;
-    ask.command = planned.command;
-    ask.part = std::move(planned.parts[i]);
-    slot.keys.push_back(hash_of(ask.part.key));
-    OnKey& on_key = keys_[slot.keys.back()];
-    ++(write ? on_key.writes : on_key.reads);
-    ask.id = planned.told.id;
-    ask.idempotency_key = planned.told.idempotency_key;
-    // Two keys' writes are two effects: repeats of one must not drop the other.
-    if (count > 1 && !ask.idempotency_key.empty()) ask.idempotency_key += ":" + std::to_string(i);
-    ask.tenant = tenant;
-    ask.patience = planned.told.deadline > 0 ? planned.told.deadline : patience_;
-    asks_.push_back(std::move(ask));
+    KeyRequest request;
+    request.tag = next_number_ << kPartBits | i;
+    request.command = parsed.command;
+    request.part = std::move(parsed.parts[i]);
+    pending.keys.push_back(hash_key(request.part.key));
+    OpenRequests& open_requests = open_by_key_[pending.keys.back()];
+    ++(write ? open_requests.writes : open_requests.reads);
+    request.id = parsed.options.id;
+    request.idempotency_key = parsed.options.idempotency_key;
+    // Writes to two keys need two idempotency keys, or a server would drop the second write as a repeat.
+    if (count > 1 && !request.idempotency_key.empty()) request.idempotency_key += ":" + std::to_string(i);
+    request.tenant = tenant;
+    request.timeout = parsed.options.deadline > 0 ? parsed.options.deadline : timeout_;
+    requests_.push_back(std::move(request));
   }
-  ++next_slot_;
+  ++next_number_;
 }
 
 void Conversation::reply(Value value) {
-  Slot& slot = slots_.emplace_back();
-  slot.version = version_;
-  slot.value = std::move(value);
-  ++next_slot_;
+  PendingReply& pending = pending_.emplace_back();
+  pending.version = version_;
+  pending.value = std::move(value);
+  ++next_number_;
   flush();
 }
 
 void Conversation::set(std::uint64_t tag, Value value, engine::MemoryReservation reservation) {
   const std::uint64_t number = tag >> kPartBits, part = tag & ((1U << kPartBits) - 1);
-  if (number < first_slot_ || number >= next_slot_) return;
-  Slot& slot = slots_[number - first_slot_];
-  if (slot.left == 0 || part >= slot.parts.size() || slot.answered[part]) return;
-  slot.answered[part] = true;
-  slot.parts[part] = std::move(value);
-  slot.leases.push_back(std::move(reservation));
+  if (number < first_number_ || number >= next_number_) return;
+  PendingReply& pending = pending_[number - first_number_];
+  if (pending.left == 0 || part >= pending.parts.size() || pending.answered[part]) return;
+  pending.answered[part] = true;
+  pending.parts[part] = std::move(value);
+  pending.reservations.push_back(std::move(reservation));
   --open_parts_;
-  const auto on_key = keys_.find(slot.keys[part]);
-  --(slot.command->kind == Command::Kind::write ? on_key->second.writes : on_key->second.reads);
-  if (on_key->second.reads + on_key->second.writes == 0) keys_.erase(on_key);
-  if (--slot.left == 0) flush();
-  if (parked_ && !conflicts(parked_->planned)) {
-    Parked next = std::move(*parked_);
-    parked_.reset();
-    admit(std::move(next.planned), next.tenant);
+  const auto open_requests = open_by_key_.find(pending.keys[part]);
+  --(pending.command->kind == Command::Kind::write ? open_requests->second.writes
+                                                   : open_requests->second.reads);
+  if (open_requests->second.reads + open_requests->second.writes == 0) open_by_key_.erase(open_requests);
+  if (--pending.left == 0) flush();
+  if (waiting_ && !conflicts(waiting_->parsed)) {
+    WaitingCommand next = std::move(*waiting_);
+    waiting_.reset();
+    admit(std::move(next.parsed), next.tenant);
   }
 }
 
 void Conversation::answered(std::uint64_t tag, engine::Response reply) {
   const std::uint64_t number = tag >> kPartBits;
-  if (number < first_slot_ || number >= next_slot_) return;
-  const Slot& slot = slots_[number - first_slot_];
-  if (slot.command == nullptr) return;
+  if (number < first_number_ || number >= next_number_) return;
+  const PendingReply& pending = pending_[number - first_number_];
+  if (pending.command == nullptr) return;
   engine::MemoryReservation reservation = std::move(reply.answer.memory);
-  set(tag, spell(*slot.command, std::move(reply), slot.has_key), std::move(reservation));
+  set(tag, reply_to_part(*pending.command, std::move(reply), pending.has_key), std::move(reservation));
 }
 
-void Conversation::id_is_open(std::uint64_t tag) {
+void Conversation::on_duplicate_id(std::uint64_t tag) {
   set(tag, Value::error("DUPLICATE a request with this ID is open; nothing ran"), {});
 }
 
-// What is whole at the front of the line goes out.
+// Encodes the replies at the front of the queue that are complete.
 void Conversation::flush() {
-  while (!slots_.empty() && slots_.front().left == 0) {
-    Slot slot = std::move(slots_.front());
-    slots_.pop_front();
-    ++first_slot_;
-    output_parts_ += slot.parts.size();
-    for (engine::MemoryReservation& reservation : slot.leases)
-      output_leases_.push_back(std::move(reservation));
-    const Value value =
-        slot.command != nullptr ? gather(*slot.command, std::move(slot.parts)) : std::move(slot.value);
-    encode(value, slot.version, output_);
+  while (!pending_.empty() && pending_.front().left == 0) {
+    PendingReply pending = std::move(pending_.front());
+    pending_.pop_front();
+    ++first_number_;
+    output_parts_ += pending.parts.size();
+    for (engine::MemoryReservation& reservation : pending.reservations)
+      output_reservations_.push_back(std::move(reservation));
+    const Value value = pending.command != nullptr ? combine(*pending.command, std::move(pending.parts))
+                                                   : std::move(pending.value);
+    encode(value, pending.version, output_);
   }
 }
 
 std::string Conversation::take_output() {
   writing_parts_ += std::exchange(output_parts_, 0);
-  for (engine::MemoryReservation& reservation : output_leases_)
-    written_leases_.push_back(std::move(reservation));
-  output_leases_.clear();
+  for (engine::MemoryReservation& reservation : output_reservations_)
+    unwritten_reservations_.push_back(std::move(reservation));
+  output_reservations_.clear();
   return std::exchange(output_, {});
 }
 
 void Conversation::written() {
   unwritten_parts_ -= std::exchange(writing_parts_, 0);
-  written_leases_.clear();
+  unwritten_reservations_.clear();
 }
 
-void Conversation::local(Plan planned) {
-  const std::vector<std::string>& words = planned.words;
-  const std::string_view name = planned.command->name;
+void Conversation::local(ParsedCommand parsed) {
+  const std::vector<std::string>& words = parsed.words;
+  const std::string_view name = parsed.command->name;
   if (name == "HELLO") return reply(hello(words));
   if (name == "AUTH") {
     if (words.size() > 3) return reply(Value::error("ERR syntax error"));
@@ -229,28 +230,28 @@
   if (name == "ECHO") return reply(Value::blob(words[1]));
   if (name == "QUIT") {
     reply(Value::simple("OK"));
-    over_ = true;
+    ended_ = true;
     return;
   }
   if (name == "RESET") {
     version_ = Version::resp2;
     user_ = nullptr;
     name_.clear();
-    patience_ = 0;
+    timeout_ = 0;
     return reply(Value::simple("RESET"));
   }
   if (name == "SELECT")
     return reply(words[1] == "0" ? Value::simple("OK") : Value::error("ERR DB index is out of range"));
   if (name == "CLIENT") return reply(client(words));
   if (name == "COMMAND") return reply(describe(words));
-  if (name == "INFO") return reply(Value::blob(info(rules_.figures(), words)));
-  // DEADLINE
+  if (name == "INFO") return reply(Value::blob(info(rules_.statistics(), words)));
+  // The command is DEADLINE.
   std::int64_t ms = 0;
   const char* end = words[1].data() + words[1].size();
-  const auto parsed = std::from_chars(words[1].data(), end, ms);
-  if (parsed.ec != std::errc{} || parsed.ptr != end || ms < 0 || ms > 86'400'000)
+  const auto conversion = std::from_chars(words[1].data(), end, ms);
+  if (conversion.ec != std::errc{} || conversion.ptr != end || ms < 0 || ms > 86'400'000)
     return reply(Value::error("ERR DEADLINE must be a number of milliseconds, 0 or more"));
-  patience_ = ms * 1000;
+  timeout_ = ms * 1000;
   reply(Value::simple("OK"));
 }
 
@@ -259,7 +260,7 @@
     return Value::error("ERR AUTH called without any user being configured for the router");
   const User* found = nullptr;
   for (const User& user : rules_.users) {
-    // Compared to the end, so that the time taken tells nothing of how much of it was right.
+    // Compares all characters, so that the duration does not reveal how many of them match.
     unsigned differs = user.password.size() == password.size() ? 0U : 1U;
     for (std::size_t i = 0; i < password.size() && i < user.password.size(); ++i)
       differs |= static_cast<unsigned char>(password[i]) ^ static_cast<unsigned char>(user.password[i]);
@@ -307,7 +308,7 @@
     out.items.push_back(std::move(value));
   };
   add("server", text("streampick"));
-  add("version", text("7.0.0"));  // of the commands' behaviour, which clients ask for
+  add("version", text("7.0.0"));  // clients choose their commands by this version of Redis
   add("proto", Value::integer(version_ == Version::resp3 ? 3 : 2));
   add("id", Value::integer(id_));
   add("mode", text("standalone"));
@@ -332,10 +333,10 @@
       return Value::error("ERR Unrecognized option '" + words[2].substr(0, 32) + "'");
     return Value::simple("OK");
   }
-  // Nothing is evicted here, so that either wish is kept.
+  // The router evicts no clients, so that both settings hold.
   if (what == "NO-EVICT" && words.size() == 3) {
-    const std::string wish = upper(words[2]);
-    if (wish == "ON" || wish == "OFF") return Value::simple("OK");
+    const std::string setting = upper(words[2]);
+    if (setting == "ON" || setting == "OFF") return Value::simple("OK");
     return Value::error("ERR syntax error");
   }
   return Value::error("ERR unknown subcommand or wrong number of arguments for 'client'");
--- a/src/resp/decode.cpp
+++ b/src/resp/decode.cpp
@@ -9,7 +9,7 @@
 namespace streampick::resp {
 namespace {
 
-constexpr std::size_t kReserveAtMost = 16 * 1024;
+constexpr std::size_t kMaxReserve = 16 * 1024;
 
 std::optional<std::int64_t> to_integer(std::string_view text) {
   if (!text.empty() && text.front() == '+') {
@@ -22,7 +22,7 @@
   return value;
 }
 
-// A length or a count: digits only.
+// Parses a length or a count, which may hold digits only.
 std::optional<std::size_t> to_size(std::string_view text) {
   if (text.empty() || text.find_first_not_of("0123456789") != std::string_view::npos) return std::nullopt;
   std::size_t value = 0;
@@ -57,7 +57,7 @@
   return c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
 }
 
-// The byte that stands at `at` within quotes; moves past it.
+// Returns the byte at `at` within a quoted string, with escapes resolved, and moves `at` past it.
 char inline_byte(std::string_view line, std::size_t& at, char quote) {
   const char c = line[at++];
   if (c != '\\' || at == line.size()) return c;
@@ -80,8 +80,8 @@
   return static_cast<char>(byte);
 }
 
-Type aggregate_type(char mark) {
-  switch (mark) {
+Type aggregate_type(char marker) {
+  switch (marker) {
     case '%':
     case '|': return Type::map;
     case '~': return Type::set;
@@ -98,7 +98,7 @@
 
 Value Decoder::take() {
   done_ = false;
-  return std::move(whole_);  // written over whole before it is looked at again
+  return std::move(value_);  // complete() assigns the moved-from value before its next use
 }
 
 std::vector<Value> Decoder::take_pushes() { return std::exchange(pushes_, {}); }
@@ -108,23 +108,23 @@
   while (used < bytes.size() && !done_ && error_.empty()) {
     const std::string_view rest = bytes.substr(used);
     if (state_ == State::payload) {
-      const std::size_t part = std::min(payload_left_, rest.size());
+      const std::size_t part = std::min(payload_remaining_, rest.size());
       payload_.text.append(rest.data(), part);
-      payload_left_ -= part;
+      payload_remaining_ -= part;
       used += part;
-      if (payload_left_ == 0) {
+      if (payload_remaining_ == 0) {
         state_ = State::payload_end;
-        end_seen_ = 0;
+        terminator_bytes_ = 0;
       }
       continue;
     }
     if (state_ == State::payload_end) {
-      if (rest.front() != (end_seen_ == 0 ? '\r' : '\n')) {
+      if (rest.front() != (terminator_bytes_ == 0 ? '\r' : '\n')) {
         fail("a blob is not followed by a line's end");
         break;
       }
       ++used;
-      if (++end_seen_ == 2) {
+      if (++terminator_bytes_ == 2) {
         state_ = State::line;
         end_payload();
       }
@@ -132,7 +132,8 @@
     }
     const void* found = std::memchr(rest.data(), '\n', rest.size());
     if (found == nullptr) {
-      if (line_.size() + rest.size() > limits_.line + 1) {  // its CR may be the last that came
+      if (line_.size() + rest.size() >
+          limits_.line + 1) {  // the last byte may be the CR, which does not count
         fail("a line is too long");
         break;
       }
@@ -156,27 +157,27 @@
   return used;
 }
 
-// `line` ends before its '\n'.
+// `line` does not include its '\n'.
 void Decoder::take_line(std::string_view line) {
-  const bool ends_well = !line.empty() && line.back() == '\r';
-  if (ends_well) line.remove_suffix(1);
-  constexpr std::string_view marks = "+-:$*_,#!=(%~>|;.";
-  const char mark = line.empty() ? '\0' : line.front();
-  const bool top = stack_.empty() && !chunks_ && !attributes_;
-  if (limits_.inline_commands && top && mark != '*' && mark != '|') return take_inline(line);
-  if (!ends_well) return fail("a line does not end in CR LF");
-  if (line.empty() || marks.find(mark) == std::string_view::npos) return fail("no type begins like this");
-  if (limits_.commands_only && stack_.empty() && !chunks_ && mark != '*' && mark != '|')
+  const bool ends_with_cr = !line.empty() && line.back() == '\r';
+  if (ends_with_cr) line.remove_suffix(1);
+  constexpr std::string_view markers = "+-:$*_,#!=(%~>|;.";
+  const char marker = line.empty() ? '\0' : line.front();
+  const bool at_top_level = stack_.empty() && !streamed_blob_ && !attributes_;
+  if (limits_.inline_commands && at_top_level && marker != '*' && marker != '|') return take_inline(line);
+  if (!ends_with_cr) return fail("a line does not end in CR LF");
+  if (line.empty() || markers.find(marker) == std::string_view::npos) return fail("no type begins like this");
+  if (limits_.commands_only && stack_.empty() && !streamed_blob_ && marker != '*' && marker != '|')
     return fail("a command must be an array");
   const std::string_view text = line.substr(1);
   if (text.find('\r') != std::string_view::npos) return fail("a line holds a CR");
-  if (chunks_ && mark != ';') return fail("a streamed blob is interrupted");
+  if (streamed_blob_ && marker != ';') return fail("a streamed blob is interrupted");
 
-  switch (mark) {
+  switch (marker) {
     case '+':
     case '-':
       if (!count_bytes(text.size())) return;
-      return complete(Value::of(mark == '+' ? Type::simple : Type::error, std::string(text)));
+      return complete(Value::of(marker == '+' ? Type::simple : Type::error, std::string(text)));
     case ':': {
       const auto number = to_integer(text);
       if (!number) return fail("a number can't be read");
@@ -206,22 +207,22 @@
     case '!': return begin_blob(Type::blob_error, text);
     case '=': return begin_blob(Type::verbatim, text);
     case ';': {
-      if (!chunks_) return fail("a part of no blob");
+      if (!streamed_blob_) return fail("a part of no blob");
       const auto length = to_size(text);
       if (!length) return fail("a length can't be read");
       if (*length == 0) {
-        chunks_ = false;
+        streamed_blob_ = false;
         return complete(std::move(payload_));
       }
       if (*length > limits_.blob || payload_.text.size() + *length > limits_.blob)
         return fail("a blob is too long");
       if (!count_bytes(*length)) return;
-      payload_left_ = *length;
+      payload_remaining_ = *length;
       state_ = State::payload;
       return;
     }
     case '.': {
-      if (!text.empty() || stack_.empty() || !stack_.back().streamed || stack_.back().before)
+      if (!text.empty() || stack_.empty() || !stack_.back().streamed || stack_.back().next_attributes)
         return fail("an end of no streamed aggregate");
       const Frame& frame = stack_.back();
       if (frame.value.type == Type::map && frame.value.items.size() % 2 != 0)
@@ -229,13 +230,12 @@
       complete_frame();
       return;
     }
-    default: return begin_aggregate(mark, text);
+    default: return begin_aggregate(marker, text);
   }
 }
 
-// Words between spaces, as a person types them. A part of a word in quotes may hold spaces: within double
-// quotes \n \r \t \a \b and \xHH stand for bytes, within single ones only \' does. Where a quote closes, the
-// word ends.
+// Splits an inline command into words at spaces. A quoted part of a word may hold spaces. Double quotes
+// support the escapes \n \r \t \a \b and \xHH, single quotes only \'. A word ends at its closing quote.
 void Decoder::take_inline(std::string_view line) {
   constexpr std::string_view spaces = " \t\r\v\f";
   std::vector<Value> words;
@@ -256,32 +256,32 @@
     if (!count_items(1) || !count_bytes(word.size())) return;
     words.push_back(Value::blob(std::move(word)));
   }
-  if (words.empty()) return;  // an empty line is no command
+  if (words.empty()) return;  // an empty line is ignored
   complete(Value::array(std::move(words)));
 }
 
 void Decoder::begin_blob(Type type, std::string_view length_text) {
   if (type == Type::blob && length_text == "-1") return complete(Value::null());
-  // What was in it has moved on: only what a blob has is set anew.
+  // The previous content was moved away, so only the fields of a blob need a reset.
   payload_.type = type;
   payload_.text.clear();
   payload_.format.clear();
   if (type == Type::blob && length_text == "?") {
-    chunks_ = true;
+    streamed_blob_ = true;
     return;
   }
   const auto length = to_size(length_text);
   if (!length) return fail("a length can't be read");
   if (*length > limits_.blob) return fail("a blob is too long");
   if (!count_bytes(*length)) return;
-  payload_.text.reserve(std::min(*length, kReserveAtMost));
-  payload_left_ = *length;
+  payload_.text.reserve(std::min(*length, kMaxReserve));
+  payload_remaining_ = *length;
   state_ = *length > 0 ? State::payload : State::payload_end;
-  end_seen_ = 0;
+  terminator_bytes_ = 0;
 }
 
 void Decoder::end_payload() {
-  if (chunks_) return;  // the next part's line follows
+  if (streamed_blob_) return;  // the line of the next chunk follows
   if (payload_.type == Type::verbatim) {
     if (payload_.text.size() < 4 || payload_.text[3] != ':')
       return fail("a verbatim text without its format");
@@ -291,38 +291,38 @@
   complete(std::move(payload_));
 }
 
-void Decoder::begin_aggregate(char mark, std::string_view count_text) {
-  if (mark == '*' && count_text == "-1") return complete(Value::null());
+void Decoder::begin_aggregate(char marker, std::string_view count_text) {
+  if (marker == '*' && count_text == "-1") return complete(Value::null());
   Frame frame;
-  frame.value.type = aggregate_type(mark);
-  frame.attributes = mark == '|';
-  if (count_text == "?" && mark != '|' && mark != '>') {
+  frame.value.type = aggregate_type(marker);
+  frame.attributes = marker == '|';
+  if (count_text == "?" && marker != '|' && marker != '>') {
     frame.streamed = true;
   } else {
     const auto count = to_size(count_text);
     if (!count) return fail("a count can't be read");
     if (*count > limits_.items) return fail("an aggregate is too long");
-    frame.left = frame.value.type == Type::map ? *count * 2 : *count;
-    if (!count_items(frame.left)) return;
+    frame.remaining = frame.value.type == Type::map ? *count * 2 : *count;
+    if (!count_items(frame.remaining)) return;
   }
   if (stack_.size() >= limits_.depth) return fail("aggregates are nested too deeply");
-  const bool empty = !frame.streamed && frame.left == 0;
+  const bool empty = !frame.streamed && frame.remaining == 0;
   stack_.push_back(std::move(frame));
   if (empty) complete_frame();
 }
 
-// The frame on top has all its elements. Returns whether the top-level value is whole.
+// Completes the frame on top of the stack. Returns whether this completes the top-level value.
 bool Decoder::complete_frame() {
   Frame frame = std::move(stack_.back());
   stack_.pop_back();
   if (frame.attributes) {
-    auto& waiting = stack_.empty() ? attributes_ : stack_.back().before;
+    auto& waiting = stack_.empty() ? attributes_ : stack_.back().next_attributes;
     if (!waiting) waiting = std::make_unique<std::vector<Value>>();
     std::move(frame.value.items.begin(), frame.value.items.end(), std::back_inserter(*waiting));
     return false;
   }
   if (frame.value.type == Type::push && !within_push()) {
-    ++pushes_seen_;
+    ++push_count_;
     if (pushes_.size() < limits_.pushes) pushes_.push_back(std::move(frame.value));
     if (stack_.empty()) bytes_ = items_ = 0;
     return false;
@@ -336,20 +336,20 @@
                      [](const Frame& frame) { return frame.value.type == Type::push; });
 }
 
-// Puts a whole value where it belongs, and closes what it completes.
+// Adds a complete value to its aggregate, and completes that aggregate if this was its last element.
 void Decoder::complete(Value&& value) {
   if (stack_.empty()) {
     value.attributes = std::move(attributes_);
-    whole_ = std::move(value);
+    value_ = std::move(value);
     done_ = true;
     bytes_ = items_ = 0;
     return;
   }
   Frame& frame = stack_.back();
   if (frame.streamed && !count_items(1)) return;
-  value.attributes = std::move(frame.before);
+  value.attributes = std::move(frame.next_attributes);
   frame.value.items.push_back(std::move(value));
-  if (!frame.streamed && --frame.left == 0) complete_frame();
+  if (!frame.streamed && --frame.remaining == 0) complete_frame();
 }
 
 bool Decoder::count_bytes(std::size_t more) {
--- a/src/resp/decode.h
+++ b/src/resp/decode.h
@@ -1,5 +1,5 @@
-// Bytes to RESP values: incremental, without I/O, nested no deeper than allowed. What a peer announces is
-// believed only as far as the limits go, and memory is taken for what has come, never for what was announced.
+// An incremental decoder from bytes to RESP values, without I/O. It enforces limits on the lengths, counts
+// and nesting that a peer announces, and allocates memory for received bytes, not for announced lengths.
 #pragma once
 
 #include <cstddef>
@@ -15,13 +15,13 @@
 namespace streampick::resp {
 
 struct Limits {
-  std::size_t line = 4 * 1024;     // bytes of a simple text, an error, a number, an inline command
+  std::size_t line = 4 * 1024;  // bytes of one line: a simple string, an error, a number or an inline command
   std::size_t blob = 64 * 1024;    // bytes of one blob, streamed or not
-  std::size_t bytes = 256 * 1024;  // bytes of all texts within one top-level value
-  std::size_t items = 4 * 1024;    // elements of all aggregates within one top-level value
-  std::size_t depth = 8;           // aggregates within aggregates
-  std::size_t pushes = 16;         // pushes kept between two top-level values; more are only counted
-  bool inline_commands = false;    // a line that begins with no type's mark is a command's words
+  std::size_t bytes = 256 * 1024;  // total bytes of all strings within one top-level value
+  std::size_t items = 4 * 1024;    // total elements of all aggregates within one top-level value
+  std::size_t depth = 8;           // nesting depth of aggregates
+  std::size_t pushes = 16;         // pushes that are kept until take_pushes(); further ones are only counted
+  bool inline_commands = false;    // a line that starts with no type marker is an inline command
   bool commands_only = false;      // a top-level value must be an array of blobs
 };
 
@@ -29,37 +29,37 @@
  public:
   explicit Decoder(const Limits& limits = {}) : limits_(limits) {}
 
-  // Reads on until one top-level value is whole, the bytes are used up or they can't be read, and returns how
-  // many bytes it used. While a value waits to be taken it uses none.
+  // Reads until one top-level value is complete, all bytes are consumed or the input is invalid. Returns the
+  // number of consumed bytes, which is 0 until take() is called for a complete value.
   std::size_t put(std::string_view bytes);
   bool done() const { return done_; }
-  // The value that is whole; the next one may follow.
+  // Returns the complete value and makes the decoder ready for the next one.
   Value take();
-  // Nothing can be read any more; the text says why.
+  // Whether the input was invalid; error() describes the fault, and no further bytes are read.
   bool failed() const { return !error_.empty(); }
   const std::string& error() const { return error_; }
-  // Nothing of a further value has come.
-  bool at_rest() const {
+  // Whether no part of a further value has been received.
+  bool is_idle() const {
     return !done_ && stack_.empty() && line_.empty() && state_ == State::line && !attributes_;
   }
 
-  // Pushes are out of band: wherever one stood, it is no part of any value.
+  // Pushes are out-of-band data: they are never a part of another value, even when they arrive within one.
   std::vector<Value> take_pushes();
-  std::uint64_t pushes() const { return pushes_seen_; }
+  std::uint64_t pushes() const { return push_count_; }
 
  private:
   enum class State : std::uint8_t { line, payload, payload_end };
   struct Frame {
     Value value;
-    std::size_t left = 0;  // elements that are still to come
+    std::size_t remaining = 0;  // elements that are still missing
     bool streamed = false, attributes = false;
-    std::unique_ptr<std::vector<Value>> before;  // attributes waiting for its next element
+    std::unique_ptr<std::vector<Value>> next_attributes;  // attributes of the next element
   };
 
   void take_line(std::string_view line);
   void take_inline(std::string_view line);
   void begin_blob(Type type, std::string_view length);
-  void begin_aggregate(char mark, std::string_view count);
+  void begin_aggregate(char marker, std::string_view count);
   void end_payload();
   void complete(Value&& value);
   bool complete_frame();
@@ -70,17 +70,17 @@
 
   Limits limits_;
   State state_ = State::line;
-  std::string line_;  // the part of a line that came in an earlier call
+  std::string line_;  // the start of a line that an earlier call received
   Value payload_;
-  std::size_t payload_left_ = 0, end_seen_ = 0;
-  bool chunks_ = false;  // the blob is streamed: its parts follow
+  std::size_t payload_remaining_ = 0, terminator_bytes_ = 0;
+  bool streamed_blob_ = false;  // the blob is streamed, and its chunks follow
   std::vector<Frame> stack_;
-  std::unique_ptr<std::vector<Value>> attributes_;  // waiting for the top-level value
+  std::unique_ptr<std::vector<Value>> attributes_;  // of the next top-level value
   std::size_t bytes_ = 0, items_ = 0;
-  Value whole_;
+  Value value_;
   bool done_ = false;
   std::vector<Value> pushes_;
-  std::uint64_t pushes_seen_ = 0;
+  std::uint64_t push_count_ = 0;
   std::string error_;
 };
 
--- a/src/resp/encode.cpp
+++ b/src/resp/encode.cpp
@@ -9,28 +9,28 @@
 namespace streampick::resp {
 namespace {
 
-constexpr std::string_view kEnd = "\r\n";
+constexpr std::string_view kLineEnd = "\r\n";
 
-void line(char mark, std::string_view text, std::string& out) {
-  out += mark;
+void append_line(char marker, std::string_view text, std::string& out) {
+  out += marker;
   const std::size_t from = out.size();
   out += text;
   std::replace_if(
       out.begin() + static_cast<std::ptrdiff_t>(from), out.end(),
       [](char c) { return c == '\r' || c == '\n'; }, ' ');
-  out += kEnd;
+  out += kLineEnd;
 }
 
-void head(char mark, std::size_t count, std::string& out) {
-  out += mark;
+void append_header(char marker, std::size_t count, std::string& out) {
+  out += marker;
   append_number(static_cast<std::int64_t>(count), out);
-  out += kEnd;
+  out += kLineEnd;
 }
 
-void blob(char mark, std::string_view text, std::string& out) {
-  head(mark, text.size(), out);
+void append_blob(char marker, std::string_view text, std::string& out) {
+  append_header(marker, text.size(), out);
   out += text;
-  out += kEnd;
+  out += kLineEnd;
 }
 
 std::string real_text(double value) {
@@ -40,7 +40,7 @@
   return {text.data(), std::to_chars(text.data(), text.data() + text.size(), value).ptr};
 }
 
-void items(const std::vector<Value>& all, Version version, std::string& out) {
+void append_items(const std::vector<Value>& all, Version version, std::string& out) {
   for (const Value& item : all) encode(item, version, out);
 }
 
@@ -52,51 +52,58 @@
 }
 
 void encode(const Value& value, Version version, std::string& out) {
-  const bool three = version == Version::resp3;
-  if (three && value.attributes && !value.attributes->empty()) {
-    head('|', value.attributes->size() / 2, out);
-    items(*value.attributes, version, out);
+  const bool is_resp3 = version == Version::resp3;
+  if (is_resp3 && value.attributes && !value.attributes->empty()) {
+    append_header('|', value.attributes->size() / 2, out);
+    append_items(*value.attributes, version, out);
   }
   switch (value.type) {
-    case Type::simple: return line('+', value.text, out);
-    case Type::error: return line('-', value.text, out);
+    case Type::simple: return append_line('+', value.text, out);
+    case Type::error: return append_line('-', value.text, out);
     case Type::number:
       out += ':';
       append_number(value.number, out);
-      out += kEnd;
+      out += kLineEnd;
       return;
-    case Type::blob: return blob('$', value.text, out);
-    case Type::array: head('*', value.items.size(), out); return items(value.items, version, out);
-    case Type::null: out += three ? "_\r\n" : "$-1\r\n"; return;
+    case Type::blob: return append_blob('$', value.text, out);
+    case Type::array:
+      append_header('*', value.items.size(), out);
+      return append_items(value.items, version, out);
+    case Type::null: out += is_resp3 ? "_\r\n" : "$-1\r\n"; return;
     case Type::real:
-      return three ? line(',', real_text(value.real), out) : blob('$', real_text(value.real), out);
+      return is_resp3 ? append_line(',', real_text(value.real), out)
+                      : append_blob('$', real_text(value.real), out);
     case Type::boolean:
-      if (three) return line('#', value.boolean ? "t" : "f", out);
+      if (is_resp3) return append_line('#', value.boolean ? "t" : "f", out);
       out += value.boolean ? ":1\r\n" : ":0\r\n";
       return;
-    case Type::blob_error: return three ? blob('!', value.text, out) : line('-', value.text, out);
+    case Type::blob_error:
+      return is_resp3 ? append_blob('!', value.text, out) : append_line('-', value.text, out);
     case Type::verbatim:
-      if (!three) return blob('$', value.text, out);
-      head('=', value.text.size() + 4, out);
+      if (!is_resp3) return append_blob('$', value.text, out);
+      append_header('=', value.text.size() + 4, out);
       out += value.format.size() == 3 ? value.format : "txt";
       out += ':';
       out += value.text;
-      out += kEnd;
+      out += kLineEnd;
       return;
-    case Type::big_number: return three ? line('(', value.text, out) : blob('$', value.text, out);
+    case Type::big_number:
+      return is_resp3 ? append_line('(', value.text, out) : append_blob('$', value.text, out);
     case Type::map:
-      head(three ? '%' : '*', three ? value.items.size() / 2 : value.items.size(), out);
-      return items(value.items, version, out);
-    case Type::set: head(three ? '~' : '*', value.items.size(), out); return items(value.items, version, out);
+      append_header(is_resp3 ? '%' : '*', is_resp3 ? value.items.size() / 2 : value.items.size(), out);
+      return append_items(value.items, version, out);
+    case Type::set:
+      append_header(is_resp3 ? '~' : '*', value.items.size(), out);
+      return append_items(value.items, version, out);
     case Type::push:
-      head(three ? '>' : '*', value.items.size(), out);
-      return items(value.items, version, out);
+      append_header(is_resp3 ? '>' : '*', value.items.size(), out);
+      return append_items(value.items, version, out);
   }
 }
 
 void encode_command(const std::vector<std::string_view>& words, std::string& out) {
-  head('*', words.size(), out);
-  for (const std::string_view word : words) blob('$', word, out);
+  append_header('*', words.size(), out);
+  for (const std::string_view word : words) append_blob('$', word, out);
 }
 
 bool operator==(const Value& a, const Value& b) {
--- a/src/resp/encode.h
+++ b/src/resp/encode.h
@@ -1,4 +1,4 @@
-// RESP values to bytes.
+// Encodes RESP values to bytes.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,13 @@
 
 enum class Version : std::uint8_t { resp2 = 2, resp3 = 3 };
 
-// Appends the value. RESP2 has no form for RESP3's types: a map becomes a flat array, a set or push an array,
-// a boolean 1 or 0, a real, big number or verbatim a blob, a blob error an error; attributes are left out.
-// A line break within a simple text or an error would end it early and is written as a space.
+// Appends the encoded value to `out`. RESP2 lacks the types that RESP3 added: a map becomes a flat array, a
+// set or push an array, a boolean 1 or 0, a real, big number or verbatim a blob, a blob error an error, and
+// attributes are omitted. A line break within a simple string or an error is written as a space, as it would
+// end the value early.
 void encode(const Value& value, Version version, std::string& out);
 
-// Appends a command as clients send it: an array of blobs.
+// Appends a command in the form that clients send: an array of blobs.
 void encode_command(const std::vector<std::string_view>& words, std::string& out);
 
 // Appends a number in decimal digits.
--- a/src/resp/options.cpp
+++ b/src/resp/options.cpp
@@ -8,7 +8,7 @@
 namespace streampick::resp {
 namespace {
 
-constexpr std::int64_t kMostMs = 86'400'000;
+constexpr std::int64_t kMaxMs = 86'400'000;
 
 FrontOptions read_front(options::Table table) {
   FrontOptions out;
@@ -28,13 +28,13 @@
   table.integer("most_keys", settings.rules.table.most_keys, 1, 1'024);
   table.integer("longest_key_bytes", settings.rules.table.longest_key, 1, 4'096);
   table.integer("longest_value_bytes", settings.rules.longest_value, 1, 64 * 1024);
-  table.integer("idle_ms", settings.idle, 0, kMostMs, 1000);
+  table.integer("idle_ms", settings.idle, 0, kMaxMs, 1000);
   for (options::Table& user : table.tables("users")) {
-    User& made = settings.rules.users.emplace_back();
-    if (!user.text("name", made.name) || made.name.empty()) user.wrong("name", "it is missing");
-    if (!user.text("password", made.password) || made.password.empty())
+    User& added = settings.rules.users.emplace_back();
+    if (!user.text("name", added.name) || added.name.empty()) user.wrong("name", "it is missing");
+    if (!user.text("password", added.password) || added.password.empty())
       user.wrong("password", "it is missing");
-    user.text("tenant", made.tenant);
+    user.text("tenant", added.tenant);
     user.no_others();
   }
   table.no_others();
@@ -54,7 +54,7 @@
   table.yes("writes_alone", settings.writes_alone);
   table.integer("waiting", settings.waiting, 1, 65'536);
   table.integer("store_queue", settings.store_queue, 0, 65'536);
-  table.integer("store_ms", settings.rules.store_ms, 0, kMostMs * 30);
+  table.integer("store_ms", settings.rules.store_ms, 0, kMaxMs * 30);
   table.integer("longest_value_bytes", settings.rules.longest_value, 1, 1024 * 1024);
   table.yes("send_ids", settings.rules.send_ids);
   table.no_others();
@@ -108,12 +108,12 @@
   settings.write_class = find_class("resp.front.write_class", front.write_class, false);
   settings.write_key = config.classes[settings.write_class].effect == Effect::keyed;
   settings.rules.table.cache_aside = config.cache_aside;
-  // A server of another kind may have to answer any command.
-  settings.rules.table.plain_only = !all.servers;
+  // If some kind of server does not speak RESP, it may have to answer any command.
+  settings.rules.table.any_protocol_only = !all.servers;
   for (std::uint32_t kind = 0; kind < names.kinds.size() && all.servers; ++kind)
-    if (!all.servers->speak(names.kinds, kind)) settings.rules.table.plain_only = true;
+    if (!all.servers->speak(names.kinds, kind)) settings.rules.table.any_protocol_only = true;
   settings.seed = platform.seed ^ 0x52455350U;
-  // Where servers can't be told a write's key, they can't drop its repeats.
+  // Servers that don't receive the key of a write can't drop its repeats.
   if (settings.write_key && repeats_run_twice(all, platform))
     wrong("resp.servers.send_ids",
           "the class '" + names.classes[settings.write_class] +
@@ -132,7 +132,7 @@
 bool repeats_run_twice(const Options& options, const Settings& platform) {
   if (!options.servers || options.servers->settings.rules.send_ids) return false;
   const Config& config = platform.config;
-  // Where values have a source, writes go there and nowhere else.
+  // If values are stored at an origin, writes go only there.
   return !config.cache_aside || options.servers->speak(platform.names.kinds, config.origin_kind);
 }
 
--- a/src/resp/options.h
+++ b/src/resp/options.h
@@ -1,4 +1,4 @@
-// The options file's section [resp]: what it may hold, and what that means beside the platform's settings.
+// The section [resp] of the options file: its keys, and its checks against the settings of the platform.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 
 namespace streampick::resp {
 
-// [resp.servers]: which servers speak RESP, and how.
+// [resp.servers]: the servers that speak RESP, and the settings of their connections.
 struct ServerOptions {
-  std::vector<std::string> kinds;  // of members; empty: every one
+  std::vector<std::string> kinds;  // the kinds of members that speak RESP; empty: all
   ServerSettings settings;
 
-  // Whether members of this kind (its place among `names`) speak RESP. One of no known kind speaks what all
-  // do, if all do the same.
+  // Whether members of this kind (an index into `names`) speak RESP. Members of an unknown kind do if all
+  // members do.
   bool speak(const std::vector<std::string>& names, std::uint32_t kind) const;
 };
 
-// [resp.front]: where RESP clients connect.
+// [resp.front]: the listener for RESP clients.
 struct FrontOptions {
   FrontSettings settings;
-  std::string read_class, write_class;  // empty: the first safe class, the first other one
+  std::string read_class, write_class;  // empty: the first safe class, or the first class that is not safe
 };
 
 struct Options {
@@ -36,15 +36,15 @@
 
 // Both throw options::Error.
 Options read_options(options::Table table);
-// Checks the options against the platform's settings, and fills in what only these tell. `file` is the
-// options file's name, `clients` the descriptors that all clients have together.
+// Checks the options against the settings of the platform, and fills in the values that depend on them.
+// `file`: the name of the options file. `clients`: the number of descriptors for all clients together.
 void resolve(Options& options, const Settings& settings, const std::string& file, std::size_t clients);
 
-// Whether writes go to servers that are told no keys: these drop no repeats, so that what is keyed there is
-// in truth unsafe.
+// Whether writes go to servers that receive no idempotency keys. Such servers can't drop repeats, so a keyed
+// class is in fact unsafe there.
 bool repeats_run_twice(const Options& options, const Settings& settings);
 
-// What is on, a line each.
+// Describes the enabled parts, one line each.
 std::string describe(const Options& options);
 
 }  // namespace streampick::resp
--- a/src/resp/pipeline.h
+++ b/src/resp/pipeline.h
@@ -1,6 +1,6 @@
-// One connection to a RESP server without its socket: commands in, bytes out; bytes in, outcomes out. Replies
-// are matched by their order alone, so what was written and what is owed is kept to the byte. No I/O, no
-// clock.
+// The protocol state of one connection to a RESP server, without its socket: turns commands into bytes to
+// write, and received bytes into outcomes of attempts. RESP matches replies to commands by order alone, so
+// the pipeline tracks written bytes and expected replies exactly. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -20,22 +20,23 @@
 
 struct ServerRules {
   std::string user, password;               // empty: no AUTH
-  bool send_ids = false;                    // the server reads ROUTE: it is told ids, keys and deadlines
-  std::size_t longest_value = 1024 * 1024;  // of a reply
-  std::int64_t store_ms = 0;                // life of what is stored back; 0: for good
+  bool send_ids = false;                    // the server supports ROUTE and receives ids, keys and deadlines
+  std::size_t longest_value = 1024 * 1024;  // bytes of a value in a reply
+  std::int64_t store_ms = 0;                // expiry of values that fill a cache; 0: none
 };
 
-struct Ended {
+struct AttemptResult {
   engine::AttemptId attempt;
   Outcome outcome = Outcome::error;
   engine::Answer answer = {};
 };
 
-// What a server's reply to a command means. `options`: the command went out with words of its own, as SET
-// does with NX or GET. `null_is_miss`: the server holds copies, so that what it lacks may exist.
-Ended read_reply(engine::AttemptId attempt, const Command* command, bool options, Value reply,
-                 bool null_is_miss);
-// How an error that a server replied is to be taken: by its first word. The table is in docs/resp.md.
+// Interprets the reply of a server to a command. `options`: the command was sent with the client's own
+// arguments, such as SET with NX or GET. `null_is_miss`: the server is a cache, so a value that it lacks may
+// exist elsewhere.
+AttemptResult interpret_reply(engine::AttemptId attempt, const Command* command, bool options, Value reply,
+                              bool null_is_miss);
+// Classifies an error reply of a server by its first word. The table is in docs/resp.md.
 Outcome outcome_of_error(std::string_view text);
 
 class Pipeline {
@@ -44,55 +45,58 @@
 
   Pipeline(const ServerRules& rules, bool null_is_miss);
 
-  // Takes a command. Its bytes are in output() from here on. `remaining`: microseconds that the router waits.
+  // Appends a command to output(). `remaining`: the time in microseconds that the router waits for the reply.
   void send(engine::AttemptId attempt, const engine::Message& message, Time remaining);
-  // Stores a value: nobody waits for its reply.
+  // Stores a value in the cache. No attempt waits for the reply.
   void store(const std::string& key, const std::string& value);
-  // Drops a copy, likewise.
+  // Removes a value from the cache. No attempt waits for the reply.
   void remove(const std::string& key);
 
-  // Bytes that are to be written, as one run; written() says how many of them were, and returns how many
-  // attempts are out whole with them.
-  std::string_view output() const { return std::string_view(out_).substr(out_at_); }
+  // The bytes to write next. The caller passes the number of bytes that it wrote to written(), which returns
+  // the number of attempts whose commands are now completely written.
+  std::string_view output() const { return std::string_view(out_).substr(out_offset_); }
   std::size_t written(std::size_t bytes);
-  // Takes back what has no byte written yet: none of it ran. For a drain.
+  // Drops the commands of which no byte is written yet; none of them ran. Used when the server drains.
   void drop_unsent();
 
-  /// Attempts none of whose bytes are written, in their order.
+  /// Attempts of which no byte is written yet, in the order of sending.
   std::vector<engine::AttemptId> unsent() const;
-  /// The attempt of which a part is written and a part is not.
-  std::optional<engine::AttemptId> half_sent() const;
-
-  // Nobody waits for it any more. Its reply is passed over; if none of its bytes are written, none will be.
-  // A command of which a part is written can't be taken back nor go on: the connection then takes no further
-  // bytes, and ends once what stands before it is answered.
-  void forget(engine::AttemptId attempt);
-  // The first case of these alone: false, and all stays, where one of its bytes is written.
+  /// The attempt whose command is partly written, if any.
+  std::optional<engine::AttemptId> partially_sent() const;
+
+  // Cancels an attempt. If no byte of its command is written, the command is dropped; if all bytes are
+  // written, its reply will be ignored. A partly written command can neither be dropped nor completed: the
+  // connection then writes nothing more, and ends once all earlier commands are answered.
+  void cancel(engine::AttemptId attempt);
+  // Drops the command of an attempt if no byte of it is written. Otherwise returns false and changes nothing.
   bool cancel_unsent(engine::AttemptId attempt);
 
-  // Bytes that came.
+  // Processes received bytes.
   void put(std::string_view bytes);
-  // The connection ended: what was written whole may have run, the rest never did.
+  // Handles the end of the connection. Completely written commands may have run; the others did not.
   void end();
 
-  std::vector<Ended> take_ended() { return std::exchange(ended_, {}); }
+  std::vector<AttemptResult> take_ended() { return std::exchange(ended_, {}); }
   std::vector<Value> take_pushes() { return decoder_.take_pushes(); }
   State state() const { return state_; }
   bool usable() const { return state_ == State::ready; }
-  // Nothing more is owed on a connection that takes nothing new.
-  bool finished() const { return state_ == State::broken || (state_ == State::closing && sent_whole() == 0); }
-  // The server wants nothing new here.
+  // Whether the connection takes no new commands and expects no further reply.
+  bool finished() const {
+    return state_ == State::broken || (state_ == State::closing && written_entries() == 0);
+  }
+  // Sends no new commands on this connection, because the server asked for it or has moved.
   void close_when_answered() {
     if (state_ == State::ready) state_ = State::closing;
   }
-  const std::string& why() const { return why_; }
-  std::size_t in_flight() const { return entries_.size(); }  // also of those that nobody waits for
-  std::size_t waited_for() const { return waited_for_; }
+  const std::string& error() const { return error_; }
+  std::size_t in_flight() const { return entries_.size(); }  // including replies that no attempt waits for
+  std::size_t awaited_replies() const { return awaited_replies_; }
   bool carries_write() const { return writes_ > 0; }
   bool greeted() const { return state_ != State::greeting; }
   Version version() const { return version_; }
-  std::uint64_t take_passed_over() { return std::exchange(passed_over_, 0); }  // replies nobody waited for
-  bool at_rest() const { return entries_.empty() && decoder_.at_rest(); }
+  // The number of replies to cancelled attempts since the last call.
+  std::uint64_t take_ignored_replies() { return std::exchange(ignored_replies_, 0); }
+  bool is_idle() const { return entries_.empty() && decoder_.is_idle(); }
   std::uint64_t pushes() const { return decoder_.pushes(); }
 
  private:
@@ -100,20 +104,20 @@
   struct Entry {
     Role role = Role::attempt;
     engine::AttemptId attempt;
-    const Command* command = nullptr;  // of an attempt; none: the router does not know it
+    const Command* command = nullptr;  // of an attempt; nullptr: a command that the router does not know
     bool write = false, options = false;
-    std::uint64_t begin = 0, end = 0;  // its place in all that was ever to be written
-    bool forgotten = false;
+    std::uint64_t begin = 0, end = 0;  // byte offsets since the start of the connection
+    bool cancelled = false;
   };
 
-  Entry& offer(Role role, const std::vector<std::string_view>& words);
-  void greet(bool three);
-  void take(Value reply);
-  void greeted_with(Role role, Value reply);
-  void leave(const Entry& entry);
-  void break_off(std::string why);
-  void cut_from(std::size_t index, Outcome outcome);
-  std::size_t sent_whole() const;
+  Entry& append(Role role, const std::vector<std::string_view>& words);
+  void append_greeting(bool use_resp3);
+  void on_reply(Value reply);
+  void on_greeting_reply(Role role, Value reply);
+  void on_entry_removed(const Entry& entry);
+  void fail(std::string error);
+  void end_entries_from(std::size_t index, Outcome outcome);
+  std::size_t written_entries() const;
 
   const ServerRules* rules_;
   bool null_is_miss_;
@@ -123,12 +127,12 @@
   std::deque<Entry> entries_;
   std::deque<Entry>::iterator entry_of(engine::AttemptId attempt);
   std::string out_;
-  std::size_t out_at_ = 0;
-  std::uint64_t written_ = 0, offered_ = 0;  // bytes, ever
-  std::size_t waited_for_ = 0, writes_ = 0;
-  std::uint64_t passed_over_ = 0;
-  std::vector<Ended> ended_;
-  std::string why_;
+  std::size_t out_offset_ = 0;
+  std::uint64_t written_ = 0, appended_ = 0;  // bytes since the start of the connection
+  std::size_t awaited_replies_ = 0, writes_ = 0;
+  std::uint64_t ignored_replies_ = 0;
+  std::vector<AttemptResult> ended_;
+  std::string error_;
 };
 
 }  // namespace streampick::resp
--- a/src/resp/rejections.cpp
+++ b/src/resp/rejections.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::string_view kNoPlace = "-ERR max number of clients reached\r\n";
+constexpr std::string_view kErrorReply = "-ERR max number of clients reached\r\n";
 constexpr std::size_t kMaxConnections = 8;
 constexpr std::size_t kMaxDroppedBytes = 1024 * 1024;
 constexpr Time kLinger = 1'000'000;
@@ -30,9 +30,9 @@
   void begin() {
     error_code ignored;
     socket_.non_blocking(true, ignored);
-    socket_.write_some(asio::buffer(kNoPlace), ignored);
+    socket_.write_some(asio::buffer(kErrorReply), ignored);
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    read_on();
+    read_next();
   }
   Time since() const { return since_; }
   void close() {
@@ -42,13 +42,13 @@
   }
 
  private:
-  void read_on() {
+  void read_next() {
     socket_.async_read_some(asio::buffer(chunk_),
                             [self = shared_from_this()](error_code error, std::size_t got) {
                               if (self->owner_ == nullptr) return;
                               self->dropped_bytes_ += got;
                               if (error || self->dropped_bytes_ > kMaxDroppedBytes) return self->end();
-                              self->read_on();
+                              self->read_next();
                             });
   }
   void end() {
@@ -57,7 +57,7 @@
     owner.open_.remove(shared_from_this());
   }
 
-  Rejections* owner_;  // none once it is closed
+  Rejections* owner_;  // nullptr once it is closed
   tcp::socket socket_;
   Time since_;
   std::size_t dropped_bytes_ = 0;
--- a/src/resp/rejections.h
+++ b/src/resp/rejections.h
@@ -1,5 +1,5 @@
 /// @file
-/// Connections of RESP clients that find no place: each is told so, and ended in order.
+/// Connections of RESP clients over the connection limit: each receives an error and an orderly close.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,13 +11,13 @@
 
 namespace streampick::resp {
 
-/// Owns the connections that were rejected until their clients have ended them too.
+/// Owns rejected connections until their clients have closed them.
 ///
-/// A close over bytes that nobody has read would reset the connection, and the error could go with it. So
-/// each is ended for writing behind the error, and what its client has sent is read and dropped, within
-/// bounds of time, of bytes and of the number of such connections. Nothing of it is ever parsed.
+/// Closing a socket with unread bytes would reset the connection, and the client could lose the error. So
+/// each connection is shut down for writing after the error, and the bytes that its client sends are read and
+/// dropped without parsing, within limits on time, bytes and the number of such connections.
 ///
-/// Runs on the thread of the sockets' event loop.
+/// Runs on the thread of the event loop that serves the sockets.
 class Rejections {
  public:
   Rejections() = default;
@@ -25,9 +25,10 @@
   Rejections(const Rejections&) = delete;
   Rejections& operator=(const Rejections&) = delete;
 
-  /// Writes the error and ends the sending. The oldest rejected connection is closed if there are too many.
+  /// Writes the error and shuts the connection down for writing. Closes the oldest rejected connection if
+  /// there are too many.
   void reject(boost::asio::ip::tcp::socket socket, Time now);
-  /// Closes those whose client has not ended them in time.
+  /// Closes the connections that their clients have not closed in time.
   void close_overdue(Time now);
   std::size_t open() const { return open_.size(); }
 
--- a/src/resp/transport.h
+++ b/src/resp/transport.h
@@ -1,5 +1,5 @@
-// The connections to one RESP server: a few, each with a short pipeline. What stands on a connection is
-// Pipeline's; which connection takes what is decided here.
+// The connections to one RESP server: a few, each with a short pipeline. Pipeline tracks the commands on one
+// connection; the transport assigns attempts to connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,29 +20,29 @@
 
 struct ServerSettings {
   ServerRules rules;
-  std::size_t connections = 4;   // to one server
-  std::size_t pipeline = 8;      // reads on one connection
-  bool writes_alone = true;      // a write shares its connection with nothing
-  std::size_t waiting = 256;     // attempts for one server that wait for a connection
-  std::size_t store_queue = 64;  // values for one server that wait to be stored; 0: none is stored
-  std::size_t longest_stored = 64 * 1024;
+  std::size_t connections = 4;   // limit of connections to one server
+  std::size_t pipeline = 8;      // limit of unanswered commands on one connection
+  bool writes_alone = true;      // a write shares its connection with no other command
+  std::size_t waiting = 256;     // limit of attempts for one server that wait for a connection
+  std::size_t store_queue = 64;  // limit of cache fills queued for one server; 0: no cache fill
+  std::size_t max_fill_bytes = 64 * 1024;
 };
 
-// Of all RESP servers together.
+// Counters over all RESP servers.
 struct ServerCounts {
-  std::uint64_t pushes = 0;                  // that servers sent between replies
-  std::uint64_t passed_over = 0;             // replies that came when nobody waited for them any more
-  std::uint64_t shared = 0;                  // attempts that began behind another on their connection
-  std::uint64_t stored = 0, not_stored = 0;  // values that a server had missed
-  std::uint64_t voided = 0, not_voided = 0;  // copies that a write may have made old
-  std::uint64_t broken = 0;                  // connections whose order of replies was lost
+  std::uint64_t pushes = 0;                  // pushes that servers sent
+  std::uint64_t ignored_replies = 0;         // replies to cancelled attempts
+  std::uint64_t shared = 0;                  // attempts that were sent behind another on the same connection
+  std::uint64_t stored = 0, not_stored = 0;  // cache fills
+  std::uint64_t invalidated = 0, not_invalidated = 0;  // invalidations of copies
+  std::uint64_t broken = 0;  // connections that ended because of a protocol error or a cancelled write
 
-  std::string summary() const;  // for the log
+  std::string summary() const;  // as text for the log
 };
 
 class RespTransport final : public engine::Upstream {
  public:
-  // `settings` and `counts` outlive it. `on_push` hears of each push; it may be empty.
+  // `settings` and `counts` must outlive the transport. `on_push` is called for each push, and may be empty.
   using PushHook = std::function<void(const std::string& server, const Value& push)>;
   RespTransport(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                 engine::AttemptObserver& outcomes, const ServerSettings& settings, ServerCounts& counts,
@@ -56,7 +56,7 @@
             Time begin_by) override;
   void stop_sending_at(Time at) override;
   bool cancel_unsent(engine::AttemptId attempt) override;
-  // Costs no connection, unless a part of the command is written.
+  // Keeps the connection, unless the command is partly written.
   void cancel(engine::AttemptId attempt, engine::CancelReason reason) override;
   void close_idle(Time unused_since) override;
   bool close_oldest_idle() override;
@@ -66,29 +66,29 @@
 
  private:
   class Connection;
-  using Link = std::shared_ptr<Connection>;
-  struct Job {
+  using ConnectionPtr = std::shared_ptr<Connection>;
+  struct WaitingAttempt {
     engine::AttemptId attempt;
     std::shared_ptr<const engine::Message> message;
     Time expires = 0, begin_by = kNever;
   };
-  struct Stored {
+  struct CacheUpdate {
     std::string key, value;
-    bool drop = false;  // the copy, in place of storing one
+    bool drop = false;  // removes the copy instead of storing the value
   };
 
   void dispatch();
-  Link choose(bool write) const;
+  ConnectionPtr choose(bool write) const;
   bool dial();
   std::size_t dialling() const;
-  bool may_begin(Job& job);
-  void start(const Link& link, const Job& job);
-  void store_some();
-  void store_soon();
-  void changed(const Link& link);
-  void gave_up(const Link& link);
-  void drop(const Link& link);
-  void end_soon(engine::AttemptId attempt, Outcome outcome);
+  bool may_send(WaitingAttempt& waiting);
+  void send_on(const ConnectionPtr& connection, const WaitingAttempt& waiting);
+  void send_cache_updates();
+  void schedule_cache_updates();
+  void on_change(const ConnectionPtr& connection);
+  void on_cancelled(const ConnectionPtr& connection);
+  void drop(const ConnectionPtr& connection);
+  void post_outcome(engine::AttemptId attempt, Outcome outcome);
 
   boost::asio::io_context& io_;
   engine::TimeSource& time_;
@@ -100,10 +100,10 @@
   bool null_is_miss_;
   PushHook on_push_;
   boost::asio::ip::tcp::endpoint address_;
-  std::vector<Link> connections_;
-  std::deque<Job> waiting_;
-  std::deque<Stored> to_store_;
-  std::shared_ptr<bool> alive_;  // posted handlers hold it weakly
+  std::vector<ConnectionPtr> connections_;
+  std::deque<WaitingAttempt> waiting_;
+  std::deque<CacheUpdate> cache_updates_;
+  std::shared_ptr<bool> alive_;  // posted handlers hold a weak reference, to detect destruction
 };
 
 }  // namespace streampick::resp
--- a/src/resp/value.h
+++ b/src/resp/value.h
@@ -1,5 +1,5 @@
-// RESP values, as the RESP3 specification names them (https://github.com/redis/redis-specifications,
-// protocol/RESP3.md). RESP2's types are a part of these.
+// RESP values, with the names of the RESP3 specification (https://github.com/redis/redis-specifications,
+// protocol/RESP3.md). The types of RESP2 are a subset.
 #pragma once
 
 #include <cstddef>
@@ -29,16 +29,16 @@
   push,        // >count
 };
 
-// One value. `items` holds an aggregate's elements; a map's are key, value, key, value.
+// One value. `items` holds the elements of an aggregate; those of a map alternate between key and value.
 struct Value {
   Type type = Type::null;
   bool boolean = false;
   std::int64_t number = 0;
   double real = 0;
-  std::string text;    // of simple, error, blob, blob_error, verbatim (without its format) and big_number
-  std::string format;  // of a verbatim: "txt", "mkd", ...
+  std::string text;    // of a simple, error, blob, blob_error, verbatim (without its format) or big_number
+  std::string format;  // of a verbatim: "txt", "mkd" or another
   std::vector<Value> items;
-  std::unique_ptr<std::vector<Value>> attributes;  // that stood before it: name, value, name, value
+  std::unique_ptr<std::vector<Value>> attributes;  // sent before the value; names and values alternate
 
   bool is_null() const { return type == Type::null; }
   bool is_error() const { return type == Type::error || type == Type::blob_error; }
@@ -72,7 +72,7 @@
   }
 };
 
-// Equal in what they say: a NaN equals a NaN, so that a round trip can be checked.
+// Compares contents. A NaN equals a NaN, so that tests can compare a value with its decoded encoding.
 bool operator==(const Value& a, const Value& b);
 
 }  // namespace streampick::resp
--- a/tests/resp/codec_test.cpp
+++ b/tests/resp/codec_test.cpp
@@ -1,4 +1,4 @@
-// The codec: every type, any split of the bytes, limits, and what must not be read.
+// Tests of the codec: all types, input split at any position, limits, and invalid input.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,7 +13,7 @@
 namespace streampick::resp::test {
 namespace {
 
-// All values that `bytes` hold; the decoder's failure, if any, in `error`.
+// Decodes all values in `bytes`, in parts of `step` bytes. `error` receives the error of the decoder, if any.
 std::vector<Value> decode_all(std::string_view bytes, std::size_t step, const Limits& limits,
                               std::string* error = nullptr) {
   Decoder decoder(limits);
@@ -31,12 +31,12 @@
       if (decoder.done()) {
         out.push_back(decoder.take());
       } else if (used == 0) {
-        ADD_FAILURE() << "no progress";
+        ADD_FAILURE() << "the decoder consumed no bytes and completed no value";
         return out;
       }
     }
   }
-  if (error != nullptr) *error = decoder.at_rest() ? "" : "not whole";
+  if (error != nullptr) *error = decoder.is_idle() ? "" : "not whole";
   return out;
 }
 
@@ -60,7 +60,7 @@
   return error;
 }
 
-TEST(RespCodec, EachTypeIsReadAsTheSpecificationWritesIt) {
+TEST(RespCodec, EachType_IsDecodedAsSpecified) {
   EXPECT_EQ(decode_one("+hello world\r\n"), Value::simple("hello world"));
   EXPECT_EQ(decode_one("-ERR this is the error\r\n"), Value::error("ERR this is the error"));
   EXPECT_EQ(decode_one(":1234\r\n"), Value::integer(1234));
@@ -91,7 +91,7 @@
   EXPECT_EQ(decode_one("~2\r\n+orange\r\n+apple\r\n").type, Type::set);
 }
 
-TEST(RespCodec, StreamedStringsAndAggregatesAreReadAsTheirWholes) {
+TEST(RespCodec, StreamedStringsAndAggregates_AreDecodedAsCompleteValues) {
   EXPECT_EQ(decode_one("$?\r\n;4\r\nHell\r\n;5\r\no wor\r\n;1\r\nd\r\n;0\r\n"), Value::blob("Hello word"));
   const Value list = decode_one("*?\r\n:1\r\n*?\r\n.\r\n$?\r\n;0\r\n.\r\n");
   ASSERT_EQ(list.items.size(), 3U);
@@ -100,7 +100,7 @@
   EXPECT_EQ(error_of("%?\r\n+a\r\n.\r\n"), "a map ends between a key and its value");
 }
 
-TEST(RespCodec, AttributesBelongToTheValueBehindThem) {
+TEST(RespCodec, Attributes_AreAttachedToTheNextValue) {
   const Value value = decode_one("*2\r\n|1\r\n+ttl\r\n:3600\r\n+a\r\n+b\r\n");
   ASSERT_EQ(value.items.size(), 2U);
   ASSERT_TRUE(value.items[0].attributes);
@@ -109,7 +109,7 @@
   EXPECT_TRUE(decode_one("|1\r\n+a\r\n+b\r\n:1\r\n").attributes);
 }
 
-TEST(RespCodec, PushesAreNoPartOfAnyReplyWhereverTheyStand) {
+TEST(RespCodec, PushesAtAnyPosition_AreNotPartOfAReply) {
   const std::string push = ">2\r\n+invalidate\r\n*1\r\n$1\r\nk\r\n";
   for (const std::string& bytes : {push + "+a\r\n+b\r\n", "+a\r\n" + push + "+b\r\n", "+a\r\n+b\r\n" + push,
                                    push + push + "+a\r\n+b\r\n"})
@@ -127,7 +127,7 @@
   ASSERT_EQ(decoder.take_pushes().size(), 1U);
 }
 
-TEST(RespCodec, PushesThatNobodyTakesAreCountedAndNotKept) {
+TEST(RespCodec, PushesThatAreNotTaken_AreCountedAndDropped) {
   Limits limits;
   limits.pushes = 4;
   Decoder decoder(limits);
@@ -136,7 +136,7 @@
   EXPECT_EQ(decoder.take_pushes().size(), 4U);
 }
 
-TEST(RespCodec, InlineCommandsAreWordsAndQuotesHoldThemTogether) {
+TEST(RespCodec, InlineCommand_IsSplitAtSpacesOutsideQuotes) {
   Limits limits;
   limits.inline_commands = limits.commands_only = true;
   const auto all = decode_all("\r\nGET  key\r\nSET k \"a b\\n\"\nPING\r\n*1\r\n$4\r\nPING\r\n", 3, limits);
@@ -148,7 +148,7 @@
   EXPECT_EQ(error_of("GET \"a\"b\r\n", limits), "unbalanced quotes");
 }
 
-TEST(RespCodec, InlineQuotesHaveTwoForms) {
+TEST(RespCodec, InlineQuotes_SupportTheirEscapes) {
   Limits limits;
   limits.inline_commands = limits.commands_only = true;
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -167,7 +167,7 @@
     EXPECT_EQ(error_of(std::string("ECHO ") + wrong + "\r\n", limits), "unbalanced quotes") << wrong;
 }
 
-TEST(RespCodec, WhatIsAnnouncedIsBelievedOnlyAsFarAsTheLimitsGo) {
+TEST(RespCodec, AnnouncedLengthAboveALimit_IsRejected) {
   EXPECT_EQ(error_of("$536870912\r\n"), "a blob is too long");
   EXPECT_EQ(error_of("$?\r\n;99999999\r\n"), "a blob is too long");
   EXPECT_EQ(error_of("*1000000000\r\n"), "an aggregate is too long");
@@ -190,7 +190,8 @@
   wide.bytes = 100;
   std::string million = "*1000000\r\n";
   for (int i = 0; i < 1'000'000; ++i) million += "$0\r\n\r\n";
-  EXPECT_EQ(error_of(million), "an aggregate is too long");  // with the usual limits: before any came
+  EXPECT_EQ(error_of(million),
+            "an aggregate is too long");  // the default limits reject the announced count at once
   EXPECT_EQ(error_of(
                 "*20\r\n" +
                     [] {
@@ -202,7 +203,7 @@
             "a value is too large");
 }
 
-TEST(RespCodec, ALineOfTheLongestLengthIsReadInOnePartAndInMany) {
+TEST(RespCodec, LineOfMaximumLength_IsDecodedInOnePartAndInMany) {
   Limits limits;
   limits.line = 16;
   for (std::size_t length = 10; length < 24; ++length) {
@@ -214,7 +215,7 @@
   }
 }
 
-TEST(RespCodec, WhatIsNotRespIsNotRead) {
+TEST(RespCodec, InvalidInput_IsRejected) {
   for (const char* bytes : {"hello\r\n",
                             "\r\n",
                             "+a\n",
@@ -247,7 +248,7 @@
     EXPECT_NE(error_of(bytes), "") << bytes;
 }
 
-TEST(RespCodec, Resp2HasAFormForEachOfRespThreesTypes) {
+TEST(RespCodec, Resp3Types_AreEncodedForResp2) {
   Value map = Value::of(Type::map);
   map.items.push_back(Value::simple("a"));
   Value yes = Value::of(Type::boolean);
@@ -259,7 +260,7 @@
   real.real = 1.5;
   EXPECT_EQ(encoded(real, Version::resp2), "$3\r\n1.5\r\n");
   EXPECT_EQ(encoded(Value::error("ERR a\r\n+OK"), Version::resp2),
-            "-ERR a  +OK\r\n");  // one line, whatever it holds
+            "-ERR a  +OK\r\n");  // line breaks become spaces
 }
 
 // ---- Properties
@@ -299,7 +300,8 @@
   return out;
 }
 
-// Value has a unique owner of its attributes: generated by hand from a stream of numbers.
+// Generates a value from a sequence of pseudo-random numbers. Value can't be copied, as rapidcheck's
+// generators require.
 Value random_value(std::uint64_t& seed, int depth) {
   const auto next = [&seed] {
     seed = seed * 6364136223846793005U + 1442695040888963407U;
@@ -324,7 +326,7 @@
               std::move(attributes));
 }
 
-RC_GTEST_PROP(RespCodecProperty, WhatIsEncodedIsDecodedTheSame, (std::uint64_t seed)) {
+RC_GTEST_PROP(RespCodecProperty, EncodedValue_DecodesToAnEqualValue, (std::uint64_t seed)) {
   const Value value = random_value(seed, 3);
   const std::string bytes = encoded(value);
   std::string error;
@@ -335,7 +337,7 @@
   RC_ASSERT(encoded(all.front()) == bytes);
 }
 
-RC_GTEST_PROP(RespCodecProperty, WhereTheBytesAreSplitChangesNothing, (std::uint64_t seed)) {
+RC_GTEST_PROP(RespCodecProperty, SplitInput_DecodesToTheSameValues, (std::uint64_t seed)) {
   std::string bytes;
   std::vector<Value> values;
   for (int i = 0; i < 3; ++i) {
@@ -355,7 +357,7 @@
   }
 }
 
-RC_GTEST_PROP(RespCodecProperty, AnyBytesAreReadTheSameInOnePartAndInMany,
+RC_GTEST_PROP(RespCodecProperty, ArbitraryInput_DecodesEquallyInOnePartAndInMany,
               (std::string bytes, std::uint8_t step)) {
   std::string once, many;
   const auto a = decode_all(bytes, bytes.size() + 1, {}, &once);
--- a/tests/resp/loopback_test.cpp
+++ b/tests/resp/loopback_test.cpp
@@ -1,4 +1,5 @@
-// RESP from end to end over loopback sockets: both sides, and the failures they are meant for.
+// End-to-end tests of the RESP front and RESP servers over loopback sockets, including failures of servers
+// and clients.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -9,7 +10,7 @@
 
 // ---- A RESP front over HTTP caches
 
-TEST_F(RespLoopback, AGetIsCarriedToHttpCachesAndTheValueComesBack) {
+TEST_F(RespLoopback, Get_IsForwardedToAnHttpCache) {
   std::string body;
   for (int i = 0; i < 3000; ++i) body += static_cast<char>(i % 256);
   cache.answer = [&](const std::string&) { return response(200, body); };
@@ -21,7 +22,7 @@
   EXPECT_EQ(cache.requests.at(0).rfind("GET /read/sheet%207%2F2 HTTP/1.1\r\n", 0), 0U) << cache.requests[0];
 }
 
-TEST_F(RespLoopback, ASetIsAPutWithAKeyAndWhatNobodyHasIsNull) {
+TEST_F(RespLoopback, Set_IsForwardedAsPutAndAMissingValueIsNull) {
   cache.answer = [](const std::string&) { return response(404); };
   origin.answer = [](const std::string& request) {
     return request.rfind("PUT", 0) == 0 ? response(200, "stored") : response(404);
@@ -43,7 +44,7 @@
   EXPECT_EQ(put->substr(put->size() - 5), "value");
 }
 
-TEST_F(RespLoopback, AKeyIsTheSameKeyAtEitherFront) {
+TEST_F(RespLoopback, SameKeyAtBothFronts_GoesToTheSameServer) {
   FakeServer second(io), third(io);
   cache.answer = second.answer = third.answer = [](const std::string&) { return response(200, "x"); };
   start_with(std::string(kFront) + "write_class = \"save\"\n",
@@ -72,7 +73,7 @@
 
 // ---- RESP caches
 
-TEST_F(RespLoopback, AMissGoesToTheOriginAndItsValueIsStoredWhereItMissed) {
+TEST_F(RespLoopback, Miss_IsServedByTheOriginAndFillsTheCache) {
   add_caches(1);
   store.values["k"] = "from the store";
   start_resp();
@@ -91,7 +92,7 @@
   EXPECT_EQ(caches[0]->stores, 1U);
 }
 
-TEST_F(RespLoopback, CommandsOfTheTableReachTheSourceAndAreSpelledRight) {
+TEST_F(RespLoopback, SupportedCommands_ReachTheOriginAndGetTheirReplies) {
   add_caches(2);
   store.values = {{"a", "1"}, {"b", "22"}};
   start_resp();
@@ -110,8 +111,8 @@
   EXPECT_EQ(one->reply(8), Value::integer(1));
 }
 
-// What a client has written it reads, also when it does not wait for the reply in between.
-TEST_F(RespLoopback, PipelinedCommandsOnOneKeyKeepTheirOrderAndWritesVoidTheCopies) {
+// A client reads its own writes, even if it pipelines the read without waiting for the reply to the write.
+TEST_F(RespLoopback, PipelinedCommandsOnOneKey_KeepTheirOrderAndWritesInvalidateCopies) {
   add_caches(2);
   store.values = {{"k", "old"}};
   for (const auto& one : caches) one->values = store.values;
@@ -129,7 +130,7 @@
   EXPECT_EQ(one->reply(5), Value::simple("OK"));
 }
 
-TEST_F(RespLoopback, AnHttpFrontOverRespCachesServesAsOverOthers) {
+TEST_F(RespLoopback, HttpFrontWithRespCaches_ServesRequests) {
   add_caches(1);
   store.values["k"] = "tile";
   start_with(kServers,
@@ -145,9 +146,9 @@
   EXPECT_EQ(store.values["k2"], "drawing");
 }
 
-// No key reaches such a server, so that it drops no repeat: a keyed write that may have run is not sent
-// again.
-TEST_F(RespLoopback, AKeyedWriteToServersThatAreToldNoKeysIsUnsafe) {
+// Such a server receives no idempotency key and can't drop repeats, so a keyed write that may have run is not
+// sent again.
+TEST_F(RespLoopback, KeyedWriteToServersWithoutKeys_IsNotRetried) {
   add_caches(1);
   store.script = [](const std::vector<std::string>&, std::size_t) { return Fault{Fault::Kind::close}; };
   start_resp();
@@ -158,7 +159,7 @@
   EXPECT_EQ(store.executions["SET k"], 1U);
 }
 
-TEST_F(RespLoopback, AnOldServerIsSpokenToInResp2AndAWrongPasswordServesNobody) {
+TEST_F(RespLoopback, ServerWithoutResp3_IsUsedAndOneWithAnotherPasswordIsNot) {
   RespCache old(io, {.speaks_resp3 = false, .password = "p"});
   RespCache closed(io, {.password = "other"});
   old.values["k"] = "old";
@@ -172,9 +173,9 @@
   EXPECT_EQ(closed.commands, 0U);
 }
 
-// The servers drop repeats of a KEY, but not of a write that the client can only send under a new one: what
-// may have run and has none must not be called a refusal.
-TEST_F(RespLoopback, AKeyedWriteThatMayHaveRunIsARefusalOnlyToWhoToldItsKey) {
+// Servers drop repeats by their KEY. Without a KEY of the client, its repeat gets a new key and would run
+// again, so a write that may have run must not be reported as rejected.
+TEST_F(RespLoopback, KeyedWriteThatMayHaveRun_IsRejectedOnlyIfTheClientSentItsKey) {
   add_caches(1);
   store.script = [](const std::vector<std::string>&, std::size_t) { return Fault{Fault::Kind::close}; };
   start_resp("write_class = \"save\"\n", "send_ids = true\n");
@@ -186,13 +187,13 @@
   EXPECT_EQ(one->reply(0), Value::error("UNAVAILABLE failed; it may have run"));
   EXPECT_EQ(one->reply(1).text.rfind("TRYAGAIN refused, it may have run: repeat it with its KEY", 0), 0U)
       << one->reply(1).text;
-  EXPECT_GE(store.commands, 4U);  // both were sent again under their keys
+  EXPECT_GE(store.commands, 4U);  // both were retried with their keys
   EXPECT_EQ(store.executions.size(), 2U);
   for (const auto& [id, times] : store.executions) EXPECT_EQ(times, 1U);
 }
 
-// What the operators' page says of the log's line of counts.
-TEST_F(RespLoopback, TheLineOfCountsTellsOfBothSides) {
+// The log line with counters has the fields that the documentation for operators describes.
+TEST_F(RespLoopback, Summary_HasTheCountersOfClientsAndServers) {
   add_caches(1);
   store.values["k"] = "v";
   start_resp();
@@ -207,9 +208,9 @@
   EXPECT_NE(line.find(" voided=0 not_voided=0 broken=0"), std::string::npos) << line;
 }
 
-// ---- The failures
+// ---- Failures of servers
 
-TEST_F(RespLoopback, RepliesKeepTheirOrderThoughTheFirstStalls) {
+TEST_F(RespLoopback, FirstReplyStalls_RepliesKeepTheirOrder) {
   add_caches(3);
   for (const auto& one : caches)
     for (int i = 0; i < 20; ++i) one->values["k" + std::to_string(i)] = "v" + std::to_string(i);
@@ -229,8 +230,9 @@
   for (std::size_t i = 0; i < 20; ++i) EXPECT_EQ(one->reply(i), Value::blob("v" + std::to_string(i)));
 }
 
-// What was answered stands; reads go elsewhere; a write that may have run does not run again.
-TEST_F(RespLoopback, ACacheThatClosesMidwayCostsNoReadAndNoWriteTwice) {
+// Received replies remain valid, reads are retried elsewhere, and a write that may have run does not run
+// again.
+TEST_F(RespLoopback, CacheClosesBetweenReplies_ReadsAreServedAndNoWriteRunsTwice) {
   add_caches(3);
   bool closed = false;
   for (const auto& one : caches) {
@@ -257,7 +259,7 @@
   for (int i = 0; i < 3; ++i) EXPECT_EQ(store.executions["SET w" + std::to_string(i)], 1U);
 }
 
-TEST_F(RespLoopback, PushesBetweenRepliesAndWithinThemAreNobodysAnswer) {
+TEST_F(RespLoopback, PushesBetweenReplies_AreNotReplies) {
   add_caches(1);
   std::size_t turn = 0;
   for (int i = 0; i < 30; ++i) caches[0]->values["k" + std::to_string(i)] = "v" + std::to_string(i);
@@ -271,15 +273,15 @@
     for (int i = 0; i < 30; ++i) bytes += command({"GET", "k" + std::to_string(i)});
     one->raw(bytes);
     ASSERT_TRUE(wait_for([&] { return one->replies.size() == 30U * static_cast<std::size_t>(round + 1); }));
-    caches[0]->push_to_all("invalidate");  // on a connection at rest
+    caches[0]->push_to_all("invalidate");  // on an idle connection
   }
   for (std::size_t i = 0; i < 60; ++i) EXPECT_EQ(one->reply(i), Value::blob("v" + std::to_string(i % 30)));
   EXPECT_GE(host->resp_servers().pushes, 60U);
   EXPECT_EQ(host->counts().served, 60U);
-  EXPECT_EQ(caches[0]->accepted, 1U);  // none of it cost the connection
+  EXPECT_EQ(caches[0]->accepted, 1U);  // the connection was kept
 }
 
-TEST_F(RespLoopback, AnAggregateWithAPushInItIsStillOneReplyAndOfTheWrongType) {
+TEST_F(RespLoopback, AggregateWithAPushInside_IsOneMalformedReply) {
   add_caches(1);
   caches[0]->values = {{"a", "1"}, {"b", "2"}};
   caches[0]->script = [&](const std::vector<std::string>& words, std::size_t) {
@@ -295,7 +297,7 @@
   EXPECT_GE(host->resp_servers().pushes, 1U);
 }
 
-TEST_F(RespLoopback, ALateReplyIsNotTheNextRequestsAndCostsNoConnection) {
+TEST_F(RespLoopback, LateReply_IsIgnoredAndTheConnectionIsKept) {
   add_caches(1);
   caches[0]->values = {{"slow", "late"}, {"k", "right"}};
   caches[0]->script = [&](const std::vector<std::string>& words, std::size_t) {
@@ -306,16 +308,16 @@
   one->ask({"ROUTE", "DEADLINE", "300", "GET", "slow"});
   ASSERT_TRUE(wait_for([&] { return one->replies.size() == 1; }));
   EXPECT_TRUE(one->reply(0).is_error());
-  one->ask({"GET", "k"});  // behind it, on the only connection
+  one->ask({"GET", "k"});  // behind the stalled command, on the only connection
   quiet(50);
   caches[0]->release();
   ASSERT_TRUE(wait_for([&] { return one->replies.size() == 2; }));
   EXPECT_EQ(one->reply(1), Value::blob("right"));
-  EXPECT_EQ(host->resp_servers().passed_over, 1U);
+  EXPECT_EQ(host->resp_servers().ignored_replies, 1U);
   EXPECT_EQ(caches[0]->accepted, 1U);
 }
 
-TEST_F(RespLoopback, ADrainingCacheWithAFullPipelineAnswersWhatItHasAndGetsNothingNew) {
+TEST_F(RespLoopback, DrainingCacheWithAFullPipeline_AnswersAndReceivesNothingNew) {
   add_caches(2);
   for (const auto& one : caches)
     for (int i = 0; i < 60; ++i) one->values["k" + std::to_string(i)] = "v" + std::to_string(i);
@@ -332,8 +334,8 @@
   for (int i = 0; i < 40; ++i) bytes += command({"GET", "k" + std::to_string(i)});
   one->raw(bytes);
   ASSERT_TRUE(wait_for([&] { return caches[0]->unreplied() > 1 && caches[1]->unreplied() > 1; }));
-  tell(2, {{0, "terminating"}});
-  quiet(2'100);  // past the grace
+  send_phases(2, {{0, "terminating"}});
+  quiet(2'100);  // past the grace period of the drain
   const std::uint64_t before = caches[0]->commands + caches[0]->unreplied() - 1;
   stalls = false;
   for (const auto& cache_ : caches) cache_->release();
@@ -344,26 +346,26 @@
   EXPECT_LE(caches[0]->commands, before);
 }
 
-struct Heard final : engine::AttemptObserver {
+struct RecordingObserver final : engine::AttemptObserver {
   void on_attempt_ended(engine::AttemptId attempt, Outcome outcome, engine::Answer) override {
     ended.emplace_back(attempt, outcome);
   }
   std::vector<std::pair<engine::AttemptId, Outcome>> ended;
 };
 
-// The drain counts from first bytes: what waited for its connection past the grace must not go out.
-TEST_F(RespLoopback, AnAttemptThatWaitedPastTheGraceIsNotSent) {
+// A drain forbids to start sending after its grace period, also for an attempt that waited for a connection.
+TEST_F(RespLoopback, AttemptThatWaitsPastTheDrainGrace_IsNotSent) {
   add_caches(1);
   caches[0]->script = [](const std::vector<std::string>&, std::size_t nth) {
     return nth == 1 ? Fault{Fault::Kind::stall} : Fault{};
   };
-  Heard heard;
+  RecordingObserver observer;
   net::UpstreamResources resources;
   resources.connections.set_limit(8);
   resp::ServerSettings one_at_a_time;
   one_at_a_time.connections = one_at_a_time.pipeline = 1;
   resp::ServerCounts counts;
-  resp::RespTransport transport(io, clock, resources, heard, one_at_a_time, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, observer, one_at_a_time, counts, "c-0", false);
   transport.set_address(caches[0]->address());
   const auto message = std::make_shared<engine::Message>();
   message->key = "k";
@@ -373,62 +375,62 @@
   transport.invalidate("k");
   transport.fill_cache("k", "v");
   caches[0]->release();
-  ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 2; }));
-  // What waits is free at once, before the one ahead of it is answered.
-  EXPECT_EQ(heard.ended[0].second, Outcome::not_sent);
-  EXPECT_EQ(heard.ended[1].second, Outcome::served);
+  ASSERT_TRUE(wait_for([&] { return observer.ended.size() == 2; }));
+  // The waiting attempt ends at once, before the attempt ahead of it is answered.
+  EXPECT_EQ(observer.ended[0].second, Outcome::not_sent);
+  EXPECT_EQ(observer.ended[1].second, Outcome::served);
   quiet(50);
   EXPECT_EQ(caches[0]->commands, 1U);
 }
 
-TEST_F(RespLoopback, WithNoDescriptorOrNoPlaceToWaitAnAttemptNeverRan) {
+TEST_F(RespLoopback, NoDescriptorOrFullQueue_AttemptFailsWithoutRunning) {
   add_caches(1);
-  Heard heard;
-  net::UpstreamResources resources;  // none for servers
+  RecordingObserver observer;
+  net::UpstreamResources resources;  // without a descriptor for servers
   resp::ServerSettings servers;
   servers.waiting = 1;
   resp::ServerCounts counts;
-  resp::RespTransport transport(io, clock, resources, heard, servers, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, observer, servers, counts, "c-0", false);
   transport.set_address(caches[0]->address());
   const auto message = std::make_shared<engine::Message>();
   transport.send({1, 0}, message, clock.now() + 8'000'000, kNever);
-  EXPECT_TRUE(heard.ended.empty());  // never from within send()
-  ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 1; }));
-  EXPECT_EQ(heard.ended[0].second, Outcome::connect_failed);
+  EXPECT_TRUE(observer.ended.empty());  // never from within send()
+  ASSERT_TRUE(wait_for([&] { return observer.ended.size() == 1; }));
+  EXPECT_EQ(observer.ended[0].second, Outcome::connect_failed);
   resources.connections.set_limit(1);
   transport.send({2, 0}, message, clock.now() + 8'000'000, kNever);
   transport.send({2, 1}, message, clock.now() + 8'000'000,
-                 kNever);  // one waits for the dial: there is no second place
-  ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 3; }));
-  EXPECT_EQ(heard.ended[1].second, Outcome::connect_failed);
-  EXPECT_EQ(heard.ended[1].first.number, 1U);
-  EXPECT_EQ(heard.ended[2].second, Outcome::served);
+                 kNever);  // the queue is full, as one attempt waits for the dial
+  ASSERT_TRUE(wait_for([&] { return observer.ended.size() == 3; }));
+  EXPECT_EQ(observer.ended[1].second, Outcome::connect_failed);
+  EXPECT_EQ(observer.ended[1].first.number, 1U);
+  EXPECT_EQ(observer.ended[2].second, Outcome::served);
 }
 
-// A dial that was under way leads to where the server no longer is.
-TEST_F(RespLoopback, AnAddressThatChangesDuringTheGreetingIsHeeded) {
+// A dial that is in progress at the change leads to the old address and must be replaced.
+TEST_F(RespLoopback, AddressChangeDuringTheGreeting_AttemptGoesToTheNewAddress) {
   RespCache before(io, {.work = std::chrono::microseconds(0)});
   add_caches(1);
   caches[0]->values["k"] = "here";
   before.values["k"] = "gone";
-  Heard heard;
+  RecordingObserver observer;
   net::UpstreamResources resources;
   resources.connections.set_limit(8);
   resp::ServerSettings servers;
   resp::ServerCounts counts;
-  resp::RespTransport transport(io, clock, resources, heard, servers, counts, "c-0", false);
+  resp::RespTransport transport(io, clock, resources, observer, servers, counts, "c-0", false);
   transport.set_address(before.address());
   const auto message = std::make_shared<engine::Message>();
   message->key = "k";
   transport.send({1, 0}, message, clock.now() + 8'000'000, kNever);
   transport.set_address(caches[0]->address());
-  ASSERT_TRUE(wait_for([&] { return heard.ended.size() == 1; }));
-  EXPECT_EQ(heard.ended[0].second, Outcome::served);
+  ASSERT_TRUE(wait_for([&] { return observer.ended.size() == 1; }));
+  EXPECT_EQ(observer.ended[0].second, Outcome::served);
   EXPECT_EQ(before.commands, 0U);
   EXPECT_EQ(caches[0]->commands, 1U);
 }
 
-TEST_F(RespLoopback, WithNoDescriptorLeftTheFrontWaitsAndGoesOn) {
+TEST_F(RespLoopback, NoFreeDescriptor_FrontWaitsAndThenServes) {
   add_caches(1);
   caches[0]->values["k"] = "v";
   start_resp();
@@ -436,7 +438,7 @@
   first->ask({"GET", "k"});
   ASSERT_TRUE(wait_for([&] { return first->replies.size() == 1; }));
   net::tcp::socket late(io);
-  late.connect(host->resp()->address());  // in the listener's queue: the loop has not run since
+  late.connect(host->resp()->address());  // in the queue of the listener, as the event loop has not run since
   rlimit usual{};
   getrlimit(RLIMIT_NOFILE, &usual);
   const int next = dup(0);
@@ -452,14 +454,14 @@
     handlers += io.run_one_for(std::chrono::milliseconds(10));
   }
   setrlimit(RLIMIT_NOFILE, &usual);
-  EXPECT_LT(handlers, 200U);  // it did not spin
+  EXPECT_LT(handlers, 200U);  // the event loop did not spin
   const auto again = std::make_shared<Peer>(std::move(late));
   again->read([](Peer&) {});
   again->write(command({"GET", "k"}));
   EXPECT_TRUE(wait_for([&] { return again->got == "$1\r\nv\r\n"; }));
 }
 
-TEST_F(RespLoopback, ADrainNoticeOnAConnectionIsHeeded) {
+TEST_F(RespLoopback, DrainingPush_ConnectionIsReplaced) {
   add_caches(1);
   caches[0]->values = {{"k", "v"}};
   start_resp("write_class = \"pay\"\n", "connections = 1\n");
@@ -473,7 +475,7 @@
   EXPECT_EQ(caches[0]->accepted, 2U);
 }
 
-TEST_F(RespLoopback, WhatASpoiltReplyLeavesIsNeverAnothersAnswer) {
+TEST_F(RespLoopback, BytesAfterAMalformedReply_AreNeverAnotherReply) {
   for (const Fault::Kind kind :
        {Fault::Kind::noise, Fault::Kind::extra_reply, Fault::Kind::endless_length, Fault::Kind::wrong_type,
         Fault::Kind::half_close, Fault::Kind::close_unseen}) {
@@ -487,7 +489,7 @@
       };
     }
     store.values = caches[0]->values;
-    // A reply too many shifts all that are owed behind it, and nothing in RESP tells: one at a time, then.
+    // An extra reply shifts all later replies, which RESP can't detect, so this fault needs a pipeline of 1.
     const std::string pipeline = kind == Fault::Kind::extra_reply ? "pipeline = 1\n" : "pipeline = 4\n";
     start_resp("write_class = \"pay\"\n", "connections = 2\nstore_queue = 0\n" + pipeline);
     const auto one = resp_client();
@@ -509,21 +511,21 @@
 
 // ---- Clients
 
-TEST_F(RespLoopback, AClientThatPipelinesTenThousandAndReadsNothingStopsNobody) {
+TEST_F(RespLoopback, ClientThatPipelines10000AndReadsNothing_DoesNotDelayOthers) {
   add_caches(1);
   caches[0]->values["k"] = std::string(8'000, 'x');
   start_resp();
-  net::tcp::socket deaf(io);
-  deaf.open(net::tcp::v4());
-  deaf.set_option(asio::socket_base::receive_buffer_size(4096));
-  deaf.connect(host->resp()->address());
+  net::tcp::socket silent_client(io);
+  silent_client.open(net::tcp::v4());
+  silent_client.set_option(asio::socket_base::receive_buffer_size(4096));
+  silent_client.connect(host->resp()->address());
   auto bytes = std::make_shared<std::string>();
   for (int i = 0; i < 10'000; ++i) *bytes += command({"GET", "k"});
-  asio::async_write(deaf, asio::buffer(*bytes), [bytes](net::error_code, std::size_t) {});
+  asio::async_write(silent_client, asio::buffer(*bytes), [bytes](net::error_code, std::size_t) {});
   ASSERT_TRUE(wait_for([&] { return caches[0]->commands >= 64; }));
   quiet(300);
   const std::uint64_t taken = host->counts().requests;
-  EXPECT_LT(taken, 2'000U);  // what fits into sockets and a pipeline, and no more
+  EXPECT_LT(taken, 2'000U);  // no more than the sockets and a pipeline hold
   const auto other = resp_client();
   other->ask({"GET", "k"});
   ASSERT_TRUE(wait_for([&] { return other->replies.size() == 1; }));
@@ -532,7 +534,7 @@
   EXPECT_LT(host->counts().requests, taken + 100);
 }
 
-TEST_F(RespLoopback, AllOfTenThousandArePipelinedAndAnsweredInOrderToOneWhoReads) {
+TEST_F(RespLoopback, TenThousandPipelinedCommands_AreAnsweredInOrder) {
   add_caches(2);
   for (const auto& one : caches)
     for (int i = 0; i < 100; ++i) one->values["k" + std::to_string(i)] = "v" + std::to_string(i);
@@ -548,7 +550,7 @@
   EXPECT_EQ(wrong, 0U);
 }
 
-TEST_F(RespLoopback, AClientThatClosesWithAHundredInFlightIsWithdrawnAndNothingMoreIsSent) {
+TEST_F(RespLoopback, ClientClosesWith100RequestsInFlight_TheyAreCancelled) {
   add_caches(2);
   for (const auto& one : caches)
     one->script = [](const std::vector<std::string>&, std::size_t) { return Fault{Fault::Kind::stall}; };
@@ -571,7 +573,7 @@
   EXPECT_EQ(host->resp()->open_connections(), 0U);
 }
 
-TEST_F(RespLoopback, BadInputGetsAnErrorAndTheCloseAndNobodyElseNotices) {
+TEST_F(RespLoopback, InvalidInput_GetsAnErrorAndACloseAndOthersAreServed) {
   add_caches(1);
   caches[0]->values["k"] = "v";
   start_resp();
@@ -598,7 +600,7 @@
   }
 }
 
-TEST_F(RespLoopback, APostFromABrowserIsCutOffBeforeItsBodyRuns) {
+TEST_F(RespLoopback, HttpPost_IsClosedBeforeItsBodyRuns) {
   add_caches(1);
   start_resp();
   const auto page = resp_client();
@@ -613,7 +615,7 @@
   EXPECT_EQ(host->counts().requests, 1U);
 }
 
-TEST_F(RespLoopback, MoreClientsThanPlacesAreToldSoOrTakeAnIdleOnesPlace) {
+TEST_F(RespLoopback, ClientOverTheLimit_IsRejectedOrReplacesAnIdleOne) {
   add_caches(1);
   caches[0]->values["k"] = "v";
   caches[0]->script = [](const std::vector<std::string>& words, std::size_t) {
@@ -630,7 +632,7 @@
   ASSERT_TRUE(wait_for([&] { return third->peer->ended; }));
   ASSERT_EQ(third->replies.size(), 1U);
   EXPECT_EQ(third->reply(0).text, "ERR max number of clients reached");
-  quiet(1'100);  // now the idle one may go
+  quiet(1'100);  // now the idle connection may be closed
   const auto fourth = resp_client();
   fourth->ask({"GET", "k"});
   ASSERT_TRUE(wait_for([&] { return fourth->replies.size() == 1; }));
@@ -639,7 +641,7 @@
   EXPECT_FALSE(busy->peer->ended);
 }
 
-TEST_F(RespLoopback, ManyRequestsOfAllClientsTogetherAreHeldWithinABoundAndAllAnswered) {
+TEST_F(RespLoopback, RequestsOverTheLimitOfAllClients_AreDelayedAndAnswered) {
   add_caches(1);
   for (int i = 0; i < 50; ++i) caches[0]->values["k" + std::to_string(i)] = "v";
   start_resp("write_class = \"pay\"\nmost_requests = 8\n", "store_queue = 0\n");
@@ -656,7 +658,7 @@
   EXPECT_EQ(host->counts().served, 500U);
 }
 
-TEST_F(RespLoopback, AnIdThatIsOpenIsToldSo) {
+TEST_F(RespLoopback, IdOfAnOpenRequest_IsRejectedAsDuplicate) {
   add_caches(1);
   caches[0]->script = [](const std::vector<std::string>&, std::size_t) { return Fault{Fault::Kind::stall}; };
   start_resp("write_class = \"pay\"\n", "store_queue = 0\n");
@@ -668,7 +670,7 @@
   EXPECT_EQ(two->reply(0).text.rfind("DUPLICATE", 0), 0U);
 }
 
-TEST_F(RespLoopback, ToldToStopItAnswersWhatWasPipelinedAndEnds) {
+TEST_F(RespLoopback, Shutdown_AnswersPipelinedCommands) {
   add_caches(1);
   caches[0]->values = {{"slow", "s"}, {"k", "v"}};
   caches[0]->script = [](const std::vector<std::string>& words, std::size_t) {
@@ -690,10 +692,10 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-// What the kernel held when accepting ended was taken, though nobody had read it yet.
-TEST_F(RespLoopback, ToldToStopItAnswersWhatWasNotReadYetToo) {
+// The router must answer commands that are unread in the kernel when the listener closes.
+TEST_F(RespLoopback, Shutdown_AnswersUnreadCommands) {
   add_caches(1);
-  // More than one read takes.
+  // More bytes than one read returns.
   const auto key = [](int i) { return "k" + std::to_string(i) + std::string(100, 'x'); };
   for (int i = 0; i < 800; ++i) caches[0]->values[key(i)] = "v" + std::to_string(i);
   caches[0]->script = [&](const std::vector<std::string>& words, std::size_t) {
@@ -715,7 +717,7 @@
   EXPECT_TRUE(wait_for([&] { return done; }));
 }
 
-TEST_F(RespLoopback, GivenUpIsAnsweredAtOnceAndSaysWhenToComeBack) {
+TEST_F(RespLoopback, NoReachableServer_IsRejectedAtOnceWithARetryTime) {
   add_caches(1);
   caches[0]->stop_listening();
   store.stop_listening();
@@ -726,7 +728,7 @@
   EXPECT_EQ(one->reply(0).text.rfind("TRYAGAIN refused, nothing ran; come back in ", 0), 0U);
 }
 
-TEST_F(RespLoopback, ClientsSentAwayGoAndAreTakenAgain) {
+TEST_F(RespLoopback, DrainOfClients_ClosesConnectionsAndEndsWithJoin) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start_http();
   const auto idle = resp_client();
--- a/tests/resp/options_test.cpp
+++ b/tests/resp/options_test.cpp
@@ -1,4 +1,4 @@
-// The options file and the command line.
+// Tests of the options file and the command line.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -17,7 +17,7 @@
   return options_error(toml, config);
 }
 
-TEST(RespOptions, AMistakeIsToldInOneLineWithFileLineAndKey) {
+TEST(RespOptions, InvalidOption_IsReportedInOneLineWithFileLineAndKey) {
   const std::string front = "[resp.front]\nlisten = \"127.0.0.1:1\"\nwrite_class = \"pay\"\n";
   EXPECT_EQ(error_of(front), "");
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -72,7 +72,7 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(RespOptions, TheCommandLineChecksAndTells) {
+TEST(RespOptions, CommandLine_ChecksAndDescribesOptions) {
   const std::string router = "env -u NODE_CONFIG " STREAMPICK_ROUTER " ";
   std::string out;
   EXPECT_EQ(run(router + "--version", out), 0);
@@ -95,7 +95,7 @@
       << out;
   EXPECT_EQ(run(router + "--check --options " STREAMPICK_SOURCE "/deploy/examples/shares.toml", out), 0)
       << out;
-  EXPECT_NE(out.find("shares: 0 limits"), std::string::npos) << out;  // they come with the configuration
+  EXPECT_NE(out.find("shares: 0 limits"), std::string::npos) << out;  // limits come with the configuration
 #endif
   EXPECT_EQ(run(router + "--check", out), 0);
   EXPECT_NE(out.find("resp.front: off"), std::string::npos);
--- a/tests/resp/pipeline_test.cpp
+++ b/tests/resp/pipeline_test.cpp
@@ -1,4 +1,5 @@
-// A server's side without sockets: which reply is whose, and what ran when the connection ends.
+// Tests of a server's pipeline without sockets: matching of replies to attempts, and which attempts may have
+// run when the connection ends.
 #include "resp/pipeline.h"
 
 #include <gtest/gtest.h>
@@ -33,10 +34,10 @@
     pipe.send({id, 0}, *message, 1'000'000);
     return pipe.output().size() - before;
   }
-  // The outcomes since the last call, as "id outcome body".
+  // The results since the last call, as "id outcome body".
   std::vector<std::string> ended() {
     std::vector<std::string> out;
-    for (const Ended& end : pipe.take_ended())
+    for (const AttemptResult& end : pipe.take_ended())
       out.push_back(std::to_string(end.attempt.request) + " " + name(end.outcome) +
                     (end.answer.body.empty() ? "" : " " + end.answer.body));
     return out;
@@ -45,12 +46,12 @@
     switch (outcome) {
       case Outcome::served: return "served";
       case Outcome::miss: return "miss";
-      case Outcome::overloaded: return "full";
+      case Outcome::overloaded: return "overloaded";
       case Outcome::reset: return "reset";
       case Outcome::connect_failed: return "connect_failed";
       case Outcome::not_sent: return "not_sent";
-      case Outcome::malformed: return "spoilt";
-      case Outcome::invalid_request: return "rejected";
+      case Outcome::malformed: return "malformed";
+      case Outcome::invalid_request: return "invalid_request";
       case Outcome::error: return "error";
       default: return "other";
     }
@@ -60,7 +61,7 @@
   Pipeline pipe{rules, true};
 };
 
-TEST_F(PipelineTest, RepliesAreMatchedByTheirOrder) {
+TEST_F(PipelineTest, Replies_AreMatchedByOrder) {
   read(1);
   read(2);
   save(3);
@@ -72,19 +73,20 @@
   EXPECT_EQ(pipe.in_flight(), 0U);
 }
 
-TEST_F(PipelineTest, ACloseMidwayLeavesTheAnsweredOnesAndTellsWhatMayHaveRun) {
+TEST_F(PipelineTest, CloseBetweenReplies_ReportsWhichAttemptsMayHaveRun) {
   read(1);
   save(2);
   const std::size_t third = save(3);
   save(4);
-  write(pipe.output().size() - third - 1);  // all but the last byte of the third, and the fourth
+  write(pipe.output().size() - third -
+        1);  // without the last byte of the third command and the fourth command
   pipe.put("$1\r\na\r\n");
   pipe.end();
   EXPECT_EQ(ended(), (Lines{"1 served a", "2 reset", "3 connect_failed", "4 connect_failed"}));
   EXPECT_TRUE(pipe.finished());
 }
 
-TEST_F(PipelineTest, TheLastByteMakesTheDifference) {
+TEST_F(PipelineTest, CloseBeforeTheLastByte_ReportsThatNothingRan) {
   const std::size_t length = save(1);
   write(length - 1);
   pipe.end();
@@ -96,26 +98,26 @@
   EXPECT_EQ(ended(), Lines{"1 reset"});
 }
 
-TEST_F(PipelineTest, ALateReplyOfAForgottenReadIsPassedOverAndTheNextIsMatchedRight) {
+TEST_F(PipelineTest, LateReplyToACancelledRead_IsIgnored) {
   read(1);
   read(2);
   write();
-  pipe.forget({1, 0});
+  pipe.cancel({1, 0});
   read(3);
   write();
-  EXPECT_EQ(pipe.waited_for(), 2U);
+  EXPECT_EQ(pipe.awaited_replies(), 2U);
   pipe.put("$4\r\nlate\r\n$3\r\ntwo\r\n$5\r\nthree\r\n");
   EXPECT_EQ(ended(), (Lines{"2 served two", "3 served three"}));
-  EXPECT_EQ(pipe.take_passed_over(), 1U);
+  EXPECT_EQ(pipe.take_ignored_replies(), 1U);
   EXPECT_TRUE(pipe.usable());
 }
 
-TEST_F(PipelineTest, WhatIsForgottenBeforeItsFirstByteIsNeverWritten) {
+TEST_F(PipelineTest, CancelBeforeTheFirstByte_CommandIsNotWritten) {
   const std::size_t first = read(1, "first");
   read(2, "second");
   read(3, "third");
   write(first);
-  EXPECT_FALSE(pipe.cancel_unsent({1, 0}));  // its bytes are out: all stays
+  EXPECT_FALSE(pipe.cancel_unsent({1, 0}));  // its bytes are written, so nothing changes
   EXPECT_TRUE(pipe.cancel_unsent({2, 0}));
   EXPECT_FALSE(pipe.cancel_unsent({2, 0}));
   EXPECT_EQ(pipe.output().find("second"), std::string_view::npos);
@@ -125,22 +127,22 @@
   EXPECT_EQ(ended(), (Lines{"1 served a", "3 served c"}));
 }
 
-TEST_F(PipelineTest, WhatIsForgottenHalfWrittenTakesNothingElseWithIt) {
+TEST_F(PipelineTest, CancelOfAPartlyWrittenCommand_KeepsEarlierCommands) {
   const std::size_t first = read(1), second = save(2);
   save(3);
   write(first + second / 2);
   EXPECT_FALSE(pipe.cancel_unsent({2, 0}));
-  pipe.forget({2, 0});
-  EXPECT_TRUE(pipe.output().empty());  // its request is over: no further byte of it
+  pipe.cancel({2, 0});
+  EXPECT_TRUE(pipe.output().empty());  // no further byte of a cancelled command is written
   EXPECT_EQ(ended(), Lines{"3 connect_failed"});
   EXPECT_FALSE(pipe.usable());
-  EXPECT_FALSE(pipe.finished());  // the first may still be answered
+  EXPECT_FALSE(pipe.finished());  // the first attempt may still be answered
   pipe.put("$1\r\na\r\n");
   EXPECT_EQ(ended(), Lines{"1 served a"});
   EXPECT_TRUE(pipe.finished());
 }
 
-TEST_F(PipelineTest, ADrainTakesBackWhatHasNoByteWritten) {
+TEST_F(PipelineTest, Drain_DropsCommandsWithoutAWrittenByte) {
   const std::size_t first = read(1), second = read(2);
   read(3);
   write(first + second / 2);
@@ -151,7 +153,7 @@
   EXPECT_EQ(ended(), (Lines{"1 served a", "2 served b"}));
 }
 
-TEST_F(PipelineTest, PushesAreTakenOutWhereverTheyStand) {
+TEST_F(PipelineTest, PushesAtAnyPosition_AreSeparatedFromReplies) {
   const std::string push = ">2\r\n+invalidate\r\n*1\r\n$1\r\nk\r\n";
   read(1);
   read(2);
@@ -162,39 +164,39 @@
   EXPECT_TRUE(pipe.usable());
 }
 
-TEST_F(PipelineTest, AReplyThatNothingAskedForEndsTheConnection) {
+TEST_F(PipelineTest, ReplyWithoutACommand_EndsTheConnection) {
   pipe.put("+OK\r\n");
   EXPECT_EQ(pipe.state(), Pipeline::State::broken);
-  EXPECT_EQ(pipe.why(), "a reply without a request");
+  EXPECT_EQ(pipe.error(), "a reply without a request");
 }
 
-TEST_F(PipelineTest, AReplyToWhatIsNotOutYetIsNoReplyToIt) {
+TEST_F(PipelineTest, ReplyBeforeACommandIsWritten_EndsTheConnection) {
   const std::size_t length = save(1);
   write(length - 1);
   pipe.put("+OK\r\n");
-  EXPECT_EQ(ended(), Lines{"1 connect_failed"});  // its last byte never left
+  EXPECT_EQ(ended(), Lines{"1 connect_failed"});  // its last byte was not written
   EXPECT_EQ(pipe.state(), Pipeline::State::broken);
 }
 
-TEST_F(PipelineTest, WhatCantBeReadSpoilsOneAndTheRestMayHaveRun) {
+TEST_F(PipelineTest, UnreadableReply_IsMalformedAndLaterAttemptsMayHaveRun) {
   save(1);
   save(2);
   write();
   pipe.put("$536870912\r\n");
-  EXPECT_EQ(ended(), (Lines{"1 spoilt", "2 reset"}));
+  EXPECT_EQ(ended(), (Lines{"1 malformed", "2 reset"}));
 }
 
-TEST_F(PipelineTest, AReplyOfTheWrongTypeIsSpoiltAndItsOrderStands) {
+TEST_F(PipelineTest, ReplyOfTheWrongType_IsMalformedAndTheOrderIsKept) {
   read(1);
   save(2);
   read(3);
   write();
   pipe.put("%0\r\n$3\r\nold\r\n$1\r\nc\r\n");
-  EXPECT_EQ(ended(), (Lines{"1 spoilt", "2 spoilt", "3 served c"}));
+  EXPECT_EQ(ended(), (Lines{"1 malformed", "2 malformed", "3 served c"}));
   EXPECT_TRUE(pipe.usable());
 }
 
-TEST_F(PipelineTest, ErrorsSayWhatHasRun) {
+TEST_F(PipelineTest, ErrorReplies_AreClassifiedByTheirFirstWord) {
   const std::vector<std::pair<const char*, Outcome>> table = {
       {"LOADING x", Outcome::overloaded},
       {"BUSY x", Outcome::overloaded},
@@ -214,7 +216,7 @@
   for (const auto& [text, outcome] : table) EXPECT_EQ(outcome_of_error(text), outcome) << text;
 }
 
-TEST_F(PipelineTest, AServerFromBeforeResp3IsSpokenToAsSuch) {
+TEST_F(PipelineTest, ServerWithoutResp3_IsUsedWithResp2) {
   pipe = Pipeline(rules, true);
   write();
   pipe.put("-ERR unknown command 'HELLO'\r\n");
@@ -226,7 +228,7 @@
   EXPECT_EQ(ended(), Lines{"1 miss"});
 }
 
-TEST_F(PipelineTest, APasswordIsToldInEitherGreeting) {
+TEST_F(PipelineTest, Password_IsSentInBothGreetings) {
   rules.password = "p";
   Pipeline old(rules, true);
   EXPECT_EQ(old.output(), "*5\r\n$5\r\nHELLO\r\n$1\r\n3\r\n$4\r\nAUTH\r\n$7\r\ndefault\r\n$1\r\np\r\n");
@@ -243,7 +245,7 @@
   EXPECT_EQ(refused.state(), Pipeline::State::broken);
 }
 
-TEST_F(PipelineTest, IdsKeysAndDeadlinesAreToldToServersThatReadThem) {
+TEST_F(PipelineTest, ServerThatSupportsRoute_ReceivesIdsKeysAndDeadlines) {
   rules.send_ids = true;
   auto message = std::make_shared<engine::Message>();
   message->operation = Operation::write;
@@ -257,7 +259,7 @@
             "$3\r\nKEY\r\n$1\r\ni\r\n$3\r\nSET\r\n$1\r\nk\r\n$1\r\nv\r\n");
 }
 
-TEST_F(PipelineTest, NullIsAMissOnlyWhereCopiesAreHeld) {
+TEST_F(PipelineTest, NullReply_IsAMissOnlyFromACache) {
   Pipeline source(rules, false);
   source.written(source.output().size());
   source.put("%0\r\n");
--- a/tests/resp/print.h
+++ b/tests/resp/print.h
@@ -1,4 +1,4 @@
-// Values in a failed test's text, as they stand on the wire.
+// Prints values in the messages of failed tests, in their encoded form.
 #pragma once
 
 #include <ostream>
--- a/tests/resp/resp_loopback.h
+++ b/tests/resp/resp_loopback.h
@@ -1,4 +1,5 @@
-// The router with its RESP sides between stand-in caches and test clients, on loopback sockets.
+// A fixture that runs a router with its RESP front and RESP servers between stand-in caches and test clients,
+// on loopback sockets.
 #pragma once
 
 #include <algorithm>
@@ -77,12 +78,12 @@
     platform::resolve(options, settings);
     host = std::make_unique<daemon::Host>(io, clock, settings, options);
   }
-  // HTTP caches and origin behind a RESP front.
+  // Starts a router with a RESP front, an HTTP cache and an HTTP origin.
   void start_http(const std::string& more = "write_class = \"save\"\n") {
     start_with(kFront + more,
                list_json(1, true, {{"s-cache", cache.address()}, {"s-origin", origin.address(), "origin"}}));
   }
-  // RESP caches and a RESP origin.
+  // Starts a router with a RESP front, RESP caches and a RESP origin.
   void start_resp(const std::string& front = "write_class = \"pay\"\n", const std::string& servers = "") {
     std::vector<MemberText> members;
     for (std::size_t i = 0; i < caches.size(); ++i)
@@ -96,18 +97,18 @@
   std::unique_ptr<RespClient> resp_client() {
     return std::make_unique<RespClient>(io, host->resp()->address());
   }
-  // A list of the same members, some of them draining.
-  void tell(std::uint64_t revision, const std::vector<std::pair<std::size_t, std::string>>& phases) {
+  // Sends a list of members with the given phases on the watch of discovery.
+  void send_phases(std::uint64_t revision, const std::vector<std::pair<std::size_t, std::string>>& phases) {
     std::vector<MemberText> members;
     for (const auto& [i, phase] : phases)
       members.push_back({"c-" + std::to_string(i), caches.at(i)->address(), "box", phase});
     const std::string line = list_json(revision, false, members).dump() + "\n";
     chunk(line);
   }
-  // The empty line that a watch is owed every two seconds.
-  void keep_watch() {
-    if (clock.now() - kept_ < 500'000) return;
-    kept_ = clock.now();
+  // Sends the empty line that keeps a watch alive; it is due every 2 s.
+  void send_keepalive() {
+    if (clock.now() - last_keepalive_ < 500'000) return;
+    last_keepalive_ = clock.now();
     chunk("\n");
   }
   std::uint64_t commands() const {
@@ -124,7 +125,7 @@
   RespCache store{io};
 
  private:
-  Time kept_ = 0;
+  Time last_keepalive_ = 0;
 };
 
 }  // namespace streampick::test
