--- a/src/http1/client_limits.h
+++ b/src/http1/client_limits.h
@@ -11,7 +11,8 @@
 inline constexpr Time kMillisecond = 1'000;
 inline constexpr Time kSecond = 1'000 * kMillisecond;
 
-// ---- Receiving a request. The protocol requires an error or a close within 3 s of the client's last byte.
+// ---- Receiving a request. The protocol requires that a client which stops sending gets an error or a
+// close within 3 s of its last byte.
 
 /// From accept to the end of the first request's head; for a later request, from its first byte.
 inline constexpr Time kRequestHeadTimeout = 2'300 * kMillisecond;
@@ -36,7 +37,8 @@
 /// From accept until a connection without a request is closed while the router drains.
 inline constexpr Time kDrainGrace = 500 * kMillisecond;
 
-/// The longest X-Remaining. A longer one is an error, not a patient client.
+/// The longest accepted X-Remaining, in microseconds: a day. A longer one is rejected as an error of the
+/// client.
 inline constexpr Time kMaxRemaining = 86'400 * kSecond;
 
 // ---- Sizes in bytes.
@@ -44,12 +46,13 @@
 /// A request's body is buffered up to this size while there is memory for it, and streamed beyond.
 inline constexpr std::size_t kMaxBufferedBody = kMebibyte;
 inline constexpr std::size_t kMaxUploadBody = 32 * kMebibyte;
-/// Read from a connection at once.
+/// Size of the buffer for one read from a client connection.
 inline constexpr std::size_t kClientReadChunk = 4 * kKibibyte;
-/// Pipelined bytes kept while a request is processed: without a reservation, and with one.
-inline constexpr std::size_t kMaxReadAhead = kLongestHeader;
-inline constexpr std::size_t kMaxReservedReadAhead = kLongestHeader + kLongestBody;
-/// Bytes read and discarded, before the connection is no longer read or is closed.
+/// Maximum of pipelined bytes that are kept while a request is processed: without a memory reservation, and
+/// with one.
+inline constexpr std::size_t kMaxReadAhead = kMaxHeadSize;
+inline constexpr std::size_t kMaxReservedReadAhead = kMaxHeadSize + kMaxUnstreamedBody;
+/// A connection is no longer read, or is closed, once this many of its bytes were read and discarded.
 inline constexpr std::size_t kMaxDiscarded = kMebibyte;
 
 }  // namespace streampick::http1
--- a/src/http1/client_session.cpp
+++ b/src/http1/client_session.cpp
@@ -1,4 +1,4 @@
-// The life of a connection: reading, time limits and the close.
+// Reading, time limits and closing of a client connection.
 #include "http1/client_session.h"
 
 #include <poll.h>
@@ -13,10 +13,10 @@
   net::error_code ignored;
   socket_.set_option(net::tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  expect_message();
+  prepare_for_message();
 }
 
-// The first request has arrived already in most cases.
+// Tries to read at once, since in most cases the first request has arrived already.
 void ClientSession::start(SessionLists::Position position) {
   position_ = position;
   net::error_code error;
@@ -41,12 +41,13 @@
     return;
   }
   if (state_ == State::uploading) {
-    closes_after_response_ = true;  // the rest of the body is still to come
+    closes_after_response_ = true;  // the rest of the body has not arrived
   }
   send(to_outgoing(std::move(response)));
 }
 
-// A read that the loop did not delay has seen any earlier disconnect.
+// A read that the event loop did not delay has already reported any earlier disconnect, so no system call is
+// needed.
 bool ClientSession::client_gone() {
   if (is_closed()) {
     return true;
@@ -74,7 +75,7 @@
   return has_disconnected();
 }
 
-// A FIN or RST has arrived, whatever bytes before it are unread.
+// Whether a FIN or RST has arrived. It is found even behind bytes that are unread.
 bool ClientSession::has_disconnected() {
   pollfd poll_entry{socket_.native_handle(), POLLRDHUP, 0};
   if (::poll(&poll_entry, 1, 0) <= 0) {
@@ -152,7 +153,7 @@
   since_ = server_->clock.now();
 }
 
-// The message's time limit runs on from its first byte.
+// Keeps since_: the time limit of a message counts from its first byte, across the states it passes.
 void ClientSession::enter_within_message(State state) {
   const Time message_began = since_;
   enter(state);
@@ -170,7 +171,8 @@
   }
 }
 
-// The loop's own read is registered once and costs no system call but the read itself.
+// An asynchronous read costs no system call but the read itself: the socket is registered with the event loop
+// only once.
 void ClientSession::wait_for_bytes() {
   if (is_closed() || is_reading_ || !may_read()) {
     return;
@@ -216,7 +218,7 @@
   }
 }
 
-// A body of any size may still be arriving.
+// A rejected upload may still be arriving: it may have up to the maximum size of a body.
 void ClientSession::discard_lingering(std::size_t count) {
   lingering_discarded_ += count;
   if (lingering_discarded_ > (body_abandoned_ ? kMaxUploadBody : kMaxDiscarded)) {
@@ -224,18 +226,18 @@
   }
 }
 
-// A client that sends without end is read on, so that its disconnect is noticed. What overflows is discarded,
-// and the connection ends behind the last request that was kept.
+// The socket of a client that keeps sending is still read, so that its disconnect is noticed. Bytes that
+// overflow the buffer are discarded, and the connection ends after the last request that was kept.
 void ClientSession::keep_pipelined(std::string_view bytes) {
   if (body_abandoned_) {
     return;
   }
   if (read_ahead_.append_pipelined(bytes, server_->body_memory)) {
-    has_bytes_behind_ = true;
+    has_pipelined_bytes_ = true;
   }
 }
 
-// A message is parsed where it was read; only what is left of it is copied.
+// Parses a message in the read buffer; only bytes that were not parsed are copied.
 void ClientSession::parse_received(std::string_view bytes) {
   if (!read_ahead_.empty()) {
     read_ahead_.append(bytes);
@@ -260,22 +262,24 @@
 
 // ---- Closing
 
-// By a reset: the client must see that the body is incomplete, also where the connection's end marks its end.
+// Closes by a reset: the client must see that the body is incomplete, also where the end of the connection
+// marks the end of the body.
 void ClientSession::close_truncated() {
   net::error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close_soon();
 }
 
-// Not from within the engine's call, to which a cancelled request would be reported.
+// Posted, since close() may report a cancelled request to the engine, which must not happen within a call
+// from the engine.
 void ClientSession::close_soon() {
   asio::post(socket_.get_executor(), [self = shared_from_this()] { self->close(); });
 }
 
-// The one way in which the router ends a connection that could still be used. To close with unread bytes
-// would reset it, and the client could lose the last response: sending ends, and what still arrives is
-// discarded, within bounds, until the client closes too. None of it is parsed: the client sends it again
-// elsewhere.
+// Ends a connection that could still be used; no other function does. Closing a socket with unread bytes
+// makes the kernel send a reset, which could discard the last response. Therefore only the sending side is
+// shut down, and bytes that still arrive are discarded, up to a limit, until the client closes too. A request
+// among them is not parsed: its client sends it again on another connection.
 void ClientSession::leave() {
   enter(State::lingering);
   read_ahead_.clear();
--- a/src/http1/client_session.h
+++ b/src/http1/client_session.h
@@ -1,8 +1,8 @@
 /// \file
 /// One client connection: receives requests, hands them to the engine, and writes the responses in order.
 ///
-/// The socket is read in nearly every state, so that a disconnect is noticed while a request is in progress;
-/// what was pipelined waits in a ReadAheadBuffer. The states are listed in session_state.h.
+/// The socket is read in nearly every state, so that a disconnect is noticed while a request is in progress.
+/// Pipelined bytes wait in a ReadAheadBuffer. The states are listed in session_state.h.
 #pragma once
 
 #include <array>
@@ -27,7 +27,7 @@
 
   ClientSession(ServerContext& server, net::tcp::socket socket);
 
-  /// `position`: of this session, in the list of State::accepted.
+  /// Starts to read. `position` is this session's place in the list of State::accepted.
   void start(SessionLists::Position position);
 
   // ---- engine::ResponseSink
@@ -36,23 +36,23 @@
 
   // ---- For the server
 
-  /// When the present state was entered, or the message began whose parts the states are.
+  /// When the present state was entered; in the states of one message, when that message began.
   [[nodiscard]] Time since() const { return since_; }
   [[nodiscard]] bool has_unread_bytes() const;
-  /// Whether a further request may have arrived that is not read yet.
+  /// Whether the connection is idle and has unread bytes, which may be a further request.
   [[nodiscard]] bool has_unread_request() const { return state_ == State::idle && has_unread_bytes(); }
   /// Whether the client has disconnected while the socket is not read, so that no read reports it.
   [[nodiscard]] bool has_disconnected_unseen();
   /// Whether a body arrives more slowly than clients may send, or has stalled.
   [[nodiscard]] bool is_too_slow(Time now) const;
-  /// The present state's time limit has passed. Bytes that have arrived by now arrived in time. Returns
-  /// whether the connection is being ended.
+  /// Called when the time limit of the present state has passed. Unread bytes count as having arrived in
+  /// time: the session then goes on. Returns whether the connection is being ended.
   bool time_out();
-  /// Ends the connection in order if no request is in progress.
+  /// Ends the connection by an orderly close if no request is in progress.
   void close_if_idle();
   /// Closes at once, cancels the request in progress and leaves the session lists.
   void close();
-  /// The server is being destroyed: closes the socket and uses the server no more.
+  /// Called when the server is being destroyed: closes the socket and no longer uses the server.
   void detach();
 
  private:
@@ -75,7 +75,7 @@
   void parse_read_ahead();
 
   // Requests: client_session_requests.cpp
-  void expect_message();
+  void prepare_for_message();
   std::size_t parse(std::string_view bytes);
   bool accept_head();
   bool shed_load();
@@ -117,18 +117,18 @@
   // Receiving
   ReadAheadBuffer read_ahead_;
   std::size_t lingering_discarded_ = 0;
-  bool is_reading_ = false;        // a read is pending
-  bool is_prompt_read_ = false;    // bytes are handled that the loop waited for and has just read
-  bool has_bytes_behind_ = false;  // behind the request in progress
+  bool is_reading_ = false;      // a read is pending
+  bool is_prompt_read_ = false;  // the bytes being handled were read as soon as the event loop reported them
+  bool has_pipelined_bytes_ = false;  // unparsed bytes follow the request in progress
   std::array<char, kClientReadChunk> chunk_;
 
   // The request in progress
   RequestHead head_;
   std::string body_;
   std::optional<RequestReader> parser_;
-  engine::MemoryReservation body_reservation_;  // of a long body, or of an upload's stream
+  engine::MemoryReservation body_reservation_;  // for a long body, or for the buffer of a streamed upload
   StreamedUpload upload_;
-  std::size_t body_bytes_ = 0;  // since the head was complete
+  std::size_t body_bytes_ = 0;  // received since the head was complete
   Time last_body_bytes_at_ = 0;
   RequestId request_ = 0;  // the engine's id; 0: none
   bool head_checked_ = false;
@@ -138,7 +138,7 @@
   ResponseWriter writer_;
   std::size_t response_count_ = 0;
   bool closes_after_response_ = false;
-  bool body_abandoned_ = false;  // the rest of a body is still arriving: nothing of it is a request
+  bool body_abandoned_ = false;  // the rest of a body may still arrive: it must not be parsed as a request
 };
 
 }  // namespace streampick::http1
--- a/src/http1/client_session_requests.cpp
+++ b/src/http1/client_session_requests.cpp
@@ -1,4 +1,4 @@
-// From received bytes to a request of the engine: heads, bodies and uploads.
+// Parses received bytes and passes requests and streamed uploads to the engine.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void ClientSession::expect_message() {
+void ClientSession::prepare_for_message() {
   parser_.emplace(head_, body_, kMaxUploadBody);
   head_checked_ = false;
   continue_sent_ = false;
@@ -23,7 +23,7 @@
   body_reservation_ = {};
 }
 
-// Returns how many bytes were used. Those behind a complete message are not.
+// Returns the number of bytes that were consumed. Bytes after a complete message are not consumed.
 std::size_t ClientSession::parse(std::string_view bytes) {
   // A first request stays in `accepted`: its time counts from the accept, however slowly it arrives.
   if (state_ == State::idle && !bytes.empty()) {
@@ -31,7 +31,7 @@
   }
   net::error_code error;
   const std::size_t used = parser_->read(bytes, error);
-  has_bytes_behind_ = used < bytes.size();
+  has_pipelined_bytes_ = used < bytes.size();
   if (error) {
     fail_parsing(error);
     return used;
@@ -52,15 +52,15 @@
 }
 
 bool ClientSession::accept_head() {
-  if (!head_.framing.plain(head_.version)) {
+  if (!head_.framing.is_unambiguous(head_.version)) {
     fail(RequestError::ambiguous_framing);
     return false;
   }
   return !shed_load();
 }
 
-// Rejects the request while the loop is behind, before its body is read or its head is validated. An invalid
-// request is left to the validation, which says what is wrong with it.
+// Rejects the request while the event loop lags, before its body is read or its head is validated. A
+// request that is visibly invalid is not rejected here: the validation reports its error.
 bool ClientSession::shed_load() {
   if (server_->load_shedder.admits_all()) {
     return false;
@@ -80,9 +80,9 @@
   }
   ++server_->counts.shed;
   server_->request_handler.on_rejected_unread(request_class);
-  // A body that is still to come would have to be read first.
+  // With a body that has not arrived completely the connection can't be used again without reading the body.
   closes_after_response_ = !parser_->is_done() || !parser_->keep_alive();
-  send(rejection_response(Rejection::loop_behind, server_->load_shedder.retry_after(id)));
+  send(rejection_response(Rejection::loop_lagging, server_->load_shedder.retry_after(id)));
   return true;
 }
 
@@ -117,7 +117,7 @@
   if (known_size > kMaxBufferedBody) {
     return false;
   }
-  if (known_size <= kLongestBody || body_reservation_) {
+  if (known_size <= kMaxUnstreamedBody || body_reservation_) {
     return true;
   }
   auto reservation =
@@ -144,7 +144,7 @@
     answer_health_check();
     return;
   }
-  const bool is_large = body_.size() > kLongestBody;
+  const bool is_large = body_.size() > kMaxUnstreamedBody;
   auto validated = validate_request(head_, body_, server_->names, server_->messages);
   if (const RequestError* error = std::get_if<RequestError>(&validated)) {
     fail(*error);
@@ -164,7 +164,7 @@
     fail(RequestError::duplicate_transaction_id);
     return;
   }
-  // The response may have come within the call.
+  // The engine may have responded within the call.
   if (state_ == State::processing) {
     request_ = id;
   }
@@ -179,14 +179,14 @@
   send(health_response(server_->is_draining));
 }
 
-// A body that is not buffered: the request goes to the engine now, and the body as it arrives. Once the
-// engine has read a part of it, the request cannot be sent to another server.
+// Starts a request whose body is not buffered: the engine gets the request now, and the body as it arrives.
+// Once the engine has read a part of the body, the request can't be sent to another server.
 void ClientSession::start_upload() {
   if (head_.method != http::verb::put) {
     fail(RequestError::body_too_long);
     return;
   }
-  auto reservation = server_->body_memory.reserve(kPartsWaiting);
+  auto reservation = server_->body_memory.reserve(kStreamBufferSize);
   if (!reservation) {
     reject_without_memory();
     return;
@@ -220,7 +220,7 @@
   if (content_length) {
     length = *content_length;
   }
-  // Posted: the reader calls this from within the engine.
+  // The reader calls this from within the engine: the session's work is posted to the event loop.
   return upload_.start(length, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self) {
@@ -235,7 +235,7 @@
   const std::size_t used = parser_->read(read_ahead_.bytes(), error);
   read_ahead_.consume(used);
   on_body_bytes(used);
-  // Unparsed bytes are the line of a chunk's size or of a trailer: one without end is an error.
+  // Unparsed bytes belong to a chunk-size line or a trailer line: an overlong line is an error.
   if (!error && read_ahead_.size() > kMaxReadAhead) {
     error = http::error::header_limit;
   }
@@ -258,13 +258,13 @@
     return;
   }
   upload_.resume();
-  // The pause was not the client's.
+  // The client did not cause the pause, so its time limits start anew.
   since_ = server_->clock.now();
   last_body_bytes_at_ = since_;
   wait_for_bytes();
 }
 
-// The body will not be complete, so what the server has of it is no request.
+// The body will not be complete, so the server must not run the request: it is cancelled.
 void ClientSession::cancel_upload() {
   if (state_ != State::uploading) {
     return;
--- a/src/http1/client_session_responses.cpp
+++ b/src/http1/client_session_responses.cpp
@@ -1,4 +1,4 @@
-// Responses of a session: errors, rejections, and what follows when one is written.
+// Sends the responses of a session, among them errors and rejections, and continues after each.
 #include <boost/asio/post.hpp>
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace streampick::http1 {
 
-// A client that sent one invalid request mostly goes on: what follows is not read.
+// Closes the connection, since a client that sent one invalid request usually sends more.
 void ClientSession::fail(RequestError error) {
   closes_after_response_ = true;
   send(error_response(error));
@@ -59,10 +59,10 @@
   write_response();
 }
 
-// Whether the connection ends behind this response. A pipelined request, also one that is not read yet, is
-// answered first.
+// Decides whether the connection ends after this response. It stays open while a pipelined request, even an
+// unread one, is to be answered.
 void ClientSession::decide_persistence() {
-  closes_after_response_ = closes_after_response_ || (read_ahead_.has_overflowed() && !has_bytes_behind_);
+  closes_after_response_ = closes_after_response_ || (read_ahead_.has_overflowed() && !has_pipelined_bytes_);
   if (closes_after_response_) {
     return;
   }
@@ -70,7 +70,7 @@
   if (is_kept && !server_->is_draining) {
     return;
   }
-  if (has_bytes_behind_ || has_unread_bytes()) {
+  if (has_pipelined_bytes_ || has_unread_bytes()) {
     return;
   }
   closes_after_response_ = true;
@@ -94,7 +94,8 @@
     case Progress::truncated: close_truncated(); return;
     case Progress::complete: break;
   }
-  // Not from within the call that gave the response: the next request may be in the buffer.
+  // Posted, since the next request may be in the buffer and must not be started from within the engine's call
+  // that gave this response.
   if (closes_after_response_ || !read_ahead_.empty() || !is_reading_) {
     asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_response_written(); });
   } else {
@@ -124,7 +125,7 @@
     leave();
     return;
   }
-  expect_message();
+  prepare_for_message();
   enter(State::idle);
   if (!read_ahead_.empty()) {
     parse_read_ahead();
@@ -137,8 +138,8 @@
   wait_for_bytes();
 }
 
-// No request can be read behind bytes that were discarded. Those that were received completely before them
-// have their responses.
+// After discarded bytes the start of the next request is unknown, so none can be read. Requests that were
+// received completely before them have been answered.
 void ClientSession::on_read_ahead_overflow() {
   if (state_ == State::idle) {
     leave();
--- a/src/http1/idle_connections.cpp
+++ b/src/http1/idle_connections.cpp
@@ -7,9 +7,9 @@
 namespace streampick::http1 {
 namespace {
 
-// A connection that was idle for longer is read, to notice its end: shorter pauses do without that system
-// call.
-constexpr Time kWatchAfter = 1'000'000;
+// A connection that has been idle for longer than this, in microseconds, is read to notice that the server
+// closes it. Shorter pauses save that system call.
+constexpr Time kWatchAfterIdle = 1'000'000;
 
 }  // namespace
 
@@ -42,7 +42,7 @@
 
 void IdleConnections::close_unused(Time unused_since, Time now) {
   std::erase_if(connections_, [&](const ConnectionPtr& connection) {
-    const bool used_recently = connection->last_used() + kWatchAfter > now;
+    const bool used_recently = connection->last_used() + kWatchAfterIdle > now;
     const bool keeps = connection->last_used() > unused_since && (used_recently || connection->watch_idle());
     if (!keeps) connection->close();
     return !keeps;
--- a/src/http1/idle_connections.h
+++ b/src/http1/idle_connections.h
@@ -1,5 +1,5 @@
 /// \file
-/// The idle connections to one server, of which the most recently used is used next.
+/// The idle connections to one server. The most recently used one is used next.
 #pragma once
 
 #include <cstddef>
@@ -20,19 +20,19 @@
 
   void add(ConnectionPtr connection) { connections_.push_back(std::move(connection)); }
   void remove(const ConnectionPtr& connection) { std::erase(connections_, connection); }
-  /// Removes the most recently used connection that may carry a request now, and returns it; none: there is
-  /// none. Closes those that turn out not to be clean. `unsettled`: also one that has not settled.
+  /// Removes the most recently used connection that may carry a request now, and returns it; null if there is
+  /// none. Closes connections that are not clean. `unsettled` admits connections that have not settled.
   ConnectionPtr take(bool unsettled, Time now);
-  /// When the first of them will have settled. Requires that there is one.
+  /// When the first idle connection will have settled. There must be an idle connection.
   Time first_settled_at() const;
 
-  /// Closes those that were not used since `time`, where the request that began then was never answered: the
-  /// server may have lost its connections, and each of these would lose a request too.
+  /// Closes the connections that were not used since `time`, when a request began that was never answered.
+  /// The server may have lost its connections, and then each of these would lose a request too.
   void close_unused_since_request(Time time);
-  /// Closes those that were last used at `unused_since` or earlier. The others are read from now on if they
-  /// have been idle for a while, to notice their end.
+  /// Closes the connections that were last used at `unused_since` or earlier. Of the others, those that have
+  /// been idle for a while are read from now on, to notice that the server closes them.
   void close_unused(Time unused_since, Time now);
-  /// Returns whether there was one.
+  /// Returns whether a connection was closed.
   bool close_least_recently_used();
   void close_all();
 
--- a/src/http1/outgoing_response.cpp
+++ b/src/http1/outgoing_response.cpp
@@ -46,7 +46,7 @@
 
 OutgoingResponse rejection_response(Rejection rejection, Time retry_after) {
   OutgoingResponse outgoing =
-      rejection == Rejection::loop_behind
+      rejection == Rejection::loop_lagging
           ? text_response(503, "refused, the router is behind; it is safe to try again")
           : text_response(503, "refused, no memory for the body now; it is safe to try again");
   outgoing.retry_after = retry_after;
--- a/src/http1/outgoing_response.h
+++ b/src/http1/outgoing_response.h
@@ -1,5 +1,5 @@
 /// \file
-/// A response as it goes out to a client, and how each is made.
+/// A response to a client, and functions that make one of each kind.
 #pragma once
 
 #include <cstdint>
@@ -23,13 +23,13 @@
 
 /// Why a request was rejected without reaching the engine. The client may repeat it.
 enum class Rejection : std::uint8_t {
-  loop_behind,  ///< load is shed while the event loop is behind
-  no_memory,    ///< for a long body
+  loop_lagging,  ///< the event loop lags, and load is shed
+  no_memory,     ///< no memory is left to buffer or stream a long body
 };
 
 OutgoingResponse to_outgoing(engine::Response response);
 OutgoingResponse error_response(RequestError error);
-/// A request that the parser rejects, with the parser's own text.
+/// The response to a request that the parser rejects. `text` is the parser's error message.
 OutgoingResponse malformed_response(std::string_view text);
 OutgoingResponse rejection_response(Rejection rejection, Time retry_after);
 /// 200 while the router serves, 503 while it drains.
--- a/src/http1/protocol.h
+++ b/src/http1/protocol.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the two sides of HTTP/1.1, towards clients and towards servers, share: names of the libraries,
-/// limits, and the formats of numbers and times.
+/// Shared by the HTTP/1.1 server (towards clients) and the HTTP/1.1 upstream (towards cache servers and the
+/// origin): namespace aliases, size limits in bytes, and the formats of numbers and times.
 #pragma once
 
 #include <algorithm>
@@ -22,16 +22,17 @@
 inline constexpr std::size_t kKibibyte = 1024;
 inline constexpr std::size_t kMebibyte = 1024 * kKibibyte;
 
-/// The longest body that the protocol allows to be sent in one piece.
-inline constexpr std::size_t kLongestBody = 64 * kKibibyte;
-/// A message's head, with its request or status line.
-inline constexpr std::size_t kLongestHeader = 16 * kKibibyte;
-/// Read from a server at once.
+/// The longest body that the protocol allows without streaming.
+inline constexpr std::size_t kMaxUnstreamedBody = 64 * kKibibyte;
+/// Maximum size of a message's head, with its request or status line.
+inline constexpr std::size_t kMaxHeadSize = 16 * kKibibyte;
+/// Size of the buffer for one read from a server.
 inline constexpr std::size_t kReadChunk = 8 * kKibibyte;
-/// A response that is buffered. The protocol allows kLongestBody, but servers also send 350 kB.
-inline constexpr std::size_t kLongestAnswer = kMebibyte;
-/// Buffered at most between the two sides of a body that is streamed.
-inline constexpr std::size_t kPartsWaiting = 64 * kKibibyte;
+/// Maximum size of a response body that is buffered. The protocol allows kMaxUnstreamedBody, but servers also
+/// send bodies of 350 kB.
+inline constexpr std::size_t kMaxBufferedResponse = kMebibyte;
+/// Buffer size of a streamed body: the bytes that were received and not yet sent on.
+inline constexpr std::size_t kStreamBufferSize = 64 * kKibibyte;
 
 /// Appends a number in decimal digits.
 inline void append_number(std::string& text, std::size_t value) {
--- a/src/http1/read_ahead_buffer.cpp
+++ b/src/http1/read_ahead_buffer.cpp
@@ -7,7 +7,7 @@
 namespace streampick::http1 {
 namespace {
 
-// An empty buffer of more than this gives its memory back.
+// An empty buffer with a larger capacity, in bytes, releases its memory.
 constexpr std::size_t kMaxKeptCapacity = 64;
 
 }  // namespace
--- a/src/http1/read_ahead_buffer.h
+++ b/src/http1/read_ahead_buffer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Bytes of one client that were received and not parsed yet, among them requests pipelined behind the one in
-/// progress.
+/// Bytes received from one client and not parsed yet, among them requests that were pipelined after the one
+/// in progress.
 #pragma once
 
 #include <cstddef>
@@ -20,12 +20,12 @@
 
   void assign(std::string_view bytes) { bytes_ = bytes; }
   void append(std::string_view bytes) { bytes_ += bytes; }
-  /// Appends bytes that arrived while a request is processed: up to kMaxReadAhead, or kMaxReservedReadAhead
-  /// if memory for that can be reserved. Beyond the limit the buffer overflows for good: these bytes and all
-  /// later ones are discarded. Returns whether they were kept.
+  /// Appends bytes that arrived while a request is processed. The buffer holds kMaxReadAhead bytes, or
+  /// kMaxReservedReadAhead if memory can be reserved. Beyond the limit it overflows permanently: these bytes
+  /// and all later ones are discarded. Returns whether the bytes were kept.
   bool append_pipelined(std::string_view bytes, net::MemoryBudget& body_memory);
   void consume(std::size_t count) { bytes_.erase(0, count); }
-  /// Gives back the reservation and the memory that the remaining bytes do not need.
+  /// Releases the reservation and the memory that the remaining bytes do not need.
   void release_unused();
   void clear();
 
@@ -34,7 +34,7 @@
 
  private:
   std::string bytes_;
-  engine::MemoryReservation reservation_;  // beyond kMaxReadAhead
+  engine::MemoryReservation reservation_;  // held while more than kMaxReadAhead bytes may be kept
   std::size_t discarded_ = 0;
   bool has_overflowed_ = false;
 };
--- a/src/http1/reader.cpp
+++ b/src/http1/reader.cpp
@@ -5,7 +5,8 @@
 namespace streampick::http1 {
 namespace {
 
-// A longer body takes its memory as it arrives: its announced length is no reason to allocate.
+// Maximum memory reserved for a body when its head is read, in bytes. A longer body allocates as it arrives:
+// its Content-Length alone must not cause a large allocation.
 constexpr std::size_t kMaxInitialReserve = 64 * kKibibyte;
 
 bool equals(beast::string_view name, std::string_view wanted) {
@@ -13,7 +14,7 @@
          beast::iequals(name, beast::string_view(wanted.data(), wanted.size()));
 }
 
-// The field of this name; null if the router does not use it.
+// The field of the head that has this name; null if the router does not use that field.
 Field* field_of(RequestHead& head, http::field field, beast::string_view name) {
   switch (field) {
     case http::field::host: return &head.host;
@@ -50,7 +51,7 @@
 
 }  // namespace
 
-bool Framing::plain(unsigned version) const {
+bool Framing::is_unambiguous(unsigned version) const {
   if (length.count > 1) {
     return false;
   }
@@ -92,7 +93,7 @@
   head_.clear();
   body_.clear();
   this->body_limit(max_body);
-  this->header_limit(kLongestHeader);
+  this->header_limit(kMaxHeadSize);
   this->eager(true);
 }
 
--- a/src/http1/reader.h
+++ b/src/http1/reader.h
@@ -15,14 +15,15 @@
 
 namespace streampick::http1 {
 
-/// A longer string gives its memory back between messages.
+/// A string with a larger capacity, in bytes, releases its memory between messages.
 inline constexpr std::size_t kMaxKeptFieldCapacity = 512;
 
-/// A field that should occur once: its first value, and how often it occurred, trailers included.
+/// A header field that should occur once: its first value, and the number of its occurrences, trailers
+/// included.
 struct Field {
   std::string value;
   unsigned count = 0;
-  /// Keeps its memory for the next message, unless one message made it large.
+  /// Keeps the string's memory for the next message, unless its capacity has grown large.
   void clear() {
     if (value.capacity() > kMaxKeptFieldCapacity) {
       std::string().swap(value);
@@ -37,18 +38,18 @@
   }
 };
 
-/// The fields that say where a message ends. If two readers could disagree, one of them might take a part of
-/// the body for the next message (request smuggling). Beast rejects a length beside chunks and lengths that
-/// differ; it accepts the same length twice, also as a list, codings other than chunked, and a coding in
-/// HTTP/1.0.
+/// The header fields that determine where a message ends. If two HTTP implementations could disagree about
+/// the end, one of them might take a part of the body for the next message (request smuggling). Beast rejects
+/// Content-Length together with chunked coding, and differing Content-Lengths. It accepts the same
+/// Content-Length twice or as a list, codings other than chunked, and Transfer-Encoding in HTTP/1.0.
 struct Framing {
   Field length, coding;
   void clear() {
     length.clear();
     coding.clear();
   }
-  /// Whether every reader finds the same end.
-  [[nodiscard]] bool plain(unsigned version) const;
+  /// Whether every HTTP implementation finds the same end of the message.
+  [[nodiscard]] bool is_unambiguous(unsigned version) const;
 };
 
 struct RequestHead {
@@ -74,9 +75,9 @@
   using Head = std::conditional_t<IsRequest, RequestHead, ResponseHead>;
   MessageReader(Head& head, std::string& body, std::uint64_t max_body);
 
-  /// Reads until the message is complete, the bytes are used up, or they are malformed, which sets `error`.
-  /// Returns the number of bytes used: the rest must be passed again together with what follows it, since a
-  /// head is only read line by line.
+  /// Parses until the message is complete, the bytes are used up, or they are malformed, which sets `error`.
+  /// Returns the number of bytes consumed. The rest must be passed again together with the bytes that follow
+  /// it, since a head is parsed by whole lines.
   std::size_t read(std::string_view bytes, net::error_code& error);
 
  private:
--- a/src/http1/request_validation.cpp
+++ b/src/http1/request_validation.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kTransactionIdDigits = 16;
-// Cost hints from this one on, in microseconds, are ignored.
+// Cost hints of at least this, in microseconds, are ignored.
 constexpr double kMaxCostHint = 1e12;
 
 std::optional<std::uint64_t> parse_hex(std::string_view text) {
@@ -32,8 +32,8 @@
   return is_digit || is_lower || is_upper || kPunctuation.find(character) != std::string_view::npos;
 }
 
-// RFC 9112, section 3.2: an HTTP/1.1 request has exactly one Host, which may be empty. With two, or none, two
-// readers could route it to two servers.
+// RFC 9112, section 3.2: an HTTP/1.1 request has exactly one Host, which may be empty. With two, or with
+// none, two HTTP implementations could route the request to two different servers.
 bool has_valid_host(const RequestHead& head) {
   if (head.host.count == 0) {
     return head.version < 11;
@@ -42,13 +42,13 @@
          std::all_of(head.host.value.begin(), head.host.value.end(), is_host_character);
 }
 
-// Trailers count too.
+// Whether a header that may occur only once is repeated, as a header or as a trailer.
 bool repeats_header(const RequestHead& head) {
   return std::max({head.transaction_id.count, head.lane.count, head.remaining.count, head.org.count,
                    head.estimate.count, head.idempotency_key.count}) > 1;
 }
 
-// The path's two parts that matter: the class, and the key, which is the last segment.
+// The parts of a path that the router uses: the request class, and the key, which is the last segment.
 struct PathParts {
   std::string_view request_class;
   std::string_view key;
@@ -83,7 +83,7 @@
   if (!is_write && head.method != http::verb::get) {
     return RequestError::method_not_allowed;
   }
-  // Without its key a repeated write could not be told from a new one.
+  // Without an idempotency key a repeated write could not be told from a new one.
   if (is_write && names.keyed.at(request_class) && head.idempotency_key.value.empty()) {
     return RequestError::missing_idempotency_key;
   }
@@ -106,7 +106,7 @@
   message.accepts_streaming = true;
 }
 
-// An unreadable hint is ignored.
+// The cost hint in microseconds; 0 if it is absent or invalid, as hints are optional.
 Time cost_hint(std::string_view text) {
   const auto hint = to_number(text);
   return hint && *hint > 0 && *hint < kMaxCostHint ? static_cast<Time>(*hint) : 0;
--- a/src/http1/request_validation.h
+++ b/src/http1/request_validation.h
@@ -1,5 +1,6 @@
 /// \file
-/// From a parsed request head to the engine's request, or to the error that is wrong with it. No I/O.
+/// Validates a parsed request head and makes the engine's request from it, or returns the first error. No
+/// I/O.
 #pragma once
 
 #include <optional>
@@ -15,18 +16,20 @@
 
 namespace streampick::http1 {
 
-/// The path and query of a request target: of the absolute form http://host/path, all from the path on. Any
-/// other form is returned as it is.
+/// The path and query of a request target: of the absolute form http://host/path, the part that begins with
+/// the path. Any other form is returned unchanged.
 std::string_view origin_form(std::string_view target);
 
 /// The first segment of a path, which names the request class. `path` begins with a slash.
 std::string_view first_segment(std::string_view path);
 
-/// X-Remaining: seconds with decimals, at most kMaxRemaining; no sign and no exponent.
+/// Parses X-Remaining: seconds with decimals, at most kMaxRemaining, without a sign or exponent. Returns
+/// microseconds.
 std::optional<Time> parse_remaining(std::string_view text);
 
-/// Checks the head of a complete request, or of one whose body follows, in the order in which errors are
-/// reported. Moves `body` into the message only if the request is valid.
+/// Checks the head of a request whose body is complete or still follows. Where a request has several errors,
+/// the first check that fails decides which one is reported. Moves `body` into the message only if the
+/// request is valid.
 std::variant<engine::IncomingRequest, RequestError> validate_request(const RequestHead& head,
                                                                      std::string& body, const Names& names,
                                                                      engine::MessagePool& messages);
--- a/src/http1/request_writer.cpp
+++ b/src/http1/request_writer.cpp
@@ -8,8 +8,8 @@
 namespace streampick::http1 {
 namespace {
 
-// Maximum time from formatting the head to its last byte (and to the last byte of a body of usual size). A
-// server may be told at most 150 ms more than remains.
+// Maximum time in microseconds from formatting the head to writing its last byte (and the last byte of a body
+// of up to kMaxUnstreamedBody). The protocol allows X-Remaining to exceed the time left by at most 150 ms.
 constexpr Time kMaxHeadAge = 100'000;
 
 constexpr int kChunkSizeBase = 16;
@@ -71,11 +71,12 @@
 bool RequestWriter::is_deadline_stale(Time now) const {
   if (upload_begun_) return false;
   const bool head_written = written_ >= head_.size();
-  if (head_written && message_->body.size() > kLongestBody) return false;
+  if (head_written && message_->body.size() > kMaxUnstreamedBody) return false;
   return now - formatted_at_ > kMaxHeadAge;
 }
 
-// Of an upload, the current part follows head_, or is a part of the body itself.
+// The part that is written after head_: of an upload the part of its body that was read last, otherwise the
+// whole body.
 const std::string& RequestWriter::current_part() const {
   return body_ == Body::in_memory ? message_->body : upload_part_;
 }
@@ -102,7 +103,7 @@
   return NextPart::truncated;
 }
 
-// Makes a chunk of the part: its size before it, a line's end behind.
+// Frames the part as a chunk: its size in a line before it, a line end after it.
 void RequestWriter::frame_part() {
   std::array<char, 20> size{};
   const auto end = std::to_chars(size.data(), size.data() + size.size(), upload_part_.size(), kChunkSizeBase);
--- a/src/http1/request_writer.h
+++ b/src/http1/request_writer.h
@@ -1,6 +1,6 @@
 /// \file
-/// Writes one request to a non-blocking socket: its head, and a body that is in memory or is streamed while
-/// the client still sends it (an upload).
+/// Writes one request to a non-blocking socket: the head, then the body, which is in memory or is streamed
+/// while the client still sends it (an upload).
 #pragma once
 
 #include <cstddef>
@@ -17,25 +17,25 @@
  public:
   enum class Progress : std::uint8_t {
     complete,  ///< the last byte was written
-    blocked,   ///< the socket takes no more for now
-    starved,   ///< the client's next part of an upload has not arrived
+    blocked,   ///< the socket's send buffer is full
+    starved,   ///< the next part of an upload has not arrived from the client
     failed,    ///< the socket failed, or the upload was truncated
   };
 
-  /// Formats the head. `message` must outlive the writing. `now` is the clock's fresh reading from which the
-  /// head's remaining time is counted.
+  /// Formats the head. `message` must outlive the writing. X-Remaining is `expires - now`, so `now` must be a
+  /// fresh reading of the clock.
   void start(const engine::Message& message, const std::string& server, Time expires, Time now);
   /// Writes as much as the socket takes without blocking.
   Progress write(net::tcp::socket& socket);
-  /// Frees the buffers of an upload and forgets the message.
+  /// Releases the buffers of an upload and the message.
   void clear();
 
   /// Whether the request's last byte was written.
   bool complete() const;
   bool starved() const { return starved_; }
   bool is_upload() const { return body_ != Body::in_memory; }
-  /// Whether the remaining time that the head states has become too wrong at `now` for the rest of a
-  /// partially written request to follow.
+  /// Whether at `now` the X-Remaining in the head is too far from the time left for the rest of a partially
+  /// written request to be written.
   bool is_deadline_stale(Time now) const;
 
  private:
@@ -49,10 +49,10 @@
   void frame_part();
 
   const engine::Message* message_ = nullptr;
-  std::string head_;         // of the request; of an upload's later parts, the chunk's head
+  std::string head_;         // head of the request; for later parts of an upload, the chunk-size line
   std::string upload_part_;  // the part of an upload that is being written
-  std::size_t written_ = 0;  // bytes of head_ and the current part
-  Time formatted_at_ = 0;    // reading of the clock behind X-Remaining
+  std::size_t written_ = 0;  // bytes written of head_ and the current part
+  Time formatted_at_ = 0;    // the reading of the clock from which X-Remaining was computed
   Body body_ = Body::in_memory;
   bool upload_begun_ = false;  // the request's head was written, and parts of the upload may have been
   bool starved_ = false;
--- a/src/http1/response_decoder.h
+++ b/src/http1/response_decoder.h
@@ -2,8 +2,8 @@
 /// Decodes the responses that arrive on one connection, one after another, without I/O.
 ///
 /// The end of a response is found as in RFC 9112, section 6.3: after its head (1xx, 204, 304), after
-/// Content-Length bytes, after the last chunk, or where the connection ends in order. Anything ambiguous is
-/// malformed.
+/// Content-Length bytes, after the last chunk, or at an orderly close of the connection. A response whose end
+/// is ambiguous is malformed.
 #pragma once
 
 #include <cstddef>
@@ -26,25 +26,26 @@
   /// Prepares for the response that follows an interim one (1xx). Returns false if there were too many.
   bool skip_interim();
 
-  /// Bytes that could not be decoded before their rest arrived: they precede what is received next.
+  /// Returns the bytes that could not be decoded because the rest of their line had not arrived. The bytes
+  /// that are received next must be appended to them.
   std::string take_pending() { return std::exchange(pending_, {}); }
-  /// Removes from `bytes` what it decoded, at most to the end of the response. Returns false if they are
-  /// malformed: error() says how.
+  /// Decodes `bytes` up to the end of the response at most, and removes the decoded part from them. Returns
+  /// false if they are malformed; error() then describes the error.
   bool decode(std::string_view& bytes);
-  /// Keeps the part of a line that can't be decoded before its rest arrives.
+  /// Keeps a partial line until its rest arrives.
   void keep_pending(std::string_view bytes) { pending_ = bytes; }
   bool has_pending() const { return !pending_.empty(); }
   std::string error() const { return error_.message(); }
 
   /// Returns true once for each response, as soon as its head is complete.
   bool take_head_event();
-  /// Since the head was complete and its event was taken.
+  /// Whether the head is complete and take_head_event() has returned true for it.
   bool head_received() const { return head_received_; }
-  /// Whether the head leaves no doubt where the response ends.
-  bool has_plain_framing() const { return head_.framing.plain(head_.version); }
+  /// Whether every HTTP implementation finds the same end of the response from its head.
+  bool has_unambiguous_framing() const { return head_.framing.is_unambiguous(head_.version); }
   bool complete() const { return parser_->is_done(); }
-  /// Whether the response is complete if the connection ends in order here. Of one without a body its head
-  /// says everything; a 200 must have no length at all.
+  /// Whether an orderly close of the connection at this point completes the response. For an outcome without
+  /// a body the head is enough; a 200 must have neither a length nor chunked coding.
   bool complete_at_end_of_connection() const;
   bool is_interim() const;
   /// Whether the server keeps the connection open after this response.
@@ -53,10 +54,10 @@
   unsigned status() const { return head_.status; }
   const std::string& content_type() const { return head_.content_type.value; }
   std::optional<std::uint64_t> content_length() const;
-  /// What the response says of its attempt.
+  /// The attempt's outcome according to the response.
   Outcome outcome() const;
 
-  /// The bytes of the body that were decoded and not taken yet.
+  /// The bytes of the body that were decoded and neither moved out nor discarded yet.
   std::string& body() { return body_; }
   void discard_body() { body_.clear(); }
   void release_body() { std::string().swap(body_); }
--- a/src/http1/response_stream.cpp
+++ b/src/http1/response_stream.cpp
@@ -8,7 +8,7 @@
                            std::function<void()> on_writable, std::function<void()> on_reader_closed,
                            Time now) {
   memory_ = std::move(memory);
-  stream_ = std::make_shared<engine::BodyStream>(length, kPartsWaiting);
+  stream_ = std::make_shared<engine::BodyStream>(length, kStreamBufferSize);
   stream_->on_writable = std::move(on_writable);
   stream_->on_reader_closed = std::move(on_reader_closed);
   last_progress_ = now;
--- a/src/http1/response_stream.h
+++ b/src/http1/response_stream.h
@@ -1,5 +1,5 @@
 /// \file
-/// The writer's end of a response body that is forwarded to the client while it still arrives.
+/// The writing end of a response body that is forwarded to the client while it still arrives from the server.
 #pragma once
 
 #include <cstdint>
@@ -23,13 +23,14 @@
   ResponseStream& operator=(const ResponseStream&) = delete;
 
   bool open() const { return stream_ != nullptr; }
-  /// Opens the stream of a body of `length` bytes; none: known only at its end. `memory` covers its buffer.
-  /// The callbacks are called by the reader, perhaps from within the engine.
+  /// Opens the stream of a body of `length` bytes; nullopt if the length is known only at the end. `memory`
+  /// is the reservation for the stream's buffer. The reader calls the callbacks, perhaps from within the
+  /// engine.
   void start(std::optional<std::uint64_t> length, engine::MemoryReservation memory,
              std::function<void()> on_writable, std::function<void()> on_reader_closed, Time now);
-  /// The reader's end, to be handed out once.
+  /// The reading end. Call only once for each stream.
   engine::BodyReader reader() const { return engine::BodyReader(stream_); }
-  /// Ends the stream as complete or truncated. The reader may react from within.
+  /// Ends the stream as complete or truncated. The reader may be notified within the call.
   void end(engine::BodyStream::State state);
 
   std::uint64_t bytes_written() const { return stream_->bytes_written(); }
@@ -41,7 +42,7 @@
   /// Whether the server has sent nothing for kStallTimeout, other than during a pause.
   bool is_stalled(Time now) const;
 
-  /// Maximum time without a byte from the server.
+  /// Maximum time between two bytes from the server, in microseconds.
   static constexpr Time kStallTimeout = 5'000'000;
 
  private:
--- a/src/http1/response_time.h
+++ b/src/http1/response_time.h
@@ -1,5 +1,5 @@
 /// \file
-/// How long one server takes to answer, as the rules on the reuse of connections need it.
+/// The average response time of one server, used by the rules for the reuse of connections.
 #pragma once
 
 #include "streampick/router.h"
@@ -19,7 +19,7 @@
   bool is_at_least(Time limit) const { return average_ >= static_cast<double>(limit); }
 
  private:
-  static constexpr double kWeight = 0.05;  // of each response after the first
+  static constexpr double kWeight = 0.05;  // weight of each response after the first
   double average_ = 0;
 };
 
--- a/src/http1/response_writer.h
+++ b/src/http1/response_writer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Writes one response to a client's socket: the head, and the body at once or as it streams in.
+/// Writes one response to a client's socket: the head, then the body, which is in memory or streamed.
 #pragma once
 
 #include <cstddef>
@@ -13,28 +13,29 @@
 
 namespace streampick::http1 {
 
-/// Owned by a session, which calls advance() until the response is complete and waits in between.
+/// Owned by a session, which calls advance() until the response is complete, and between the calls waits for
+/// the event that the returned Progress names.
 class ResponseWriter {
  public:
   enum class Progress : std::uint8_t {
     complete,          ///< the last byte was written
     part_ready,        ///< a streamed part was buffered: call advance() again
-    would_block,       ///< the socket takes no more: call advance() when it is writable
+    would_block,       ///< the socket's send buffer is full: call advance() when the socket is writable
     waiting_for_body,  ///< call advance() when the body is readable
     failed,            ///< the socket is broken
-    truncated,         ///< the body ended early: the client must see that
+    truncated,         ///< the body ended early: the caller must make that visible to the client
   };
 
   /// Whether the end of the connection marks the end of the body: HTTP/1.0 without a length.
   static bool ends_with_connection(const OutgoingResponse& response, unsigned version);
 
-  /// `closes`: the connection ends behind the response. `version` is 10 or 11.
+  /// `closes`: the connection ends after the response. `version` is 10 or 11.
   void start(OutgoingResponse&& response, unsigned version, bool closes);
   [[nodiscard]] bool is_streaming() const { return static_cast<bool>(stream_); }
-  /// `callback` is called, within calls of the body's writer, whenever there are bytes or the body ended.
+  /// Calls `callback` whenever bytes of the body arrive or the body ends, from within the call of its writer.
   void on_body_readable(std::function<void()> callback) { stream_->on_readable = std::move(callback); }
   Progress advance(net::tcp::socket& socket);
-  /// Whether advance() waits for the body; it does not any more.
+  /// Returns whether advance() has returned waiting_for_body, and clears that state.
   bool stop_waiting_for_body() { return std::exchange(waits_for_body_, false); }
 
   /// Counts the request as finished and releases its memory.
@@ -49,8 +50,8 @@
   void frame_part();
   void end_body();
 
-  std::string head_;  // or the frame of a streamed part
-  std::string body_;  // or a streamed part
+  std::string head_;  // head of the response; for a streamed part, its chunk-size line
+  std::string body_;  // the body, or the streamed part that is being written
   std::size_t written_ = 0;
   engine::BodyReader stream_;
   bool is_chunked_ = false;
--- a/src/http1/server.cpp
+++ b/src/http1/server.cpp
@@ -13,22 +13,23 @@
 namespace {
 
 net::Listener make_listener(asio::io_context& io, const net::tcp::endpoint& address,
-                            net::Listener::Handler& owner, int passed) {
-  if (passed < 0) {
+                            net::Listener::Handler& owner, int listening_descriptor) {
+  if (listening_descriptor < 0) {
     return {io, address, owner};
   }
-  return {io, passed, address, owner};
+  return {io, listening_descriptor, address, owner};
 }
 
-// While fewer than one in so many connections never sent a request, idle ones may be evicted for new ones.
-constexpr std::size_t kSilentShare = 4;
+// Idle connections may be evicted for new ones unless more than one in this many connections has never sent a
+// request.
+constexpr std::size_t kCapacityPerSilentConnection = 4;
 
 }  // namespace
 
 Server::Server(asio::io_context& io, net::Clock& clock, const Names& names,
                engine::RequestHandler& request_handler, const net::tcp::endpoint& address,
                overload::DescriptorBudget& descriptors, const overload::Settings& overload_settings,
-               net::LoadShedder& load_shedder, net::MemoryBudget& body_memory, int passed)
+               net::LoadShedder& load_shedder, net::MemoryBudget& body_memory, int listening_descriptor)
     : context_{.clock = clock,
                .names = names,
                .request_handler = request_handler,
@@ -36,7 +37,7 @@
                .body_memory = body_memory,
                .keep_alive = overload::KeepAlivePolicy(descriptors.total(), overload_settings),
                .on_session_closed = [this] { on_session_closed(); }},
-      listener_(make_listener(io, address, *this, passed)),
+      listener_(make_listener(io, address, *this, listening_descriptor)),
       sweep_timer_(io),
       descriptors_(descriptors) {
   sweep();
@@ -86,7 +87,7 @@
   return !list.empty() && context_.clock.now() - list.front()->since() >= min_age;
 }
 
-// Those with unread bytes are about to send a request, and stay.
+// Skips connections with unread bytes, since those may be a request.
 bool Server::evict_oldest(SessionState state) {
   for (const auto& session : context_.sessions.in(state)) {
     if (session->has_unread_bytes()) {
@@ -110,14 +111,16 @@
 }
 
 bool Server::evict_connection() {
-  // A younger one might lose its last response to bytes that cross the close.
+  // A connection that lingers for a shorter time might lose its last response: bytes from the client that
+  // cross the close cause a reset.
   if (evict_lingering(kEvictionGrace)) {
     return true;
   }
   if (has_aged(SessionState::accepted, kEvictionGrace) && evict_oldest(SessionState::accepted)) {
     return true;
   }
-  // A few new connections must not hold up many clients that send one request and stay.
+  // Many idle clients that sent one request and stay connected must not keep new clients waiting just because
+  // a few connections are too new to be evicted.
   if (has_aged(SessionState::idle, kPreferredEvictionIdle) && evict_oldest(SessionState::idle)) {
     return true;
   }
@@ -125,7 +128,7 @@
     return true;
   }
   const std::size_t silent = context_.sessions.in(SessionState::accepted).size();
-  if (silent * kSilentShare > descriptors_.capacity(kSide)) {
+  if (silent * kCapacityPerSilentConnection > descriptors_.capacity(kSide)) {
     return false;
   }
   return evict_oldest(SessionState::idle) || evict_oldest(SessionState::reading_head);
@@ -140,8 +143,9 @@
   }
 }
 
-// The process that takes over accepts on the same socket. A request that crossed the close of its connection
-// would have to be sent again: each connection may send one more, and is closed behind its response.
+// The process that takes over accepts on the same listening socket. Closing idle connections now would force
+// clients whose requests cross the close to send them again. Instead each connection may carry one more
+// request, and is closed after its response.
 void Server::on_shutdown_started() {
   if (!listener_.is_shared()) {
     return;
@@ -152,7 +156,8 @@
 
 void Server::on_drain_ended() { context_.is_draining = false; }
 
-// A connection that was just accepted is about to send a request, which would count as rejected.
+// Leaves connections that were just accepted open: their clients are about to send a request, which would
+// count as rejected.
 void Server::close_idle() {
   close_idle_longer_than(SessionState::accepted, kDrainGrace);
   close_idle_longer_than(SessionState::idle, 0);
@@ -173,7 +178,7 @@
 void Server::sweep() {
   time_out_sessions();
   close_disconnected();
-  // New connections still arrive for a while, some without a request.
+  // New connections are still accepted for a while, and some of them send no request.
   if (context_.is_draining && !allows_last_request_) {
     close_idle();
   }
@@ -241,7 +246,7 @@
 
 // ---- Counts
 
-// The words of the log's summary line are read by tools.
+// Tools parse the summary line, so its labels must not change.
 std::string Server::summary() const {
   const ServerCounts& counts = context_.counts;
   return "clients=" + std::to_string(open_) + " accepted=" + std::to_string(counts.accepted) +
--- a/src/http1/server.h
+++ b/src/http1/server.h
@@ -1,5 +1,6 @@
 /// \file
-/// The HTTP/1.1 server towards clients: accepts connections, bounds their number and their time, and drains.
+/// The HTTP/1.1 server towards clients: accepts connections, limits their number and duration, and drains
+/// them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,13 +19,14 @@
 /// Owns the client sessions. Used on the event loop's thread only.
 class Server final : public engine::Downstream, private net::Listener::Handler {
  public:
-  /// Opens the listening socket and accepts from start_accepting() on. `passed`: a descriptor that listens on
-  /// `address` already and that other processes hold too; -1: none. The references must outlive the server.
-  /// Throws boost::system::system_error if the address cannot be listened on.
+  /// Opens the listening socket; connections are accepted only after start_accepting().
+  /// `listening_descriptor`: a descriptor that already listens on `address` and is shared with other
+  /// processes, or -1 to open a socket. The references must outlive the server. Throws
+  /// boost::system::system_error if listening on the address fails.
   Server(boost::asio::io_context& io, net::Clock& clock, const Names& names,
          engine::RequestHandler& request_handler, const boost::asio::ip::tcp::endpoint& address,
          overload::DescriptorBudget& descriptors, const overload::Settings& overload_settings,
-         net::LoadShedder& load_shedder, net::MemoryBudget& body_memory, int passed = -1);
+         net::LoadShedder& load_shedder, net::MemoryBudget& body_memory, int listening_descriptor = -1);
   ~Server() override;
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
@@ -38,20 +40,22 @@
   void on_shutdown_started() override;
   void on_drain_ended() override;
   void stop_accepting() override;
-  /// Sessions with a request or response in progress, and for a short time also those that were just accepted
-  /// and those whose last response may still be on its way. An unread request counts as in progress.
+  /// The number of sessions with a request or response in progress, plus those that have sent no request yet
+  /// and those that linger, whose last response may not have reached the client. An unread request counts as
+  /// in progress.
   std::size_t unanswered() const override;
   std::size_t open_connections() const override { return open_; }
 
   const ServerCounts& counts() const { return context_.counts; }
-  /// The counts, for the log and the operators.
+  /// The counts as one line, for the log and the operators.
   std::string summary() const;
-  /// Closes the connection whose client loses least, to free a descriptor. Returns false if there is none.
+  /// Closes the connection whose client loses least, to free a descriptor. Returns false if none may be
+  /// closed.
   ///
-  /// Connections without a request may come by hundreds and must not displace clients that send some: first
-  /// lingering connections, then those that never sent a request, the oldest first. While some of those are
-  /// too young to tell, new connections wait; only if there are few does a client between requests lose its
-  /// own.
+  /// Hundreds of connections that never send a request must not displace clients that send requests. The
+  /// order is: lingering connections first, then those that never sent a request, the oldest first. While
+  /// many connections without a request are too new to be evicted, new connections wait. Only if few of them
+  /// are open is a connection closed that is idle between requests.
   bool evict_connection();
 
  private:
--- a/src/http1/server_context.h
+++ b/src/http1/server_context.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the server and its sessions share. Used on the event loop's thread only.
+/// Data shared by the server and its sessions. Used on the event loop's thread only.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,15 @@
 
 namespace streampick::http1 {
 
-/// Since the start.
+/// Counters since the start of the server.
 struct ServerCounts {
   std::uint64_t accepted = 0;
   std::uint64_t evicted = 0;                ///< connections closed to make room for others
   std::uint64_t timed_out = 0;              ///< connections ended at a time limit
-  std::uint64_t accept_waits = 0;           ///< times that the next connection had to wait for a descriptor
-  std::uint64_t invalid_requests = 0;       ///< responses 4xx
-  std::uint64_t closed_under_pressure = 0;  ///< ended behind their first response, many being open
-  std::uint64_t shed = 0;                   ///< requests rejected because the event loop is behind
+  std::uint64_t accept_waits = 0;           ///< how often accepting paused because no descriptor was free
+  std::uint64_t invalid_requests = 0;       ///< responses with a status from 400 to 499
+  std::uint64_t closed_under_pressure = 0;  ///< ended after their first response, as many were open
+  std::uint64_t shed = 0;                   ///< requests rejected because the event loop lagged
   std::uint64_t disconnects = 0;            ///< clients that disconnected while a request was in progress
 };
 
@@ -41,7 +41,7 @@
   SessionLists sessions = {};
   ServerCounts counts = {};
   bool is_draining = false;
-  std::function<void()> on_session_closed = {};  ///< a descriptor is free again
+  std::function<void()> on_session_closed = {};  ///< called when a session's descriptor is free again
 };
 
 }  // namespace streampick::http1
--- a/src/http1/session_state.h
+++ b/src/http1/session_state.h
@@ -1,20 +1,31 @@
 /// \file
-/// The states of a client connection, and the connections in each.
+/// The states of a client connection, and the lists of the sessions in each state.
 ///
-/// | state | waits for | leaves to | time limit |
-/// | --- | --- | --- | --- |
-/// | accepted | the first request's head | reading_body, processing, responding | kRequestHeadTimeout |
-/// | idle | a further request | reading_head | overload::KeepAlivePolicy::idle_timeout() |
-/// | reading_head | the rest of a further request's head | reading_body, processing, responding |
-/// kRequestHeadTimeout | | reading_body | the rest of a buffered body | processing, uploading, responding |
-/// kBodyStallTimeout, rate | | uploading | the rest of a body that the engine reads | processing, responding
-/// | as reading_body, unless paused | | processing | the engine's response | responding | the engine's
-/// deadline | | responding | the socket, or a streamed body | idle, lingering | kResponseStallTimeout | |
-/// lingering | the client's close | (closed) | kLingerTimeout |
+/// | state        | waits for                            | time limit                             |
+/// | ------------ | ------------------------------------ | -------------------------------------- |
+/// | accepted     | head of the first request            | kRequestHeadTimeout                    |
+/// | idle         | a further request                    | KeepAlivePolicy::idle_timeout()        |
+/// | reading_head | rest of a further request's head     | kRequestHeadTimeout                    |
+/// | reading_body | rest of a buffered body              | kBodyStallTimeout and the minimum rate |
+/// | uploading    | rest of a body that the engine reads | as reading_body, unless paused         |
+/// | processing   | the engine's response                | the engine's deadline                  |
+/// | responding   | the socket, or a streamed body       | kResponseStallTimeout                  |
+/// | lingering    | the client's close                   | kLingerTimeout                         |
 ///
-/// A request with an error goes to responding from any state in which it is received. An error or close of
-/// the client's side closes the connection in any state. A message that was read in one piece passes the
-/// states between within one call.
+/// | state        | next states                                     |
+/// | ------------ | ----------------------------------------------- |
+/// | accepted     | reading_body, processing, responding, lingering |
+/// | idle         | reading_head, lingering                         |
+/// | reading_head | reading_body, processing, responding            |
+/// | reading_body | processing, uploading, responding               |
+/// | uploading    | processing, responding                          |
+/// | processing   | responding                                      |
+/// | responding   | idle, lingering                                 |
+/// | lingering    | (closed)                                        |
+///
+/// A request with an error leads to responding from any state in which a request is received. A socket error
+/// or a close by the client closes the connection in any state. A message that arrives in one read passes
+/// through the states in between within one call.
 #pragma once
 
 #include <array>
@@ -38,8 +49,8 @@
   lingering,
 };
 
-/// Owns the open sessions: one list a state, in the order in which they entered it, so that the one that has
-/// been there longest is found at once.
+/// Owns the open sessions: one list for each state, in the order in which the sessions entered it, so that
+/// the session that has been in a state longest is at the front.
 class SessionLists {
  public:
   using List = std::list<std::shared_ptr<ClientSession>>;
@@ -51,14 +62,14 @@
     List& list = lists_[index(state)];
     return list.insert(list.end(), std::move(session));
   }
-  /// To the end of the list of `to`. The position stays valid.
+  /// Moves a session to the end of the list of `to`. `position` stays valid.
   void move(Position position, SessionState from, SessionState to) {
     List& target = lists_[index(to)];
     target.splice(target.end(), lists_[index(from)], position);
   }
   void erase(Position position, SessionState state) { lists_[index(state)].erase(position); }
 
-  /// Sessions that have sent at least one request and do not linger.
+  /// The number of sessions that have sent at least one request and do not linger.
   [[nodiscard]] std::size_t active() const {
     std::size_t count = 0;
     for (const SessionState state :
--- a/src/http1/streamed_upload.cpp
+++ b/src/http1/streamed_upload.cpp
@@ -8,7 +8,7 @@
 
 std::shared_ptr<engine::BodyStream> StreamedUpload::start(std::optional<std::uint64_t> length,
                                                           std::function<void()> on_writable) {
-  stream_ = std::make_shared<engine::BodyStream>(length, kPartsWaiting);
+  stream_ = std::make_shared<engine::BodyStream>(length, kStreamBufferSize);
   stream_->on_writable = std::move(on_writable);
   return stream_;
 }
--- a/src/http1/streamed_upload.h
+++ b/src/http1/streamed_upload.h
@@ -1,5 +1,5 @@
 /// \file
-/// The writer's side of a request body that is forwarded while it arrives.
+/// The writing end of a request body that is forwarded to the server while it arrives from the client.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 class StreamedUpload {
  public:
-  /// `length`: of the body; none if it is chunked. `on_writable` is called, within calls of the engine, when
-  /// a paused upload may go on.
+  /// Opens the stream. `length` is the body's size; nullopt if the body is chunked. `on_writable` is called
+  /// from within the engine when a paused upload may continue.
   std::shared_ptr<engine::BodyStream> start(std::optional<std::uint64_t> length,
                                             std::function<void()> on_writable);
-  /// Moves the bytes into the stream, and pauses the upload when that is full.
+  /// Moves the bytes into the stream, and pauses the upload when the stream's buffer is full.
   void write(std::string& bytes);
   /// Ends the stream, if the upload is open.
   void end(engine::BodyStream::State state);
--- a/src/http1/upstream.cpp
+++ b/src/http1/upstream.cpp
@@ -11,10 +11,11 @@
 namespace streampick::http1 {
 namespace {
 
-// Up to this many connections to one server are established to spare attempts the wait for one to settle.
+// While fewer connections than this to one server are open, new ones are established so that attempts need
+// not wait for an idle one to settle.
 constexpr std::size_t kMaxConnectionsForSettling = 64;
 
-// Of an unreadable address, as much goes to the log.
+// Maximum length of an invalid address in the log, in bytes.
 constexpr std::size_t kMaxLoggedAddress = 80;
 
 }  // namespace
@@ -24,7 +25,7 @@
     : io_(io),
       clock_(clock),
       resources_(resources),
-      outcomes_(outcomes),
+      observer_(outcomes),
       name_(std::move(name)),
       settle_timer_(io),
       alive_(std::make_shared<bool>(true)) {}
@@ -47,7 +48,7 @@
   if (address == address_text_) return;
   const auto endpoint = net::parse_endpoint(address);
   if (!endpoint) {
-    net::log("address of " + name_ + " can't be read: " + address.substr(0, kMaxLoggedAddress));
+    net::log("invalid address of " + name_ + ": " + address.substr(0, kMaxLoggedAddress));
     return;
   }
   address_text_ = address;
@@ -60,7 +61,7 @@
 
 void Upstream::send(engine::AttemptId attempt, std::shared_ptr<const engine::Message> message, Time expires,
                     Time begin_by) {
-  // Commands of another protocol have no form in HTTP.
+  // Commands of the other protocols have no equivalent in HTTP.
   const engine::Operation operation = message->operation;
   if (operation == engine::Operation::other_read || operation == engine::Operation::other_write)
     return report_soon(attempt, Outcome::invalid_request);
@@ -75,8 +76,8 @@
   close_connecting();
 }
 
-// A connection that was being established for the attempt is still established: the server has done its part
-// of the work, and the pool can use it.
+// The connection that was being established for the attempt is kept: the server has already spent its share
+// of the work on it, and another attempt can use it.
 bool Upstream::cancel_unsent(engine::AttemptId attempt) { return queue_.remove(attempt); }
 
 void Upstream::cancel(engine::AttemptId attempt, engine::CancelReason reason) {
@@ -116,7 +117,8 @@
 
 void Upstream::on_connect_failed(const ConnectionPtr& connection) {
   close_connection(connection);
-  // Each attempt waits for one connection that is being established or settles: one fails with each of them.
+  // Each queued attempt counts on one connection that is being established or is about to settle: when one of
+  // those fails, one attempt fails.
   if (queue_.size() <= connecting_.size() + idle_.size()) return;
   const UpstreamAttempt attempt = queue_.pop();
   report(attempt.id, Outcome::connect_failed, {});
@@ -148,7 +150,7 @@
 }
 
 void Upstream::report(engine::AttemptId attempt, Outcome outcome, engine::Answer answer) {
-  outcomes_.on_attempt_ended(attempt, outcome, std::move(answer));
+  observer_.on_attempt_ended(attempt, outcome, std::move(answer));
 }
 
 // ---- Attempts
@@ -173,12 +175,13 @@
   report_soon(attempt.id, Outcome::not_sent);
 }
 
-// Lowers the attempt's deadline to the observer's. An attempt that waited for its connection until its own
-// end, its server's or its client's must not be written.
+// Returns whether the attempt may still be written after its wait for a connection: not after its own
+// deadline, after its server stopped taking requests, or when its client no longer needs it. Lowers the
+// attempt's deadline to the observer's.
 bool Upstream::may_begin(UpstreamAttempt& attempt) {
   const Time now = clock_.fresh();
   if (now >= sending_stops_at_ || now >= std::min(attempt.expires, attempt.begin_by)) return false;
-  const std::optional<Time> deadline = outcomes_.may_write(attempt.id);
+  const std::optional<Time> deadline = observer_.may_write(attempt.id);
   if (!deadline || now >= *deadline) return false;
   attempt.expires = std::min(attempt.expires, *deadline);
   return true;
@@ -202,13 +205,13 @@
       connect();
       continue;
     }
-    net::log("no descriptor left for a connection to " + name_);
+    net::log("no file descriptor left for a connection to " + name_);
     const UpstreamAttempt attempt = queue_.pop_newest();
     report_soon(attempt.id, Outcome::connect_failed);
   }
 }
 
-// An idle connection that will settle soon is enough for an attempt, unless responses are quicker than that
+// An attempt can wait for an idle connection to settle, unless the server usually responds faster than that
 // or several attempts wait.
 bool Upstream::should_connect() const {
   if (queue_.size() > connecting_.size() + idle_.size()) return true;
@@ -260,8 +263,8 @@
   return found == busy_.end() ? nullptr : *found;
 }
 
-// Microseconds for which the response to an attempt that is no longer needed may be waited for; 0: not at
-// all.
+// The maximum time in microseconds to wait for the response to an attempt that is no longer needed; 0 if its
+// connection must be closed at once.
 Time Upstream::max_drain_time(const UpstreamConnection& connection) const {
   if (!connection.can_drain() || clock_.now() >= sending_stops_at_) return 0;
   return resources_.cancellation.drain_timeout({.elapsed = clock_.now() - connection.request_started_at(),
--- a/src/http1/upstream.h
+++ b/src/http1/upstream.h
@@ -1,6 +1,6 @@
 /// \file
-/// The connections to one server over HTTP/1.1. Each carries one request at a time and is used again, since a
-/// new one costs the server more than a request does.
+/// The HTTP/1.1 connections to one server. Each carries one request at a time and is used again afterwards,
+/// since establishing a connection costs the server more than a request does.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -35,10 +35,11 @@
             Time begin_by) override;
   void stop_sending_at(Time time) override;
   bool cancel_unsent(engine::AttemptId attempt) override;
-  /// Drains the attempt's connection where overload::CancelRules allow it, and closes it otherwise.
+  /// Drains the attempt's connection where overload::CancellationPolicy allows it, and closes it otherwise.
   void cancel(engine::AttemptId attempt, engine::CancelReason reason) override;
   void close_idle(Time unused_since) override;
-  /// Prefers a draining connection.
+  /// Closes a draining connection if there is one, otherwise the idle connection that was used least
+  /// recently.
   bool close_oldest_idle() override;
   bool has_streaming_response() const override { return !streaming_.empty(); }
 
@@ -51,7 +52,7 @@
 
   void on_connected(const ConnectionPtr& connection);
   void on_connect_failed(const ConnectionPtr& connection);
-  /// The connection can be used again. `cancelled`: its response was drained.
+  /// The response has ended and the connection can be used again. `cancelled`: the response was drained.
   void on_response_ended(const ConnectionPtr& connection, bool cancelled);
   void on_streaming_started(const ConnectionPtr& connection);
   /// `connection` must not be an element of one of the sets below.
@@ -83,7 +84,7 @@
   boost::asio::io_context& io_;
   engine::TimeSource& clock_;
   net::UpstreamResources& resources_;
-  engine::AttemptObserver& outcomes_;
+  engine::AttemptObserver& observer_;
   std::string name_;
   std::string address_text_;
   boost::asio::ip::tcp::endpoint address_;
@@ -94,8 +95,8 @@
   ConnectionSet draining_;   // receiving the response to a cancelled attempt
   ConnectionSet streaming_;  // forwarding a response while it arrives
   ResponseTime response_time_;
-  boost::asio::steady_timer settle_timer_;  // due when an idle connection settles that an attempt waits for
-  std::shared_ptr<bool> alive_;             // posted handlers hold it weakly
+  boost::asio::steady_timer settle_timer_;  // expires when the first idle connection has settled
+  std::shared_ptr<bool> alive_;             // posted handlers hold a weak pointer, to notice the destruction
 };
 
 }  // namespace streampick::http1
--- a/src/http1/upstream_attempt.h
+++ b/src/http1/upstream_attempt.h
@@ -1,5 +1,5 @@
 /// \file
-/// An attempt on its way to one server, and the queue of those that wait for a connection.
+/// An attempt that is sent to one server, and the queue of attempts that wait for a connection.
 #pragma once
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 struct UpstreamAttempt {
   engine::AttemptId id;
   std::shared_ptr<const engine::Message> message;
-  Time expires = 0;        ///< end of the wait for its response
-  Time begin_by = kNever;  ///< its first byte must leave before
+  Time expires = 0;        ///< when the wait for its response ends
+  Time begin_by = kNever;  ///< its first byte must be written before this time
 };
 
 /// Attempts that wait for a connection, in order of arrival.
--- a/src/http1/upstream_connection.cpp
+++ b/src/http1/upstream_connection.cpp
@@ -88,14 +88,15 @@
   has_received_ = false;
   body_memory_ = {};
   net::UpstreamResources& resources = owner_->resources_;
-  decoder_.start(std::max<std::uint64_t>(kLongestAnswer, resources.streaming.max_body));
+  decoder_.start(std::max<std::uint64_t>(kMaxBufferedResponse, resources.streaming.max_body));
   writer_.start(*attempt_->message, owner_->name_, attempt_->expires, owner_->clock_.fresh());
   if (attempt_->message->upload) subscribe_to_upload();
   write_request();
   read();
 }
 
-// The downstream calls on_readable from within its own reading: the writing waits for a turn of the loop.
+// The downstream calls on_readable while it reads from the client, so the write to the server is posted to
+// the event loop.
 void UpstreamConnection::subscribe_to_upload() {
   attempt_->message->upload->on_readable = [weak = weak_from_this(), id = attempt_->id] {
     const auto connection = weak.lock();
@@ -127,10 +128,10 @@
 
 bool UpstreamConnection::may_resume_writing() const {
   if (writer_.is_deadline_stale(owner_->clock_.fresh())) return false;
-  return owner_->outcomes_.may_write(attempt_->id).has_value();
+  return owner_->observer_.may_write(attempt_->id).has_value();
 }
 
-// No outcome is reported from within Upstream::send().
+// Posted, since Upstream::send() must not report an outcome before it returns.
 void UpstreamConnection::fail_write_soon() {
   asio::post(socket_.get_executor(), [self = shared_from_this()] { self->on_write_failed(); });
 }
@@ -143,7 +144,7 @@
 void UpstreamConnection::on_request_written() {
   state_ = State::receiving;
   ++owner_->resources_.requests_sent;
-  if (received_early_) on_malformed("a response before its request");
+  if (received_early_) on_malformed("bytes arrived before the request was sent completely");
 }
 
 // ---- Receiving the response
@@ -178,17 +179,19 @@
   if (attempt_ || stream_.open()) read();
 }
 
-// A response to a request that is not written yet is not its response. The rest of a request in memory is
-// written first, since it may take effect; the rest of an upload may be long in coming and is not sent.
+// Bytes that arrive before the request was written completely can't be the response to it. The rest of a
+// request in memory is still written, since the server may run it, and the attempt then ends as malformed.
+// The rest of an upload may take long to arrive from the client and is not sent.
 void UpstreamConnection::on_early_bytes() {
   received_early_ = true;
   if (writer_.is_upload()) finish(Outcome::connect_failed, {}, false);
 }
 
-// While a write is pending it is unknown how much of the request was sent: the outcome waits for its end. To
-// report too early that it was never sent would let a write take effect twice.
+// While a write to the socket is pending, it is unknown whether the request will be sent completely, so the
+// outcome is reported only after that. If a request was reported as not sent and then was sent after all, a
+// retry would make a write take effect twice.
 void UpstreamConnection::on_disconnected() {
-  if (stream_.open()) return truncate_stream("its connection broke");
+  if (stream_.open()) return truncate_stream("connection closed or reset by the server");
   disconnected_ = true;
   if (state_ == State::sending && !writer_.starved()) return;
   finish(writer_.complete() ? Outcome::reset : Outcome::connect_failed, {}, false);
@@ -212,14 +215,16 @@
 
 // Returns false if the response was malformed.
 bool UpstreamConnection::on_head() {
-  if (is_too_soon_after_another()) return on_malformed("it arrived too soon after another"), false;
-  if (!decoder_.has_plain_framing()) return on_malformed("ambiguous length"), false;
+  if (is_too_soon_after_another())
+    return on_malformed("it arrived too soon after the previous response"), false;
+  if (!decoder_.has_unambiguous_framing()) return on_malformed("ambiguous message framing"), false;
   if (state_ == State::draining) return true;
   const std::optional<std::uint64_t> length = decoder_.content_length();
-  // Without a length nobody knows how long the body is: it is buffered no longer than a long one.
+  // A body of unknown length may be long: it is buffered for no more time than a body that is known to be
+  // long.
   if (!length && decoder_.status() == 200) stream_after(owner_->resources_.streaming.max_buffering_time);
-  if (length.value_or(0) <= kLongestBody || buffer_long_body(*length)) return true;
-  on_malformed("no memory for its body, or too long");
+  if (length.value_or(0) <= kMaxUnstreamedBody || buffer_long_body(*length)) return true;
+  on_malformed("body too long, or no memory for it");
   return false;
 }
 
@@ -229,10 +234,11 @@
          owner_->clock_.now() - last_response_at_ < kStrayResponseTime;
 }
 
-// Reserves the memory to buffer the body, or starts to stream it. Returns false if neither is possible.
+// Reserves memory to buffer the body, or starts to stream the body. Returns false if neither is possible.
 bool UpstreamConnection::buffer_long_body(std::uint64_t length) {
   net::UpstreamResources& resources = owner_->resources_;
-  if (length > resources.streaming.max_buffered_body || length > kLongestAnswer) return start_streaming();
+  if (length > resources.streaming.max_buffered_body || length > kMaxBufferedResponse)
+    return start_streaming();
   auto memory = resources.body_memory.reserve(static_cast<std::size_t>(length));
   if (!memory) return start_streaming();
   body_memory_ = std::move(*memory);
@@ -240,11 +246,12 @@
   return true;
 }
 
-// Returns false if the connection is read no further, for now or for good.
+// Returns false if the connection must not be read any further, temporarily or permanently.
 bool UpstreamConnection::on_body() {
   const bool buffers = state_ == State::receiving && decoder_.head_received();
-  if (buffers && !decoder_.content_length() && decoder_.body().size() > kLongestBody && !start_streaming()) {
-    on_malformed("a long body of no stated length");
+  if (buffers && !decoder_.content_length() && decoder_.body().size() > kMaxUnstreamedBody &&
+      !start_streaming()) {
+    on_malformed("long body without a length that can't be streamed");
     return false;
   }
   if (owner_ == nullptr) return false;
@@ -266,14 +273,15 @@
     answer.body = std::move(decoder_.body());
     answer.memory = std::move(body_memory_);
   } else if (outcome == Outcome::invalid_request) {
-    // Not the server's fault: it must not count against it, and the next one would answer the same.
-    net::log("400 from " + owner_->name_ + " for " + attempt_->message->transaction_id);
+    // The request is at fault, not the server: the outcome must not count against the server, and another
+    // server would answer the same.
+    net::log("status 400 from " + owner_->name_ + " for X-Txn " + attempt_->message->transaction_id);
   }
   finish(outcome, std::move(answer), reusable);
 }
 
-// Ends the attempt: the connection becomes idle or is closed, then the outcome is reported, unless the
-// attempt was cancelled.
+// Ends the attempt: makes the connection idle or closes it, then reports the outcome unless the attempt was
+// cancelled.
 void UpstreamConnection::finish(Outcome outcome, engine::Answer answer, bool reusable) {
   const auto self = shared_from_this();
   Upstream& owner = *owner_;
--- a/src/http1/upstream_connection.h
+++ b/src/http1/upstream_connection.h
@@ -1,16 +1,16 @@
 /// \file
-/// One connection to a server: it carries one request at a time.
+/// One connection to a server. It carries one request at a time.
 ///
-/// States and what leaves them:
+/// The states and their transitions:
 ///
 /// | state      | event                                              | next state                    |
 /// | ---------- | -------------------------------------------------- | ----------------------------- |
 /// | connecting | connected                                          | idle                          |
 /// |            | failed, timed out                                  | closed                        |
 /// | idle       | start()                                            | sending                       |
-/// |            | bytes or the end arrive while it is watched        | closed                        |
+/// |            | bytes or a close while watch_idle() reads          | closed                        |
 /// | sending    | last byte of the request written                   | receiving                     |
-/// |            | ... after bytes had arrived: malformed             | closed                        |
+/// |            | ... after bytes had been received: malformed       | closed                        |
 /// |            | write failed, upload truncated, bytes in an upload | closed                        |
 /// | receiving  | response complete                                  | idle, or closed if not reusable |
 /// |            | body too long or too slow to buffer                | streaming                     |
@@ -44,45 +44,47 @@
 
 class Upstream;
 
-/// Owned by its Upstream and by its pending operations; outlives a close() until those have ended. It reports
-/// to its Upstream by the functions that are declared there for connections.
+/// Owned by its Upstream and by its pending operations: after close() it lives until those have ended. It
+/// reports to its Upstream by the functions that are declared there for connections.
 ///
-/// From start() to the response's end the loop reads the socket. An idle connection is not read, so that
-/// is_clean() finds what arrives then; only watch_idle() reads it, to notice its end.
+/// From start() to the end of the response the socket is read. An idle connection is not read, so that
+/// is_clean() finds bytes that arrive meanwhile; only watch_idle() reads it, to notice that the server closes
+/// it.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
-  /// Counts as open in the budget of descriptors until close().
+  /// The connection counts as open in the descriptor budget from here until close().
   explicit UpstreamConnection(Upstream& owner);
   ~UpstreamConnection() = default;
   UpstreamConnection(const UpstreamConnection&) = delete;
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
 
-  /// `timeout`: microseconds; 0: the kernel's own.
+  /// `timeout` is in microseconds; 0 leaves it to the kernel's connect timeout.
   void connect(const net::tcp::endpoint& server, Time timeout);
   /// Sends the request of an attempt on an idle connection and waits for the response.
   void start(UpstreamAttempt attempt, Time now);
-  /// The attempt is cancelled: discards its response for up to `max_wait` microseconds, to use the connection
-  /// again. Only where can_drain().
+  /// Cancels the attempt, and reads and discards its response for up to `max_wait` microseconds so that the
+  /// connection can be used again. Requires can_drain().
   void drain(Time max_wait);
-  /// Closes without a report to the owner. A streamed response is truncated.
+  /// Closes the connection and reports nothing to the owner. A streamed response is truncated.
   void close();
 
-  /// Whether the request was written completely and may be abandoned without a doubt about its effect.
+  /// Whether the request was written completely and is a read, so that its response may be discarded.
   bool can_drain() const;
-  /// Whether nothing arrived on an idle connection since the last response. What did belongs to no request
-  /// (noise, a second response, the end), and would be taken for the next one's response.
+  /// Whether neither bytes nor a close arrived on an idle connection since the last response. Such bytes
+  /// (garbage or a second response) belong to no request and would be taken for the response to the next one.
   bool is_clean();
-  /// Reads an idle connection from now on, to notice its end. Returns false if it is not clean.
+  /// Reads an idle connection from now on, to notice that the server closes it. Returns false if it is not
+  /// clean.
   bool watch_idle();
 
   const std::optional<UpstreamAttempt>& attempt() const { return attempt_; }
   const net::tcp::endpoint& server() const { return server_; }
-  /// When it was established or its last response ended; 0: never.
+  /// When the last response ended, or the connection was established; 0 before that.
   Time last_used() const { return last_used_; }
   void mark_used(Time now) { last_used_ = now; }
-  /// When its last response ended; 0: none has.
+  /// When the last response ended; 0 if there was none.
   Time last_response_at() const { return last_response_at_; }
-  /// When its last request was started.
+  /// When the last request was started.
   Time request_started_at() const { return request_started_at_; }
   /// Whether a byte has arrived since the last request was started.
   bool has_received() const { return has_received_; }
@@ -117,7 +119,7 @@
 
   void stream_after(Time wait);
   bool start_streaming();
-  std::function<void()> posted(Handler handler);
+  std::function<void()> make_posted_callback(Handler handler);
   bool forward_body();
   void resume_reading();
   void on_reader_closed();
@@ -126,23 +128,23 @@
   void truncate_stream(const std::string& reason);
   void on_stream_complete(bool reusable);
 
-  Upstream* owner_;  // none once it is closed
+  Upstream* owner_;  // null once the connection is closed
   State state_ = State::connecting;
   net::tcp::endpoint server_;
   net::tcp::socket socket_;
-  boost::asio::steady_timer
-      timer_;  // connect timeout, buffering time, drain time or stall check: one at a time
+  // For the connect timeout, buffering time, drain time or stall check, of which only one runs at a time.
+  boost::asio::steady_timer timer_;
   std::optional<UpstreamAttempt> attempt_;
   RequestWriter writer_;
   ResponseDecoder decoder_;
-  engine::MemoryReservation body_memory_;  // of a long body that is buffered
+  engine::MemoryReservation body_memory_;  // for a long body that is buffered
   ResponseStream stream_;
   Time last_used_ = 0;
   Time last_response_at_ = 0;
   Time request_started_at_ = 0;
   bool has_received_ = false;
   bool received_early_ = false;  // bytes arrived while the request was being written
-  bool disconnected_ = false;    // noticed while the request was being written
+  bool disconnected_ = false;    // the server closed the connection while the request was being written
   bool reading_ = false;         // a read is pending
   std::array<char, kReadBufferSize> buffer_;
 };
--- a/src/http1/upstream_streaming.cpp
+++ b/src/http1/upstream_streaming.cpp
@@ -10,8 +10,8 @@
 
 namespace streampick::http1 {
 
-// A body that is still incomplete `wait` microseconds after its head is streamed: the client need not wait
-// for its end.
+// Starts to stream a body that is still incomplete `wait` microseconds after its head, so that the client
+// gets the first bytes before the end of the body has arrived.
 void UpstreamConnection::stream_after(Time wait) {
   timer_.expires_after(std::chrono::microseconds(wait));
   timer_.async_wait([self = shared_from_this(), id = attempt_->id](net::error_code cancelled) {
@@ -21,20 +21,20 @@
   });
 }
 
-// The attempt ends as served, with the stream as its body: a later failure truncates a response that the
+// Ends the attempt as served, with the stream as its body. A failure after that truncates a response that the
 // client has begun to read. Returns false if the response can't be streamed.
 bool UpstreamConnection::start_streaming() {
   net::UpstreamResources& resources = owner_->resources_;
   const std::optional<std::uint64_t> length = decoder_.content_length();
   if (!attempt_->message->accepts_streaming || decoder_.status() != 200) return false;
   if (length && *length > resources.streaming.max_body) return false;
-  auto memory = resources.body_memory.reserve(kPartsWaiting);
+  auto memory = resources.body_memory.reserve(kStreamBufferSize);
   if (!memory) return false;
   const auto self = shared_from_this();
   Upstream& owner = *owner_;
   const Time now = owner.clock_.now();
-  stream_.start(length, std::move(*memory), posted(&UpstreamConnection::resume_reading),
-                posted(&UpstreamConnection::on_reader_closed), now);
+  stream_.start(length, std::move(*memory), make_posted_callback(&UpstreamConnection::resume_reading),
+                make_posted_callback(&UpstreamConnection::on_reader_closed), now);
   state_ = State::streaming;
   owner.on_streaming_started(self);
   owner.response_time_.observe(now - request_started_at_);
@@ -50,9 +50,9 @@
   return true;
 }
 
-// A callback for the stream's reader, which may call from within the engine: the handler waits for a turn of
-// the loop.
-std::function<void()> UpstreamConnection::posted(Handler handler) {
+// Makes a callback for the stream's reader. The reader may call it from within the engine, so the handler is
+// posted to the event loop.
+std::function<void()> UpstreamConnection::make_posted_callback(Handler handler) {
   return [weak = weak_from_this(), handler] {
     const auto connection = weak.lock();
     if (!connection) return;
@@ -60,12 +60,12 @@
   };
 }
 
-// Returns false if the connection is read no further.
+// Returns false if the connection must not be read any further.
 bool UpstreamConnection::forward_body() {
   if (owner_ == nullptr || !stream_.open()) return false;
   std::string& body = decoder_.body();
   if (stream_.bytes_written() + body.size() > owner_->resources_.streaming.max_body) {
-    truncate_stream("longer than the limit");
+    truncate_stream("body longer than the limit");
     return false;
   }
   stream_.write(body, decoder_.complete(), owner_->clock_.now());
@@ -86,13 +86,14 @@
   owner_->close_connection(shared_from_this());
 }
 
-// Notices a server that stops in the middle of a response. A client that stops reading is its downstream's
-// concern.
+// Detects a server that stops sending in the middle of a response. A client that stops reading is detected by
+// the downstream.
 void UpstreamConnection::watch_for_stall() {
   timer_.expires_after(std::chrono::microseconds(ResponseStream::kStallTimeout));
   timer_.async_wait([self = shared_from_this()](net::error_code cancelled) {
     if (cancelled || self->owner_ == nullptr || !self->stream_.open()) return;
-    if (self->stream_.is_stalled(self->owner_->clock_.now())) return self->truncate_stream("stalled");
+    if (self->stream_.is_stalled(self->owner_->clock_.now()))
+      return self->truncate_stream("server stopped sending");
     self->watch_for_stall();
   });
 }
--- a/tests/http1/downstream_digest_test.cpp
+++ b/tests/http1/downstream_digest_test.cpp
@@ -1,5 +1,5 @@
-// Digests of what the HTTP/1.1 downstream sends, closes and reports for fixed client byte streams. The
-// constants were taken before its sources were rearranged: a change of one is a change of behaviour.
+// Digests of what the HTTP/1.1 downstream sends, closes and reports for fixed byte streams of clients. A
+// digest that no longer matches means that the behaviour has changed.
 #include <sys/socket.h>
 
 #include "http1/scripted_downstream.h"
@@ -123,13 +123,13 @@
 TEST_F(DownstreamDigest, Versions) {
   engine.respond_at_once = [] { return served("value"); };
   start();
-  const auto old = [](std::string text) { return text.replace(text.find("HTTP/1.1"), 8, "HTTP/1.0"); };
-  exchange("1.0", old(read_request()));
-  exchange("1.0, kept alive", old(read_request("Connection: keep-alive\r\n")));
+  const auto as_http10 = [](std::string text) { return text.replace(text.find("HTTP/1.1"), 8, "HTTP/1.0"); };
+  exchange("1.0", as_http10(read_request()));
+  exchange("1.0, kept alive", as_http10(read_request("Connection: keep-alive\r\n")));
   exchange("1.0 and 1.1",
-           old(read_request("Connection: keep-alive\r\n")) + read_request("Connection: Close\r\n"), 2);
-  exchange("1.0, bad", old(request("GET", "/song/1", "song", "Connection: keep-alive\r\n")));
-  exchange("1.0, 405", old(request("POST", "/read/1", "read")));
+           as_http10(read_request("Connection: keep-alive\r\n")) + read_request("Connection: Close\r\n"), 2);
+  exchange("1.0, bad", as_http10(request("GET", "/song/1", "song", "Connection: keep-alive\r\n")));
+  exchange("1.0, 405", as_http10(request("POST", "/read/1", "read")));
   record_counts();
   expect_digest(6676142719619157017U);
 }
@@ -168,7 +168,7 @@
 }
 
 TEST_F(DownstreamDigest, BytesSentAheadAreBounded) {
-  // All that is sent ahead fits into the receive buffer: how it is cut into reads does not depend on time.
+  // All pipelined bytes fit into the receive buffer, so the sizes of the reads do not depend on timing.
   constexpr std::size_t kReceiveBuffer = 200'000;
   net::tcp::acceptor listening(io);
   listening.open(net::tcp::v4());
@@ -205,7 +205,7 @@
 
 TEST_F(DownstreamDigest, Responses) {
   start();
-  const auto old = [](std::string text) { return text.replace(text.find("HTTP/1.1"), 8, "HTTP/1.0"); };
+  const auto as_http10 = [](std::string text) { return text.replace(text.find("HTTP/1.1"), 8, "HTTP/1.0"); };
   std::size_t requests = 0;
   const auto respond = [&](const std::string& name, const std::string& text, engine::Response response) {
     const auto client = connect();
@@ -240,7 +240,7 @@
     return stream;
   };
   for (const bool is_old : {false, true}) {
-    const std::string text = is_old ? old(read_request()) : read_request();
+    const std::string text = is_old ? as_http10(read_request()) : read_request();
     const std::string version = is_old ? "1.0 " : "1.1 ";
     respond(version + "length", text, served(stream_of(5, "value", State::complete)));
     respond(version + "no length", text, served(stream_of({}, "value", State::complete)));
@@ -271,11 +271,12 @@
   start();
   const std::string body = body_of(2 * 1024 * 1024);
   std::size_t requests = 0;
-  // The request is open and its body is read as it comes; `behind` follows in the same stream.
-  const auto upload = [&](const std::string& name, const std::string& text, const std::string& behind,
+  // Sends a request whose body the engine reads as it arrives. `following` is sent after `text` on the same
+  // connection.
+  const auto upload = [&](const std::string& name, const std::string& text, const std::string& following,
                           std::size_t size) {
     const auto client = connect();
-    send(*client, text + behind);
+    send(*client, text + following);
     EXPECT_TRUE(has_requests(++requests)) << name;
     EXPECT_TRUE(run_until([&] { return !engine.open.empty() && engine.open[0].upload.size() == size; }))
         << name;
@@ -339,7 +340,7 @@
   expect_digest(14393336585352176689U);
 }
 
-TEST_F(DownstreamDigest, UploadsOverTheLongestAreRejected) {
+TEST_F(DownstreamDigest, UploadsOverTheMaximumAreRejected) {
   start();
   const std::string body = body_of(2 * 1024 * 1024);
   const auto client = connect();
@@ -383,7 +384,7 @@
   expect_digest(4797648746650563130U);
 }
 
-TEST_F(DownstreamDigest, ClientsThatLeave) {
+TEST_F(DownstreamDigest, ClientsThatDisconnect) {
   start();
   for (const Client::Way way : {Client::Way::fin, Client::Way::reset}) {
     for (const std::string& ahead : {std::string(), read_request(), std::string(10'000, 'x')}) {
@@ -524,7 +525,7 @@
   expect_digest(16694928666294934791U);
 }
 
-TEST_F(DownstreamDigest, EvictionWhereDescriptorsAreShort) {
+TEST_F(DownstreamDigest, EvictionWithoutFreeDescriptors) {
   engine.respond_at_once = [] { return served("value"); };
   overload.connection_pressure_share = 1;
   descriptors = overload::DescriptorBudget({8, 2, 2});
@@ -536,7 +537,7 @@
       send(*clients.back(), read_request());
       ASSERT_TRUE(has_responses(*clients.back(), 1));
     }
-    run_for(milliseconds(60));  // a silent connection is evicted only once it is older than 50 ms
+    run_for(milliseconds(60));  // a connection without a request is evicted only if it is older than 50 ms
   }
   record_counts();
   for (int i = 0; i < 5; ++i) {
@@ -571,8 +572,9 @@
 TEST_F(DownstreamDigest, LoadSheddingWhileTheLoopIsBehind) {
   overload.target_loop_lag = 1;
   start();
-  // Every probe is late: within some windows the level reaches its maximum.
-  const auto hold_loop_up = [&](milliseconds time) {
+  // Makes every probe of the event loop late, so that the shedding level reaches its maximum within a few
+  // windows.
+  const auto delay_loop = [&](milliseconds time) {
     const auto end = std::chrono::steady_clock::now() + time;
     while (std::chrono::steady_clock::now() < end) {
       load_shedder().on_client_activity();
@@ -580,18 +582,18 @@
       run_once();
     }
   };
-  const auto hurried = [](std::string text) { return text.replace(text.find("5.25"), 4, "0.00"); };
+  const auto without_time_left = [](std::string text) { return text.replace(text.find("5.25"), 4, "0.00"); };
   const auto exchange_behind = [&](const std::string& name, const std::string& text,
                                    std::size_t responses = 1) {
-    hold_loop_up(milliseconds(150));
+    delay_loop(milliseconds(150));
     exchange(name, text, responses);
   };
-  hold_loop_up(milliseconds(1'500));
-  exchange_behind("read", hurried(read_request()));
-  exchange_behind("two", hurried(read_request()) + hurried(read_request()), 2);
-  exchange_behind("body to come", hurried(write_request(body_of(1'000'000)).substr(0, 300)));
-  exchange_behind("bad path", hurried(request("GET", "/song/1", "song")));
-  exchange_behind("no path", hurried(request("GET", "*", "read")));
+  delay_loop(milliseconds(1'500));
+  exchange_behind("read", without_time_left(read_request()));
+  exchange_behind("two", without_time_left(read_request()) + without_time_left(read_request()), 2);
+  exchange_behind("body to come", without_time_left(write_request(body_of(1'000'000)).substr(0, 300)));
+  exchange_behind("bad path", without_time_left(request("GET", "/song/1", "song")));
+  exchange_behind("no path", without_time_left(request("GET", "*", "read")));
   exchange_behind("bad time", request("GET", "/read/1", "read", "X-Remaining: 1\r\n"));
   record_counts();
   expect_digest(503777692283660611U);
--- a/tests/http1/scripted_downstream.h
+++ b/tests/http1/scripted_downstream.h
@@ -1,9 +1,9 @@
 /// \file
-/// The HTTP/1.1 downstream between raw clients and a scripted engine, and a transcript of all that leaves it:
-/// the bytes and the end that each client sees, the calls that the engine gets, and the counts.
+/// The HTTP/1.1 downstream between raw clients and a scripted engine, and a transcript of its behaviour: the
+/// bytes that each client receives and how its connection ends, the calls to the engine, and the counters.
 ///
-/// A transcript holds no time. What a client sees is taken once the test's condition holds, and again when
-/// nothing is left to run.
+/// A transcript contains no times. The bytes that a client has received are recorded only after no handler is
+/// left to run, so that the transcript does not depend on timing.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 
 namespace streampick::test {
 
-/// FNV-1a.
+/// The 64-bit FNV-1a hash.
 inline std::uint64_t digest_of(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325U;
   for (const char character : text) {
@@ -34,7 +34,7 @@
   return hash;
 }
 
-/// Printable, on one line; longer texts by size and digest, with their first bytes.
+/// The text in printable form on one line. Of a long text: its first bytes, size and digest.
 inline std::string printable(std::string_view text) {
   constexpr std::size_t kMaxPrinted = 600;
   std::string printed;
@@ -63,7 +63,7 @@
   std::string text_;
 };
 
-/// Records each call. Answers at once where `respond_at_once` is set; otherwise keeps the request open until
+/// Records each call. Responds at once where `respond_at_once` is set, otherwise keeps the request open until
 /// the test responds.
 class ScriptedEngine final : public engine::RequestHandler {
  public:
@@ -71,7 +71,7 @@
     RequestId id = 0;
     std::shared_ptr<engine::ResponseSink> sink;
     engine::IncomingRequest incoming;
-    std::string upload = {};  ///< what was read of its streamed body
+    std::string upload = {};  ///< the part of its streamed body that was read
   };
 
   explicit ScriptedEngine(Transcript& transcript) : transcript_(transcript) {}
@@ -110,7 +110,7 @@
     open.erase(open.begin());
     request.sink->respond(request.incoming.tag, std::move(response));
   }
-  /// Reads what has come of the streamed bodies of open requests.
+  /// Reads the bytes that have arrived of the streamed bodies of open requests.
   void read_uploads() {
     for (OpenRequest& request : open) {
       std::string part;
@@ -123,7 +123,7 @@
   [[nodiscard]] std::size_t cancelled() const { return cancelled_; }
 
   std::function<engine::Response()> respond_at_once;
-  bool rejects_id = false;  ///< every request has the transaction id of an open one
+  bool rejects_id = false;  ///< rejects every request as if its transaction id was in use
   std::vector<OpenRequest> open;
 
  private:
@@ -173,10 +173,10 @@
  protected:
   using Client = RawClient;
 
-  /// `passed`: a listening descriptor that the downstream shares, or -1.
-  void start(int passed = -1) {
+  /// `listening_descriptor` is a listening socket that the downstream shares, or -1.
+  void start(int listening_descriptor = -1) {
     server = std::make_unique<http1::Server>(io, clock, names, engine, any_address(), descriptors, overload,
-                                             load_shedder(), body_memory, passed);
+                                             load_shedder(), body_memory, listening_descriptor);
     server->start_accepting();
   }
   static net::tcp::endpoint any_address() { return {asio::ip::make_address("127.0.0.1"), 0}; }
@@ -200,10 +200,10 @@
     engine.read_uploads();
     return handlers;
   }
-  [[nodiscard]] bool run_until(const std::function<bool()>& holds) {
-    const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!holds()) {
-      if (std::chrono::steady_clock::now() > give_up) return false;
+  [[nodiscard]] bool run_until(const std::function<bool()>& condition) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    while (!condition()) {
+      if (std::chrono::steady_clock::now() > deadline) return false;
       run_once();
     }
     return true;
@@ -212,22 +212,22 @@
     const auto end = std::chrono::steady_clock::now() + time;
     while (std::chrono::steady_clock::now() < end) run_once();
   }
-  /// Runs what is ready and what follows from it, until nothing happened for some turns.
+  /// Runs the event loop until no handler was ready for several turns.
   void settle() {
     constexpr int kQuietTurns = 5;
-    const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(2);
-    for (int quiet_turns = 0; quiet_turns < kQuietTurns && std::chrono::steady_clock::now() < give_up;) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(2);
+    for (int quiet_turns = 0; quiet_turns < kQuietTurns && std::chrono::steady_clock::now() < deadline;) {
       quiet_turns = run_once() == 0 ? quiet_turns + 1 : 0;
     }
   }
 
-  /// Writes all of it. What fits into a receive buffer is delivered before the downstream runs, so that it is
-  /// read in full chunks; longer texts are written while it runs.
+  /// Writes all of `text`. A text that fits into the receive buffer is delivered before the downstream runs,
+  /// so that it is read in full chunks. A longer text is written while the downstream runs.
   void send(Client& client, std::string_view text, std::size_t receive_buffer = 60'000) {
     const bool fits = text.size() <= receive_buffer;
-    const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     net::error_code error;
-    while (!text.empty() && std::chrono::steady_clock::now() < give_up) {
+    while (!text.empty() && std::chrono::steady_clock::now() < deadline) {
       text.remove_prefix(client.socket.write_some(asio::buffer(text.data(), text.size()), error));
       if (error && error != asio::error::would_block) return;
       if (error) run_once();
@@ -237,7 +237,7 @@
       return;
     }
     int undelivered = 1;
-    while (undelivered > 0 && std::chrono::steady_clock::now() < give_up) {
+    while (undelivered > 0 && std::chrono::steady_clock::now() < deadline) {
       if (::ioctl(client.socket.native_handle(), SIOCOUTQ, &undelivered) != 0) return;
       run_once();
     }
@@ -258,8 +258,8 @@
     return run_until([&] { return engine.requests() >= count; });
   }
 
-  /// Adds what the client has received so far, and how its connection stands. A client whose connection was
-  /// ended closes it, so that it does not linger.
+  /// Adds the bytes that the client has received and the state of its connection to the transcript. If the
+  /// downstream has ended the connection, the client closes it too, so that it does not linger.
   void record(const std::string& name, Client& client) {
     settle();
     client.take();
@@ -277,7 +277,7 @@
     transcript.add(server->summary() + " unanswered=" + std::to_string(server->unanswered()));
     transcript.add("memory=" + std::to_string(body_memory.reserved()));
   }
-  /// One connection for each text: the responses and the end.
+  /// Sends `text` on a new connection and records the responses and the state of the connection.
   void exchange(const std::string& name, const std::string& text, std::size_t responses = 1) {
     const auto client = connect();
     send(*client, text);
