--- a/cmake/etcd.cmake
+++ b/cmake/etcd.cmake
@@ -1,4 +1,5 @@
-# The roster from etcd: its API's messages, the client on a thread of its own, and the stand-in for tests.
+# The endpoint list from etcd: messages of etcd's API, the client, which runs on its own thread, and the stand-in
+# server for tests.
 include(cmake/proto.cmake)
 
 streampick_proto(streampick_etcd_rpc streampick/etcd/rpc.proto)
@@ -18,7 +19,7 @@
   PROPERTIES POSITION_INDEPENDENT_CODE ON)
 list(APPEND streampick_parts streampick_etcd streampick_etcd_standin)
 
-# The publishing side: a server's entry, kept alive while the server is.
+# streampick_roster publishes a server's entry in etcd and keeps its lease alive while the server runs.
 add_executable(streampick_roster_tool tools/roster.cpp)
 set_target_properties(streampick_roster_tool PROPERTIES OUTPUT_NAME streampick_roster)
 target_link_libraries(streampick_roster_tool PRIVATE streampick_etcd_core streampick_etcd_proto CLI11::CLI11)
--- a/cmake/fleet.cmake
+++ b/cmake/fleet.cmake
@@ -1,7 +1,7 @@
-# The fleet's view. Its core does no I/O; its datagrams are protobuf's, without gRPC.
+# The membership view of the fleet. Its core does no I/O; its datagrams are protobuf messages, without gRPC.
 streampick_find_package(Protobuf)
 set(streampick_messages ${CMAKE_CURRENT_BINARY_DIR}/membership)
-# Sets OUT to the source that protoc makes of proto/streampick/NAME.proto.
+# Sets OUT to the source file that protoc generates from proto/streampick/NAME.proto.
 function(streampick_plain_proto name out)
   set(made ${streampick_messages}/streampick/${name}.pb)
   add_custom_command(OUTPUT ${made}.cc ${made}.h
@@ -13,7 +13,7 @@
   set(${out} ${made}.cc PARENT_SCOPE)
 endfunction()
 streampick_plain_proto(membership streampick_membership_proto)
-# Records and addresses, which reading the settings needs as well: no codec, no protocol.
+# Records and addresses, which the settings need as well: no codec, no protocol.
 add_library(streampick_membership_records STATIC src/membership/address.cpp src/membership/record.cpp)
 target_compile_features(streampick_membership_records PUBLIC cxx_std_20)
 target_include_directories(streampick_membership_records PUBLIC ${CMAKE_CURRENT_SOURCE_DIR}/src)
@@ -30,7 +30,7 @@
 target_include_directories(streampick_membership SYSTEM PRIVATE ${streampick_messages} ${XXHASH_INCLUDE})
 target_link_libraries(streampick_membership PUBLIC streampick_membership_records PRIVATE protobuf::libprotobuf)
 
-# Limits that routers share. Its core does no I/O.
+# Limits that routers share by leases. The core does no I/O.
 streampick_plain_proto(shares streampick_shares_proto)
 set(streampick_shares_core src/shares/candidate_order.cpp src/shares/election.cpp src/shares/fair_division.cpp
   src/shares/lease_granter.cpp src/shares/lease_holder.cpp src/shares/lease_protocol.cpp src/shares/lease_table.cpp)
@@ -39,15 +39,15 @@
 target_include_directories(streampick_shares SYSTEM PRIVATE ${streampick_messages} ${XXHASH_INCLUDE})
 target_link_libraries(streampick_shares PUBLIC streampick_membership PRIVATE protobuf::libprotobuf)
 
-# Many cores on virtual time: for tests, measurements and plots; nothing of the router links it.
+# Many protocol instances on virtual time, for tests, measurements and plots. The router does not link it.
 add_library(streampick_emulator STATIC EXCLUDE_FROM_ALL src/emulator/simulated_network.cpp)
 target_link_libraries(streampick_emulator PUBLIC streampick_membership streampick_shares)
-# The section of the options file, which the client library reads over as well: no codec, no core.
+# The [fleet] and [shares] sections of the options file, which the client library parses as well: no codec, no core.
 target_sources(streampick_platform PRIVATE src/fleet/options.cpp src/fleet/share_options.cpp)
 target_include_directories(streampick_platform SYSTEM PRIVATE ${XXHASH_INCLUDE})
 target_compile_definitions(streampick_platform PUBLIC STREAMPICK_WITH_FLEET)
 target_link_libraries(streampick_platform PUBLIC streampick_membership_records)
-# The shell on a socket, and what the daemon does with the view.
+# The membership protocol on a socket, and the daemon's use of the view.
 add_library(streampick_fleet_parts STATIC src/fleet/demand_sampler.cpp src/fleet/fleet.cpp
   src/fleet/fleet_status.cpp
   src/fleet/shared_limits.cpp src/fleet/shared_limits_status.cpp src/membership/gossip_socket.cpp
@@ -55,7 +55,7 @@
 target_link_libraries(streampick_fleet_parts PUBLIC streampick_membership streampick_shares streampick_platform)
 target_link_libraries(streampick_daemon PUBLIC streampick_fleet_parts)
 if(STREAMPICK_RESP)
-  # Beds of processes, and the tool that plays them.
+  # The testbed of router processes, and the tool that runs its scripts.
   add_library(streampick_testbed STATIC EXCLUDE_FROM_ALL src/testbed/bed.cpp src/testbed/chart.cpp src/testbed/relay.cpp
     src/testbed/script.cpp src/testbed/stream_relay.cpp src/testbed/views.cpp)
   target_link_libraries(streampick_testbed PUBLIC streampick_standin streampick_membership streampick_options)
--- a/cmake/grpc.cmake
+++ b/cmake/grpc.cmake
@@ -1,7 +1,7 @@
-# The adaptor for stubs of gRPC C++: it stands on the client library's public face and adds gRPC and protobuf.
+# The adaptor for gRPC C++ stubs. It uses the client library's public API and adds gRPC and protobuf.
 include(cmake/proto.cmake)
 
-# Shared: what it makes of route.proto is registered with protobuf once in a process, whoever links it.
+# A shared library, so that the code generated from route.proto is registered with protobuf only once per process.
 streampick_proto(streampick_route_sources streampick/route.proto)
 add_library(streampick_grpc SHARED src/grpc/answer.cpp src/grpc/channel.cpp src/grpc/key_template.cpp
   src/grpc/route_table.cpp src/grpc/routed_call.cpp ${streampick_route_sources})
@@ -12,8 +12,8 @@
 target_include_directories(streampick_grpc SYSTEM PUBLIC
   $<BUILD_INTERFACE:${CMAKE_CURRENT_BINARY_DIR}/proto>)
 
-# Installed beside the client library, with route.proto for services that annotate their methods and what protoc
-# made of it: `streampick_add_grpc_service` in streampick-config.cmake compiles such a service.
+# Installed with the client library, with route.proto, which services import to annotate their methods, and with the
+# header generated from it: `streampick_add_grpc_service` in streampick-config.cmake compiles such a service.
 install(TARGETS streampick_grpc EXPORT streampick-grpc-targets)
 install(EXPORT streampick-grpc-targets NAMESPACE streampick:: DESTINATION ${CMAKE_INSTALL_LIBDIR}/cmake/streampick)
 install(FILES proto/streampick/route.proto DESTINATION ${CMAKE_INSTALL_DATADIR}/streampick/proto/streampick)
@@ -28,7 +28,7 @@
 set_source_files_properties(${streampick_route_sources} PROPERTIES COMPILE_OPTIONS "-w")
 list(APPEND streampick_parts streampick_grpc)
 
-# The project's own service, for programs that have none: tests, the example, the measurement.
+# A sample service for tests, the example and the measurements.
 streampick_proto(streampick_tiles_sources streampick/tiles.proto)
 add_library(streampick_tiles STATIC EXCLUDE_FROM_ALL ${streampick_tiles_sources})
 target_link_libraries(streampick_tiles PUBLIC streampick_grpc)
--- a/cmake/packages.cmake
+++ b/cmake/packages.cmake
@@ -1,8 +1,8 @@
-# Finds what the build needs and, where it is missing, names the Debian package of cmake/packages.txt.
+# Finds the build's dependencies. If one is missing, the error names its Debian package from cmake/packages.txt.
 include_guard(GLOBAL)
 set(streampick_packages ${CMAKE_CURRENT_LIST_DIR}/packages.txt)
 
-# Ends the configuration with the package that brings `what`.
+# Stops the configuration with an error that names the package which contains `what`.
 function(streampick_missing what)
   file(STRINGS ${streampick_packages} rows REGEX "^[a-z]")
   foreach(row ${rows})
@@ -10,7 +10,7 @@
     list(GET row 1 package)
     list(GET row 2 sought)
     if(sought STREQUAL what)
-      message(FATAL_ERROR "${what} was not found, or an old one: apt-get install ${package}")
+      message(FATAL_ERROR "${what} was not found, or is too old: apt-get install ${package}")
     endif()
   endforeach()
   message(FATAL_ERROR "${what} was not found, and cmake/packages.txt names no package for it")
--- a/cmake/proto.cmake
+++ b/cmake/proto.cmake
@@ -1,9 +1,9 @@
-# protoc and gRPC, for the parts that speak it.
+# protoc and gRPC, for the parts that use gRPC.
 include_guard(GLOBAL)
 streampick_find_package(Protobuf)
 streampick_find_package(gRPC CONFIG)
 
-# Sets OUT to what protoc and gRPC's plug-in make of a .proto file under proto/.
+# Sets OUT to the files that protoc and gRPC's plug-in generate from a .proto file under proto/.
 function(streampick_proto out proto)
   string(REGEX REPLACE "\\.proto$" "" stem ${proto})
   set(dir ${CMAKE_CURRENT_BINARY_DIR}/proto)
--- a/fuzz/cases.h
+++ b/fuzz/cases.h
@@ -1,4 +1,5 @@
-// The drivers' own cases, where no fuzzer drives: the same each time.
+// Generates the cases of the fuzz targets when they run without libFuzzer. The cases are the same in every
+// run.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
     state_ = state_ * 6364136223846793005U + 1442695040888963407U;
     return state_ >> 33U;
   }
-  // Some bytes changed, at most so many.
+  // Overwrites up to `most` bytes with random values.
   void spoil(std::string& bytes, std::uint64_t most) {
     for (std::uint64_t n = (*this)() % (most + 1); n > 0 && !bytes.empty(); --n)
       bytes[(*this)() % bytes.size()] = static_cast<char>((*this)());
@@ -24,7 +25,7 @@
   std::uint64_t state_ = 20261201;
 };
 
-// `one` for each of as many cases as the command line says.
+// Calls `one` for each case; the command line gives the number of cases, 20,000 by default.
 template <typename One>
 long each_case(int argc, char** argv, One one) {
   const long cases = argc > 1 ? std::atol(argv[1]) : 20'000;
--- a/fuzz/resp_decode.cpp
+++ b/fuzz/resp_decode.cpp
@@ -1,6 +1,6 @@
-// Fuzz target of the RESP decoder: whatever comes, it neither crashes nor reads past its limits, and it reads
-// the same in one part and byte by byte. With libFuzzer (STREAMPICK_FUZZ, clang) it is that library's target;
-// without, `main` below drives it with cases of a fixed seed, which is what the tests run.
+// Fuzzes the RESP decoder: it must neither crash nor exceed its limits on any input, and must read the same
+// values whether it gets the input at once or byte by byte. Built with libFuzzer (STREAMPICK_FUZZ, clang) or
+// with `main` below, which generates cases from a fixed seed; the tests run the latter.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -39,13 +39,13 @@
     bytes.remove_prefix(part.size());
     while (!part.empty() && !decoder.failed()) {
       const std::size_t used = decoder.put(part);
-      require(used <= part.size(), "used more than there was");
+      require(used <= part.size(), "consumed more bytes than given");
       require(used > 0 || decoder.done() || decoder.failed(), "no progress");
       part.remove_prefix(used);
       if (!decoder.done()) continue;
       std::string again;
       encode(decoder.take(), Version::resp3, again);
-      require(again.size() <= limits.bytes * 2 + limits.items * 32 + 1024, "a value past the limits");
+      require(again.size() <= limits.bytes * 2 + limits.items * 32 + 1024, "a value exceeds the limits");
       out.values.push_back(std::move(again));
     }
   }
@@ -67,15 +67,16 @@
   for (const bool commands : {false, true}) {
     limits.inline_commands = limits.commands_only = commands;
     require(read_all(bytes, bytes.size() + 1, limits) == read_all(bytes, 1, limits),
-            "a split changed what was read");
+            "splitting the input changed the result");
   }
-  // What encodes must decode to the same bytes again.
+  // A value must stay the same when it is encoded and decoded again.
   limits.inline_commands = limits.commands_only = false;
   for (const std::string& value : read_all(bytes, bytes.size() + 1, limits).values) {
     const Read again = read_all(value, value.size(), Limits{});
     require(again.values.size() == 1 && again.values.front() == value, "a round trip changed a value");
   }
-  // A client's bytes through the whole conversation, a server's through a pipeline with something owed.
+  // The input as a client's bytes to a conversation, and as a server's bytes to a pipeline with pending
+  // attempts.
   FrontRules rules;
   Conversation talk(rules, 1);
   talk.put(bytes);
@@ -92,14 +93,14 @@
   }
   pipe.put(bytes);
   pipe.end();
-  require(pipe.take_ended().size() == 3, "an attempt without one outcome");
+  require(pipe.take_ended().size() == 3, "an attempt has no outcome or more than one");
   return 0;
 }
 
 #ifndef STREAMPICK_LIBFUZZER
 int main(int argc, char** argv) {
   streampick::fuzz::Draw next;
-  // Pieces of the grammar, so that a fair share of what is put together can be read.
+  // Parts of the grammar, so that a large share of the generated inputs is valid.
   const std::vector<std::string> pieces = {"*1\r\n",
                                            "*2\r\n",
                                            "*3\r\n",
--- a/src/standin/etcd/history.h
+++ b/src/standin/etcd/history.h
@@ -1,5 +1,5 @@
-// What etcd keeps, in small: the history of a key space by revisions, with leases and compaction. No I/O; the
-// stand-in server and the tests on virtual time share it.
+// A model of etcd's storage: the history of a key space by revision, with leases and compaction. Does no I/O;
+// the stand-in server and the tests on virtual time share it.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,10 @@
 
   struct Change {
     std::string key;
-    std::optional<std::string> value;  // nothing: a delete
+    std::optional<std::string> value;  // no value: deletes the key
     std::int64_t lease = 0;
   };
-  // One transaction: all at one revision. A delete of what is not there changes nothing.
+  // Applies one transaction: all changes have the same revision. Deleting a missing key changes nothing.
   std::int64_t commit(const std::vector<Change>& changes) {
     const std::int64_t at = revision_ + 1;
     bool any = false;
@@ -58,21 +58,21 @@
     return commit({{key, value, lease}});
   }
   std::int64_t remove(const std::string& key) { return commit({{key, std::nullopt, 0}}); }
-  // All keys of a lease go, in one transaction.
+  // Deletes all keys of a lease in one transaction.
   std::int64_t end_lease(std::int64_t lease) {
     std::vector<Change> changes;
     for (const auto& [key, of] : leases_)
       if (of == lease) changes.push_back({key, std::nullopt, 0});
     return commit(changes);
   }
-  // History up to and with `at` is forgotten; the state at it stays.
+  // Discards the history up to and including revision `at`; the state at `at` is kept.
   void compact(std::int64_t at) {
     if (at <= compacted_ || at > revision_) return;
     base_ = state(at);
     log_.erase(log_.begin(), log_.upper_bound(at));
     compacted_ = at;
   }
-  // Back to what it was: a restore from a backup. Revisions go back with it.
+  // Restores the state at revision `at`, as from a backup. The revision counter goes back to `at` as well.
   void restore(std::int64_t at) {
     if (at < compacted_ || at > revision_) return;
     now_ = state(at);
@@ -80,7 +80,7 @@
     leases_.clear();
     revision_ = at;
   }
-  // All keys as of `at`, which must not be below compacted().
+  // Returns all keys as of revision `at`, which must not be below compacted().
   std::map<std::string, KeyValue> state(std::int64_t at) const {
     std::map<std::string, KeyValue> out = base_;
     for (auto it = log_.begin(); it != log_.end() && it->first <= at; ++it) {
@@ -93,7 +93,7 @@
     return out;
   }
   const std::map<std::string, KeyValue>& now() const { return now_; }
-  // Events of revisions from `from` to `to`, in order.
+  // Returns the events of revisions `from` to `to`, in order.
   std::vector<Event> events(std::int64_t from, std::int64_t to) const {
     std::vector<Event> out;
     for (auto it = log_.lower_bound(from); it != log_.end() && it->first <= to; ++it)
--- a/src/standin/etcd/server.cpp
+++ b/src/standin/etcd/server.cpp
@@ -35,7 +35,7 @@
     server = builder.BuildAndStart();
   }
 
-  // With the lock held.
+  // Requires that the cluster's mutex is held.
   void head(pb::ResponseHeader& header, std::int64_t revision) const {
     header.set_cluster_id(owner.faults_.cluster_id != 0 ? owner.faults_.cluster_id
                                                         : owner.cluster_->history.cluster_id);
@@ -43,7 +43,7 @@
     header.set_revision(revision);
     header.set_raft_term(2);
   }
-  // Leases that nobody kept alive end, and their keys with them.
+  // Ends expired leases and deletes their keys.
   void expire() {
     const auto now = std::chrono::steady_clock::now();
     for (auto it = leases.begin(); it != leases.end();) {
@@ -56,7 +56,7 @@
       owner.cluster_->changed.notify_all();
     }
   }
-  // A fault that ends, or holds, every call.
+  // Applies the faults of every call: returns an error, or waits until the server is no longer silent.
   Status met(grpc::ServerContext& context, std::unique_lock<std::mutex>& lock) {
     expire();
     if (owner.faults_.unavailable) return {StatusCode::UNAVAILABLE, "etcdserver: no leader"};
@@ -170,13 +170,13 @@
       const Status status = serve(lock, *context, *stream, create, sent, generation, asked);
       --owner.open_watches;
       lock.unlock();
-      context->TryCancel();  // so that the reader ends
+      context->TryCancel();  // ends the thread that reads from the stream
       reads.join();
       return status;
     }
 
    private:
-    // Writes without the lock, which is held before and after.
+    // Writes with the lock released. The lock is held before and after.
     static bool write(std::unique_lock<std::mutex>& lock, Stream& stream, const pb::WatchResponse& reply) {
       lock.unlock();
       const bool ok = stream.Write(reply);
@@ -325,7 +325,7 @@
   }
 
   EtcdServer& owner;
-  std::map<std::string, int> tokens;  // calls left; 0: any number
+  std::map<std::string, int> tokens;  // by token, the number of calls left; 0: no limit
   std::uint64_t last_token = 0;
   struct Granted {
     std::chrono::seconds ttl;
--- a/src/standin/http_cache.cpp
+++ b/src/standin/http_cache.cpp
@@ -39,7 +39,7 @@
     owner.connections_.erase(shared_from_this());
     if (std::exchange(at_work_, false)) owner.came_free();
   }
-  // Its turn in the line.
+  // Starts to serve the request, which takes a slot for `delay`.
   void work() {
     at_work_ = true;
     ++owner_->at_work_;
@@ -61,7 +61,7 @@
   void end_work() {
     if (std::exchange(counted_, false)) --owner_->working;
   }
-  // Whoever asked may be gone before it is answered.
+  // Closes the connection if the client closes it before its request is answered.
   void watch() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
       if (error || self->owner_ == nullptr || !self->counted_) return;
@@ -151,7 +151,7 @@
   while (!in_line_.empty() && at_work_ < slots) {
     const auto next = in_line_.front().lock();
     in_line_.pop_front();
-    if (next && next->open()) next->work();  // else it has gone meanwhile
+    if (next && next->open()) next->work();  // skips connections that closed while queued
   }
 }
 
--- a/src/standin/http_cache.h
+++ b/src/standin/http_cache.h
@@ -1,5 +1,5 @@
-// A stand-in for a cache or origin that speaks HTTP/1.1: each GET and PUT is answered 200, or 404 where it
-// holds no values. For measurements and the demo; never a part of the router.
+// A stand-in for a cache server or origin that speaks HTTP/1.1. It answers GET and PUT with 200, or with 404
+// if it holds no value. For measurements, tests and the testbed; not part of the router.
 #pragma once
 
 #include <atomic>
@@ -16,7 +16,7 @@
 
 class HttpCache {
  public:
-  // Answers each read with `value`; empty: with 404.
+  // Answers each read with `value`, or with 404 if `value` is empty.
   HttpCache(boost::asio::io_context& io, std::string value);
   ~HttpCache();
   HttpCache(const HttpCache&) = delete;
@@ -24,15 +24,16 @@
   std::string address() const;
   std::uint64_t requests = 0;
   std::uint64_t accepted_connections = 0;
-  std::atomic<std::chrono::milliseconds> delay{};  // before each answer; may be set from another thread
-  // A server of a bounded strength: so many requests at work at once, each for `delay`, so many in line
-  // behind them, and what comes then is turned away. 0 slots: no bound. Set before the first request.
+  std::atomic<std::chrono::milliseconds> delay{};  // time before each answer; may be set from another thread
+  // Limits the server to `slots` requests in progress, each for `delay`, and `line` queued requests; further
+  // requests are answered with 503. 0 slots: no limit. Must be set before the first request.
   std::size_t slots = 0, line = 0;
   std::uint64_t turned_away = 0;
-  // Requests that are at work, from when they are read until they are answered or their connection ends; and
-  // the most there were at once since this was set to 0. May be read, and set, from another thread.
+  // `working` counts the requests in progress: from when a request is read until it is answered or its
+  // connection ends. `most_working` is their maximum since it was last set to 0. Both may be used from
+  // another thread.
   std::atomic<std::size_t> working{0}, most_working{0};
-  std::uint64_t keys = 0;  // holds only that share of keys: those whose hash is no multiple of it; 0: all
+  std::uint64_t keys = 0;  // lacks each key whose hash is a multiple of this number; 0: holds all keys
 
  private:
   class Connection;
--- a/src/standin/http_client.h
+++ b/src/standin/http_client.h
@@ -1,5 +1,5 @@
-// A client of a router in its plainest form: one connection that is kept, one request at a time, blocking.
-// For tests and measurements.
+// A blocking HTTP client of a router: one persistent connection, one request at a time. For tests,
+// measurements and the testbed.
 #pragma once
 
 #include <array>
@@ -12,20 +12,21 @@
 
 struct HttpAsk {
   std::string request_class, key;
-  std::uint64_t id = 0;  // new with every request
-  double remaining = 2;  // s
+  std::uint64_t id = 0;  // must differ for every request
+  double remaining = 2;  // seconds until the client gives up
   bool save = false;
-  std::string value;  // of a save; its id is its idempotency key too
+  std::string value;  // body of a save, whose idempotency key is made from `id`
 };
 
-// As the wire has it.
+// Returns the request as it is sent.
 std::string request_text(const HttpAsk& ask);
 
 class HttpClient {
  public:
   // Throws boost::system::system_error. `address`: "host:port".
   explicit HttpClient(const std::string& address);
-  // Returns the answer's status; 0: the connection ended instead, and none can be asked for again.
+  // Sends a request and returns the status of its answer. Returns 0 if the connection ends first; the client
+  // can then not be used again.
   int ask(const HttpAsk& ask);
 
  private:
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -185,16 +185,17 @@
 RouterProcess::RouterProcess(const std::string& program, const json& config, const std::string& options_toml,
                              const std::string& log, const Handed& handed) {
   std::string name = (std::filesystem::temp_directory_path() / "streampick-XXXXXX").string();
-  if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the router's files");
+  if (::mkdtemp(name.data()) == nullptr)
+    throw std::runtime_error("cannot create a directory for the router's files");
   folder_ = name;
   const std::string config_path = folder_ + "/config.json", options_path = folder_ + "/options.toml";
   std::ofstream(config_path) << config.dump(1);
   std::ofstream(options_path) << options_toml;
-  // All that takes memory stands before the fork: in the child of a process with threads its locks may be
-  // held.
-  constexpr int kDoor = 3;  // as which it has the clients' socket
+  // All memory is allocated before fork(): in the child of a multi-threaded process, another thread may have
+  // held the allocator's locks.
+  constexpr int kPassedSocket = 3;  // descriptor number of the clients' listening socket in the child
   std::vector<std::string> own = {"NODE_CONFIG=" + config_path};
-  if (handed.door >= 0) own.push_back("NODE_PASSED_SOCKET=" + std::to_string(kDoor));
+  if (handed.door >= 0) own.push_back("NODE_PASSED_SOCKET=" + std::to_string(kPassedSocket));
   if (!handed.management.empty()) own.push_back("NODE_MANAGEMENT=" + handed.management);
   if (!handed.scratch.empty()) own.push_back("TMPDIR=" + handed.scratch);
   std::vector<char*> environment;
@@ -209,17 +210,17 @@
   std::array<char*, 4> words{named.data(), nullptr, nullptr, nullptr};
   if (!options_toml.empty()) words = {named.data(), option.data(), file_name.data(), nullptr};
   pid_ = ::fork();
-  if (pid_ < 0) throw std::runtime_error("the router can't be started");
+  if (pid_ < 0) throw std::runtime_error("cannot fork a process for the router");
   if (pid_ == 0) {
-    // It goes with whoever started it, also with one that crashes.
+    // The kernel kills the router when its parent dies, even if the parent crashes.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (!log.empty()) {
       const int file = ::open(log.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
       ::dup2(file, 2);
     }
-    // The parent's sockets are not the router's, but for the one that it is handed.
-    if (handed.door >= 0) ::dup2(handed.door, kDoor);
-    for (int fd = handed.door >= 0 ? kDoor + 1 : kDoor; fd < 4'096; ++fd) ::close(fd);
+    // Closes the parent's descriptors, except for the socket that is passed on.
+    if (handed.door >= 0) ::dup2(handed.door, kPassedSocket);
+    for (int fd = handed.door >= 0 ? kPassedSocket + 1 : kPassedSocket; fd < 4'096; ++fd) ::close(fd);
     ::execve(named.c_str(), words.data(), environment.data());
     ::_exit(127);
   }
@@ -251,7 +252,7 @@
   std::ifstream file("/proc/" + std::to_string(pid_) + "/stat");
   std::string text((std::istreambuf_iterator<char>(file)), {});
   text.erase(0, text.rfind(')') + 2);
-  // Fields 14 and 15; what is left begins with the third.
+  // utime and stime are fields 14 and 15 of the file; the text now begins with field 3.
   unsigned long user = 0, system = 0;
   std::size_t at = 0;
   for (int i = 3; i < 14; ++i) at = text.find(' ', at) + 1;
--- a/src/standin/resp_cache.cpp
+++ b/src/standin/resp_cache.cpp
@@ -210,7 +210,7 @@
     }
   }
 
-  // The command's effect and its reply.
+  // Executes the command and returns its encoded reply.
   std::string execute(const std::vector<std::string>& words, const std::string& id, const std::string& key) {
     const std::string name = resp::upper(words.front());
     const std::string& object = words.size() > 1 ? words[1] : words.front();
--- a/src/standin/resp_cache.h
+++ b/src/standin/resp_cache.h
@@ -1,5 +1,6 @@
-// A stand-in for a RESP cache or origin: it keeps values, answers in order, counts what it executed, and
-// misbehaves as its script says. For tests, tools and measurements; never a part of the router.
+// A stand-in for a RESP cache server or origin. It stores values, answers commands in order, counts what it
+// executed, and injects the faults that its script returns. For tests, tools and measurements; not part of
+// the router.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,34 +16,34 @@
 
 namespace streampick::standin {
 
-// What happens to one command instead of a plain answer.
+// What happens to one command instead of a normal reply.
 struct Fault {
   enum class Kind : std::uint8_t {
     none,
-    close,            // executes and closes without a word
-    close_unseen,     // closes without executing it
-    close_mid_reply,  // executes, writes half of its reply and closes
-    half_close,       // answers and ends its sending; what comes after is read and not answered
-    stall,            // executes and holds its reply, and all behind it, until release()
-    push_before,      // a push, then the reply
+    close,            // executes the command and closes the connection without a reply
+    close_unseen,     // closes the connection without executing the command
+    close_mid_reply,  // executes the command, writes half of the reply and closes the connection
+    half_close,       // replies and shuts down sending; later commands are read and not answered
+    stall,            // executes the command and holds its reply, and all later ones, until release()
+    push_before,      // sends a push, then the reply; push_after: the reply, then a push
     push_after,
-    push_inside,     // the reply is an array of the true one, with a push among its elements
-    wrong_type,      // a map
-    endless_length,  // announces 512 MB and goes on sending
-    extra_reply,     // its reply twice
-    noise,           // bytes that are no RESP
-    error,           // executes nothing and replies `text` as an error
-    failed_error,    // executes and replies `text` as an error
+    push_inside,     // the reply is an array that contains the correct reply and a push
+    wrong_type,      // the reply is a map
+    endless_length,  // announces a string of 512 MB and sends without end
+    extra_reply,     // sends the reply twice
+    noise,           // sends bytes that are not RESP
+    error,           // replies with the error `text` without executing the command
+    failed_error,    // executes the command and replies with the error `text`
   };
   Kind kind = Kind::none;
   std::string text = {};
 };
 
 struct RespCacheOptions {
-  bool speaks_resp3 = true;           // else HELLO is an unknown command
-  bool greets = true;                 // else HELLO is refused and the connection closed
-  std::string password = {};          // empty: anybody
-  std::chrono::microseconds work{0};  // between a command and its reply
+  bool speaks_resp3 = true;           // false: HELLO is an unknown command
+  bool greets = true;                 // false: HELLO is refused and the connection closed
+  std::string password = {};          // empty: no password needed
+  std::chrono::microseconds work{0};  // time between a command and its reply
 };
 
 class RespCache {
@@ -55,26 +56,27 @@
   boost::asio::ip::tcp::endpoint endpoint() const;
   std::string address() const;
 
-  // Called once for each command but greetings, in the order in which they are taken up: `words` without
-  // ROUTE, `nth` counts from 1 on its connection. None: plain answers.
+  // Called once for each command except HELLO and AUTH, in the order of execution. `words` lacks the ROUTE
+  // prefix; `nth` counts from 1 on each connection. Unset: all replies are normal.
   std::function<Fault(const std::vector<std::string>& words, std::size_t nth)> script;
-  // Goes on with what stalls.
+  // Sends the held replies of stalled connections and resumes them.
   void release();
-  // A push to all connections: >2 draining.
+  // Sends the push `draining` to all connections.
   void say_draining();
   void push_to_all(const std::string& kind);
   void close_all();
-  // Refuses new connections from here on.
+  // Refuses new connections from now on.
   void stop_listening();
 
   std::map<std::string, std::string> values;
-  // By id where one was told (ROUTE ID), else by the command's name and key: how often its effect was had.
+  // Number of executions by request id (ROUTE ID), or by the command's name and key if it has no id.
   std::map<std::string, std::uint64_t> executions;
   std::uint64_t commands = 0, dropped_repeats = 0, accepted = 0, stores = 0, greetings = 0;
-  std::vector<std::chrono::steady_clock::time_point> taken;  // when each command was taken up
+  // When each command was executed, if `record_times` is set.
+  std::vector<std::chrono::steady_clock::time_point> taken;
   bool record_times = false;
   std::size_t open() const { return connections_.size(); }
-  std::size_t unreplied() const;  // commands taken or waiting, on all connections
+  std::size_t unreplied() const;  // commands without a reply yet, on all connections
 
  private:
   class Connection;
@@ -83,9 +85,9 @@
   boost::asio::io_context& io_;
   RespCacheOptions options_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::ip::tcp::endpoint endpoint_;  // also when it listens no more
+  boost::asio::ip::tcp::endpoint endpoint_;  // stays valid after stop_listening()
   std::list<std::shared_ptr<Connection>> connections_;
-  std::map<std::string, std::string> keyed_;  // replies to writes with a KEY
+  std::map<std::string, std::string> keyed_;  // replies to writes by their ROUTE KEY, repeated for duplicates
 };
 
 }  // namespace streampick::standin
--- a/src/testbed/bed.cpp
+++ b/src/testbed/bed.cpp
@@ -38,13 +38,14 @@
 
 namespace {
 
-constexpr auto kPatience = 1s;  // of clients, where the origin's places are shared
-constexpr auto kSlack = 10s;    // for a machine that is busy: no expectation is about it
+constexpr auto kRequestTimeLimit = 1s;  // hard time limit of requests where the origin's places are shared
+constexpr auto kBusyMachineAllowance = 10s;  // added to every wait, so that a busy machine does not fail it
 
 std::string local(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
 
-// Ports that are free, from a block that no other bed on this machine has, and below those that the system
-// gives to connections: a router that is started again finds its own free.
+// Free ports from a block that no other testbed on this machine uses (a lock file guards each block). The
+// blocks lie below the ephemeral port range, so that a router that is started again finds its ports still
+// free.
 class Ports {
  public:
   Ports(asio::io_context& io, std::size_t count) {
@@ -59,10 +60,10 @@
       }
       next_ = static_cast<unsigned short>(kFirst + block * kBlock);
     }
-    if (lock_ < 0) throw std::runtime_error("as many beds run on this machine as there are ports for");
+    if (lock_ < 0) throw std::runtime_error("all port blocks are in use by other testbeds on this machine");
     const unsigned end = next_ + kBlock;
     const auto any = asio::ip::make_address("127.0.0.1");
-    const auto take = [&] {
+    const auto next_free_port = [&] {
       for (; next_ < end; ++next_) {
         boost::system::error_code error;
         tcp::acceptor stream(io);
@@ -76,16 +77,17 @@
       throw std::runtime_error("too few free ports from " + std::to_string(kFirst) + " on");
     };
     for (std::size_t i = 0; i < count; ++i) {
-      listen.push_back(take());
-      management.push_back(take());
-      other_management.push_back(take());
-      peers.emplace_back(any, take());
+      listen.push_back(next_free_port());
+      management.push_back(next_free_port());
+      other_management.push_back(next_free_port());
+      peers.emplace_back(any, next_free_port());
     }
   }
   ~Ports() { ::close(lock_); }
   Ports(const Ports&) = delete;
   Ports& operator=(const Ports&) = delete;
-  std::vector<unsigned short> listen, management, other_management;  // other: of the process that comes next
+  // `other_management` is for the next process of an upgrade.
+  std::vector<unsigned short> listen, management, other_management;
   std::vector<udp::endpoint> peers;
 
  private:
@@ -126,19 +128,19 @@
     }
     if (script.doors)
       for (const unsigned short port : ports_.listen)
-        doors_.push_back(
+        client_listeners_.push_back(
             std::make_unique<tcp::acceptor>(io_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), port)));
     thread_ = std::thread([this] { io_.run(); });
-    began_ = Steady::now();
+    start_time_ = Steady::now();
     for (std::size_t i = 0; i < script.routers; ++i) start(i);
     mark();
     if (script.requests_per_s > 0)
       for (std::size_t i = 0; i < script.routers * script.clients; ++i)
-        load_.emplace_back([this, i] { ask_on(i % script_.routers, i / script_.routers); });
+        load_.emplace_back([this, i] { run_client(i % script_.routers, i / script_.routers); });
   }
   ~Bed() {
-    over_ = true;
-    doors_.clear();  // nobody waits there any more
+    stopping_ = true;
+    client_listeners_.clear();  // closed, so that no client waits in their queues
     for (std::size_t i = 0; i < processes_.size(); ++i) kill(i);
     for (std::thread& one : load_) one.join();
     work_.reset();
@@ -153,9 +155,9 @@
     for (const Step& step : script_.steps) {
       ++number;
       const auto from = Steady::now();
-      const std::string wrong = take(step);
+      const std::string wrong = run_step(step);
       std::ostringstream line;
-      line << "step " << number << ": " << (wrong.empty() ? said_ : wrong) << " ("
+      line << "step " << number << ": " << (wrong.empty() ? result_ : wrong) << " ("
            << std::round(10 * periods(Steady::now() - from)) / 10 << " periods)";
       out_ << line.str() << '\n' << std::flush;
       if (wrong.empty()) continue;
@@ -165,7 +167,7 @@
     for (const auto& view : views())
       if (view) played_.longest_datagram = std::max(played_.longest_datagram, view->longest);
     if (played_.longest_datagram > script_.datagram)
-      played_.failures.push_back(script_.file + ": a datagram of " +
+      played_.failures.push_back(script_.file + ": a datagram has " +
                                  std::to_string(played_.longest_datagram) + " bytes");
     played_.asked = asked_;
     played_.answered = answered_;
@@ -191,7 +193,7 @@
     asio::post(io_, [&task] { task(); });
     return done.get();
   }
-  std::vector<std::size_t> whom(const Step& step) const {
+  std::vector<std::size_t> selected_routers(const Step& step) const {
     if (!step.who.empty()) return step.who;
     std::vector<std::size_t> all(script_.routers);
     for (std::size_t i = 0; i < all.size(); ++i) all[i] = i;
@@ -200,10 +202,10 @@
 
   // --- Processes
   void start(std::size_t router, const std::string& name = {}) {
-    processes_[router] = made(router, name);
+    processes_[router] = spawn(router, name);
     phases_[router] = Phase::running;
   }
-  std::unique_ptr<standin::RouterProcess> made(std::size_t router, const std::string& name = {}) {
+  std::unique_ptr<standin::RouterProcess> spawn(std::size_t router, const std::string& name = {}) {
     nlohmann::json config = standin::router_config(local(ports_.listen[router]),
                                                    discoveries_[router]->address(), members_[router], 128);
     config["name"] = name.empty() ? "n" + std::to_string(router) : name;
@@ -214,10 +216,10 @@
     config["settings"]["PolicyLimits"]["PeerMessages"] = true;
     std::ostringstream options;
     if (script_.origin_places > 0) {
-      // So that what is out at the origin ends soon.
+      // Short limits, so that requests in progress at the origin end soon.
       for (auto& profile : config["settings"]["Profiles"]) {
-        profile["HardLimitUs"] = kPatience / 1us;
-        profile["AimUs"] = kPatience / 2us;
+        profile["HardLimitUs"] = kRequestTimeLimit / 1us;
+        profile["AimUs"] = kRequestTimeLimit / 2us;
       }
       options << "[shares]\norigin_places = " << script_.origin_places << "\nfloor = " << script_.floor
               << "\nperiod_ms = " << script_.period_ms << "\nseats = 1\n";
@@ -239,7 +241,8 @@
     }
     standin::RouterProcess::Handed handed;
     if (script_.doors)
-      handed = {doors_[router]->native_handle(), local(ports_.management[router]), scratch(router)};
+      handed = {client_listeners_[router]->native_handle(), local(ports_.management[router]),
+                scratch(router)};
     return std::make_unique<standin::RouterProcess>(
         settings_.router, config, options.str(),
         settings_.logs.empty()
@@ -258,7 +261,7 @@
     phases_[router] = then;
     ::kill(processes_[router]->pid(), signal);
   }
-  // What the two processes of one router share.
+  // Returns the scratch directory that the two processes of one router share during an upgrade.
   std::string scratch(std::size_t router) {
     const auto folder = scratch_ / std::to_string(router);
     std::filesystem::create_directories(folder);
@@ -266,27 +269,27 @@
   }
   std::string upgrade(std::size_t router) {
     std::swap(ports_.management[router], ports_.other_management[router]);
-    std::unique_ptr<standin::RouterProcess> next = made(router);
-    const auto end = Steady::now() + kSlack;
+    std::unique_ptr<standin::RouterProcess> next = spawn(router);
+    const auto end = Steady::now() + kBusyMachineAllowance;
     for (std::optional<std::string> health; !health || health->rfind("ACK", 0) != 0;) {
-      if (Steady::now() > end) return "the process after n" + std::to_string(router) + " does not serve";
+      if (Steady::now() > end) return "the new process of n" + std::to_string(router) + " does not serve";
       std::this_thread::sleep_for(20ms);
       health = call(local(ports_.management[router]), "HEALTH", 1s);
     }
     std::swap(processes_[router], next);
-    return end_of(router, *next);
+    return terminate_and_wait(router, *next);
   }
-  // SIGTERM, and what the others count meanwhile.
-  std::string end_of(std::size_t router, standin::RouterProcess& process) {
+  // Sends SIGTERM and samples the other routers' views until the process has exited.
+  std::string terminate_and_wait(std::size_t router, standin::RouterProcess& process) {
     ::kill(process.pid(), SIGTERM);
     for (; process.running(); std::this_thread::sleep_for(20ms)) views();
     const int code = process.stop();
-    return code == 0 ? "" : "n" + std::to_string(router) + " ended with " + std::to_string(code);
+    return code == 0 ? "" : "n" + std::to_string(router) + " exited with code " + std::to_string(code);
   }
   std::string terminate(std::size_t router) {
     if (!processes_[router]) return {};
     phases_[router] = Phase::ending;
-    std::string wrong = end_of(router, *processes_[router]);
+    std::string wrong = terminate_and_wait(router, *processes_[router]);
     processes_[router].reset();
     phases_[router] = Phase::down;
     return wrong;
@@ -300,7 +303,7 @@
         asked[i] =
             std::async(std::launch::async, [this, i] { return ask_view(local(ports_.management[i]), 2s); });
     std::vector<std::optional<View>> out(script_.routers);
-    Sample sample{periods(Steady::now() - began_), std::vector<int>(script_.routers, -1),
+    Sample sample{periods(Steady::now() - start_time_), std::vector<int>(script_.routers, -1),
                   std::vector<bool>(script_.routers)};
     for (std::size_t i = 0; i < script_.routers; ++i) {
       if (!asked[i].valid()) continue;
@@ -320,30 +323,30 @@
       if (phases_[i] == Phase::running) out[i] = ask_parts(local(ports_.management[i]), 1s);
     return out;
   }
-  std::string unsettled() {
+  std::string why_unsettled() {
     std::vector<View> there;
     const auto all = views();
     for (std::size_t i = 0; i < all.size(); ++i) {
       if (phases_[i] != Phase::running) continue;
       if (!all[i])
         return "n" + std::to_string(i) +
-               (processes_[i]->running() ? " does not answer" : " has ended by itself");
+               (processes_[i]->running() ? " does not answer" : " has exited unexpectedly");
       there.push_back(*all[i]);
     }
     const std::vector<std::string> apart = differences(there);
     if (apart.empty()) return {};
     return apart.front() + (apart.size() > 1 ? ", and " + std::to_string(apart.size() - 1) + " more" : "");
   }
-  // Why it is not so; empty: it is.
-  std::string missing(const Step& step) {
+  // Returns why the step's condition does not hold; empty: it holds.
+  std::string unmet_condition(const Step& step) {
     switch (step.what) {
       case Step::What::none: return {};
-      case Step::What::settled: return unsettled();
+      case Step::What::settled: return why_unsettled();
       case Step::What::sees:
       case Step::What::least:
       case Step::What::routers: {
         const auto all = views();
-        for (const std::size_t i : whom(step)) {
+        for (const std::size_t i : selected_routers(step)) {
           if (phases_[i] != Phase::running) continue;
           if (!all[i]) return "n" + std::to_string(i) + " does not answer";
           const bool sees = step.what == Step::What::sees;
@@ -368,11 +371,13 @@
         return {};
       }
       case Step::What::quiet: {
-        const double bytes = static_cast<double>(bytes_sent() - marked_bytes_);
+        const double bytes = static_cast<double>(total_bytes_sent() - marked_bytes_);
         const double seconds = std::chrono::duration<double>(Steady::now() - marked_).count();
         const double each = bytes / std::max(seconds, 1e-3) / static_cast<double>(script_.routers);
-        said_ = std::to_string(static_cast<long>(each)) + " bytes a second and router";
-        return each <= step.number ? "" : said_ + ", over " + std::to_string(static_cast<long>(step.number));
+        result_ = std::to_string(static_cast<long>(each)) + " bytes per second and router";
+        return each <= step.number
+                   ? ""
+                   : result_ + ", more than " + std::to_string(static_cast<long>(step.number));
       }
       case Step::What::counted: {
         for (std::size_t at = marked_samples_; at < played_.samples.size(); ++at)
@@ -386,12 +391,12 @@
       }
       case Step::What::origin_at_most: {
         most_at_origin_ = std::max(most_at_origin_, origin_.most_working.load());
-        said_ = std::to_string(most_at_origin_) + " at once at the origin";
-        return static_cast<double>(most_at_origin_) <= step.number ? "" : said_;
+        result_ = std::to_string(most_at_origin_) + " at once at the origin";
+        return static_cast<double>(most_at_origin_) <= step.number ? "" : result_;
       }
       case Step::What::origin_at_least: {
-        said_ = std::to_string(origin_.most_working.load()) + " at once at the origin";
-        return static_cast<double>(origin_.most_working.load()) >= step.number ? "" : said_;
+        result_ = std::to_string(origin_.most_working.load()) + " at once at the origin";
+        return static_cast<double>(origin_.most_working.load()) >= step.number ? "" : result_;
       }
       case Step::What::usable:
       case Step::What::leased: {
@@ -405,18 +410,18 @@
           if (asked && parts[i]->front().usable < step.number)
             return "n" + std::to_string(i) + " may use " + std::to_string(parts[i]->front().usable);
         }
-        said_ = std::to_string(static_cast<long>(sum)) + " of the origin's places may be used";
-        return step.what == Step::What::usable || sum >= step.number ? "" : said_;
+        result_ = std::to_string(static_cast<long>(sum)) + " of the origin's places may be used";
+        return step.what == Step::What::usable || sum >= step.number ? "" : result_;
       }
       case Step::What::answered: {
-        said_ = std::to_string(answered_) + " of " + std::to_string(asked_) + " answered, " +
-                std::to_string(lost_) + " lost";
-        return asked_ > 0 && lost_ == 0 ? "" : said_;
+        result_ = std::to_string(answered_) + " of " + std::to_string(asked_) + " answered, " +
+                  std::to_string(lost_) + " lost";
+        return asked_ > 0 && lost_ == 0 ? "" : result_;
       }
     }
     return {};
   }
-  std::uint64_t bytes_sent() {
+  std::uint64_t total_bytes_sent() {
     return on_loop([this] {
       std::uint64_t out = 0;
       for (std::size_t i = 0; i < script_.routers; ++i)
@@ -426,7 +431,7 @@
   }
   void mark() {
     marked_ = Steady::now();
-    marked_bytes_ = bytes_sent();
+    marked_bytes_ = total_bytes_sent();
     views();
     marked_declared_ = declared_;
     marked_samples_ = played_.samples.size();
@@ -434,21 +439,22 @@
   }
 
   // --- Steps
-  // Puts the home and the others in the place of their names. Somebody has to be home: that is waited for.
-  // Returns why it can't; empty: it could.
-  std::string name_home(Step& step) {
+  // Replaces the placeholders kHome and kOthers by router numbers. Waits until some router grants the
+  // origin's places. Returns the error if none does in time, else an empty text.
+  std::string resolve_placeholders(Step& step) {
     std::vector<std::vector<std::size_t>*> lists{&step.who};
     for (auto& group : step.groups) lists.push_back(&group);
     std::optional<std::size_t> home;
     for (auto* list : lists) {
       if (list->size() != 1 || list->front() < kOthers) continue;
-      for (const auto end = Steady::now() + kSlack + of_periods(200); !home && Steady::now() < end;) {
+      for (const auto end = Steady::now() + kBusyMachineAllowance + of_periods(200);
+           !home && Steady::now() < end;) {
         const auto parts = all_parts();
         for (std::size_t i = 0; i < parts.size(); ++i)
           if (parts[i] && !parts[i]->empty() && parts[i]->front().home) home = i;
         if (!home) std::this_thread::sleep_for(20ms);
       }
-      if (!home) return "nobody is home of the origin's places";
+      if (!home) return "no router grants the origin's places";
       const bool others = list->front() == kOthers;
       list->clear();
       for (std::size_t i = 0; i < script_.routers; ++i)
@@ -456,42 +462,42 @@
     }
     return {};
   }
-  std::string take(const Step& told) {
-    said_ = "done";
+  std::string run_step(const Step& told) {
+    result_ = "done";
     Step step = told;
-    if (std::string nobody = name_home(step); !nobody.empty()) return nobody;
+    if (std::string nobody = resolve_placeholders(step); !nobody.empty()) return nobody;
     std::string wrong;
     switch (step.action) {
       case Step::Do::kill:
-        for (const std::size_t i : whom(step)) kill(i);
+        for (const std::size_t i : selected_routers(step)) kill(i);
         break;
       case Step::Do::stop:
-        for (const std::size_t i : whom(step)) send(i, SIGSTOP, Phase::stopped);
+        for (const std::size_t i : selected_routers(step)) send(i, SIGSTOP, Phase::stopped);
         break;
       case Step::Do::go_on:
-        for (const std::size_t i : whom(step)) send(i, SIGCONT, Phase::running);
+        for (const std::size_t i : selected_routers(step)) send(i, SIGCONT, Phase::running);
         break;
       case Step::Do::stutter:
         for (double period = 0; period < step.periods; ++period)
           for (const auto& [signal, share] : {std::pair(SIGSTOP, 0.9), std::pair(SIGCONT, 0.1)}) {
-            for (const std::size_t i : whom(step)) send(i, signal, Phase::running);
+            for (const std::size_t i : selected_routers(step)) send(i, signal, Phase::running);
             std::this_thread::sleep_for(of_periods(share));
           }
         break;
       case Step::Do::terminate:
-        for (const std::size_t i : whom(step))
+        for (const std::size_t i : selected_routers(step))
           if (std::string one = terminate(i); !one.empty()) wrong = one;
         break;
       case Step::Do::start:
-        for (const std::size_t i : whom(step))
+        for (const std::size_t i : selected_routers(step))
           if (phases_[i] == Phase::down) start(i, step.name);
         break;
       case Step::Do::restart:
-        for (const std::size_t i : whom(step)) kill(i);
-        for (const std::size_t i : whom(step)) start(i, step.name);
+        for (const std::size_t i : selected_routers(step)) kill(i);
+        for (const std::size_t i : selected_routers(step)) start(i, step.name);
         break;
       case Step::Do::upgrade:
-        for (const std::size_t i : whom(step))
+        for (const std::size_t i : selected_routers(step))
           if (std::string one = upgrade(i); !one.empty()) wrong = one;
         break;
       case Step::Do::cut:
@@ -499,12 +505,12 @@
       case Step::Do::heal: on_loop([&] { set_links(step); }); break;
       case Step::Do::mark: mark(); break;
       case Step::Do::load: {
-        const std::vector<std::size_t> chosen = whom(step);
+        const std::vector<std::size_t> chosen = selected_routers(step);
         for (std::size_t i = 0; i < script_.routers; ++i)
           loaded_[i] = std::find(chosen.begin(), chosen.end(), i) != chosen.end();
         break;
       }
-      case Step::Do::expect: return missing(step);
+      case Step::Do::expect: return unmet_condition(step);
       case Step::Do::wait: return wait(step);
     }
     return wrong;
@@ -513,7 +519,7 @@
     const std::size_t all = script_.routers + script_.caches + 1;
     if (step.action == Step::Do::heal) faults_.clear();
     if (step.action == Step::Do::link)
-      for (const std::size_t from : whom(step))
+      for (const std::size_t from : selected_routers(step))
         for (std::size_t to = 0; to < all; ++to) faults_.link(from, to) = step.link;
     for (std::size_t a = 0; a < step.groups.size(); ++a)
       for (std::size_t b = 0; b < step.groups.size(); ++b)
@@ -537,33 +543,34 @@
                             ? step.periods
                             : membership::settle_periods(script_.routers, script_.datagram, 0, living);
     const auto begun = Steady::now();
-    const auto end = begun + of_periods(most) + kSlack;
+    const auto end = begun + of_periods(most) + kBusyMachineAllowance;
     std::string why;
-    while (!(why = missing(step)).empty()) {
+    while (!(why = unmet_condition(step)).empty()) {
       if (Steady::now() > end)
         return "waited for " + std::to_string(static_cast<int>(most)) + " periods: " + why;
       std::this_thread::sleep_for(std::max<Steady::duration>(20ms, of_periods(0.25)));
     }
     if (step.what == Step::What::settled)
-      said_ = "settled; the bound is " + std::to_string(static_cast<int>(most));
+      result_ = "settled; the bound is " + std::to_string(static_cast<int>(most));
     return {};
   }
 
-  // --- Load: each router's own clients, one request after the other. A request may go unanswered only where
-  // its router was killed meanwhile; one that crosses a connection's end is sent once more, as the platform's
-  // clients do.
-  void ask_on(std::size_t router, std::size_t number_of_client) {
+  // --- Load: clients of each router, which send one request after another. A request may stay unanswered
+  // only if its router was killed meanwhile. A request whose connection ends without an answer is sent once
+  // more, as the platform's clients do.
+  void run_client(std::size_t router, std::size_t number_of_client) {
     std::unique_ptr<standin::HttpClient> client;
     const auto each = std::chrono::duration<double>(static_cast<double>(script_.routers * script_.clients) /
                                                     script_.requests_per_s);
-    for (std::uint64_t number = 1; !over_; ++number) {
+    for (std::uint64_t number = 1; !stopping_; ++number) {
       std::this_thread::sleep_for(each);
       if (phases_[router] != Phase::running) {
         client.reset();
         continue;
       }
       if (!loaded_[router]) continue;
-      // Where all is to be read from the origin, no two ask for one key: such reads would be one.
+      // Where every read goes to the origin, each request has its own key: reads of one key would be merged
+      // by single-flight.
       const std::uint64_t id = (router + 1) << 40U | number_of_client << 32U | number;
       standin::HttpAsk ask{"tile-read", "k" + std::to_string(script_.misses ? id : number % 50), id, 2, false,
                            {}};
@@ -575,7 +582,7 @@
           taken = true;
           status = client->ask(ask);
         } catch (const boost::system::system_error&) {
-          taken = false;  // it could not be connected to
+          taken = false;  // the connection failed
         }
         if (status == 0) client.reset();
       }
@@ -583,7 +590,7 @@
       ++asked_;
       if (status != 0)
         ++answered_;
-      else if (phases_[router] == Phase::running && !over_)
+      else if (phases_[router] == Phase::running && !stopping_)
         ++lost_;
     }
   }
@@ -599,11 +606,11 @@
   std::vector<std::unique_ptr<standin::HttpCache>> caches_;
   standin::HttpCache origin_;
   std::vector<standin::PlatformMember> servers_;
-  // Each router's own: its way to each server is an address of the relay's.
+  // One list for each router, in which the servers have the addresses of that router's stream relays.
   std::vector<std::vector<standin::PlatformMember>> members_;
   std::vector<std::unique_ptr<StreamRelay>> streams_;
   std::vector<std::unique_ptr<standin::StaticDiscovery>> discoveries_;
-  std::vector<std::unique_ptr<tcp::acceptor>> doors_;
+  std::vector<std::unique_ptr<tcp::acceptor>> client_listeners_;
   const std::filesystem::path scratch_ =
       std::filesystem::temp_directory_path() / ("streampick-bed-" + std::to_string(::getpid()));
   std::vector<std::unique_ptr<standin::RouterProcess>> processes_;
@@ -613,14 +620,14 @@
   std::thread thread_;
   std::vector<std::thread> load_;
   std::size_t most_at_origin_ = 0;
-  std::atomic<bool> over_{false};
+  std::atomic<bool> stopping_{false};
   std::atomic<std::uint64_t> asked_{0}, answered_{0}, lost_{0};
   std::map<std::string, std::uint64_t> declared_, marked_declared_;
-  Steady::time_point began_, marked_;
+  Steady::time_point start_time_, marked_;
   std::uint64_t marked_bytes_ = 0;
   std::size_t marked_samples_ = 0;
   std::set<std::string> joined_;
-  std::string said_;
+  std::string result_;
   Played played_;
 };
 
@@ -648,14 +655,14 @@
     Sample sample;
     char comma = 0;
     if (!(cells >> sample.periods))
-      throw std::runtime_error("line " + std::to_string(out.size() + 1) + ": no sample");
+      throw std::runtime_error("line " + std::to_string(out.size() + 1) + ": not a sample");
     for (int alive = 0; cells >> comma >> alive;) sample.alive.push_back(alive);
     out.push_back(std::move(sample));
   }
   return out;
 }
 
-// The least, the middle and the most of what routers count: where the lines part, the views do.
+// Draws the minimum, median and maximum of the routers' counts. Lines that differ mean that the views differ.
 std::string plot(const std::vector<Sample>& samples, const std::string& title) {
   std::vector<Line> lines = {{"least", {}}, {"middle", {}}, {"most", {}}, {"routers that run", {}}};
   for (const Sample& sample : samples) {
--- a/src/testbed/chart.cpp
+++ b/src/testbed/chart.cpp
@@ -10,8 +10,9 @@
 
 constexpr double kWidth = 720, kHeight = 420, kLeft = 70, kRight = 150, kTop = 40, kBottom = 55;
 
-// A step of 1, 2 or 5 times a power of ten, for about five marks.
-double step_of(double most) {
+// Returns the distance between axis marks: 1, 2 or 5 times a power of ten, so that there are about five
+// marks.
+double tick_distance(double most) {
   const double raw = most / 5, power = std::pow(10, std::floor(std::log10(raw)));
   for (const double of : {1.0, 2.0, 5.0})
     if (raw <= of * power) return of * power;
@@ -28,7 +29,7 @@
       most_x = std::max(most_x, at);
       most_y = std::max(most_y, value);
     }
-  const double step_x = step_of(most_x), step_y = step_of(most_y);
+  const double step_x = tick_distance(most_x), step_y = tick_distance(most_y);
   most_y = std::ceil(most_y / step_y) * step_y;
   const auto px = [&](double at) { return kLeft + at / most_x * (kWidth - kLeft - kRight); };
   const auto py = [&](double value) {
--- a/src/testbed/chart.h
+++ b/src/testbed/chart.h
@@ -1,4 +1,4 @@
-// A line chart as SVG: a few named lines over one axis.
+// Draws a line chart as SVG: named lines that share one x axis.
 #pragma once
 
 #include <string>
--- a/src/testbed/faults.h
+++ b/src/testbed/faults.h
@@ -1,5 +1,5 @@
-// What goes wrong between processes, as a script says it: decisions of the relay, without I/O. Drawn from a
-// seed.
+// The network faults that a script sets between processes. Decides without I/O what happens to each datagram
+// of the relay; random decisions come from a seed.
 #pragma once
 
 #include <cstddef>
@@ -10,12 +10,13 @@
 
 namespace streampick::testbed {
 
-// Of one direction between two processes.
+// The faults of one direction between two processes.
 struct Link {
   bool cut = false;
-  double loss = 0, twice = 0, damaged = 0;  // shares of the datagrams
-  std::int64_t delay = 0, spread = 0;       // us; a wide spread reorders
-  double bytes_per_s = 0;                   // what is over it in a second is lost; 0: no limit
+  double loss = 0, twice = 0, damaged = 0;  // each the share of datagrams affected, 0 to 1
+  // In us. `spread` is the maximum random addition to `delay`; a wide spread reorders datagrams.
+  std::int64_t delay = 0, spread = 0;
+  double bytes_per_s = 0;  // datagrams beyond this rate are dropped; 0: no limit
 };
 
 class Faults {
@@ -26,8 +27,8 @@
   Link& link(std::size_t from, std::size_t to) { return links_[from * size_ + to]; }
   void clear() { links_.assign(links_.size(), Link{}); }
 
-  // When the copies of a datagram arrive, in us from now; none: it is lost. Damage is done to the datagram
-  // itself.
+  // Returns the delay of each copy of the datagram, in us from now; an empty list means that the datagram is
+  // lost. Damages `datagram` in place.
   std::vector<std::int64_t> pass(std::size_t from, std::size_t to, std::string& datagram, std::int64_t now) {
     const Link& it = link(from, to);
     if (it.cut || draw() < it.loss) return {};
--- a/src/testbed/relay.cpp
+++ b/src/testbed/relay.cpp
@@ -14,7 +14,7 @@
 using udp = asio::ip::udp;
 
 namespace {
-constexpr std::size_t kMostUnderWay = 50'000;
+constexpr std::size_t kMaxDelayedDatagrams = 50'000;
 std::int64_t now_us() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
@@ -22,7 +22,7 @@
 }
 }  // namespace
 
-// The others' way to one process.
+// The socket at which the other processes reach one process.
 struct Relay::Port {
   Port(Relay& owner, std::size_t process)
       : relay(owner), to(process), socket(owner.io_, {asio::ip::make_address("127.0.0.1"), 0}) {
@@ -72,9 +72,9 @@
   if (const auto* read = std::get_if<membership::Message>(&message))
     ++count.datagrams[static_cast<std::size_t>(read->kind())];
   for (const std::int64_t after : faults_.pass(from, to, datagram, now_us())) {
-    if (under_way_ >= kMostUnderWay) return;
+    if (under_way_ >= kMaxDelayedDatagrams) return;
     error_code ignored;
-    // It comes from the sender's address as the receiver knows it.
+    // Sent from the relay's socket for the sender, because the receiver knows the sender by that address.
     if (after <= 0) {
       ports_[from]->socket.send_to(asio::buffer(datagram), real_[to], 0, ignored);
       continue;
--- a/src/testbed/relay.h
+++ b/src/testbed/relay.h
@@ -1,5 +1,6 @@
-// Every datagram between the processes of a bed passes here: each process knows the others by one address of
-// the relay's for each, and hears them from it, as the platform's `peers` have it.
+// Forwards every datagram between the router processes of a testbed. The relay has one address for each
+// process. The other processes send to that address, and receive that process's datagrams from it; the
+// platform's `peers` list these addresses.
 #pragma once
 
 #include <array>
@@ -21,18 +22,19 @@
     std::array<std::uint64_t, membership::kMessageKinds> datagrams{};
     std::uint64_t all = 0, bytes = 0, longest = 0;
   };
-  // `real`: where each process listens; `fleet`: the name that its datagrams are read by, to tell their
-  // kinds.
+  // `real`: the address that each process listens on. `fleet`: the fleet name needed to decode datagrams,
+  // whose kinds are counted.
   Relay(boost::asio::io_context& io, std::vector<boost::asio::ip::udp::endpoint> real, std::string fleet,
         Faults& faults);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // Where a process is reached by the others.
+  // The address at which the other processes reach `process`.
   std::string address(std::size_t process) const;
-  // What one sent to another, whether or not it arrived.
+  // What `from` sent to `to`, including datagrams that were lost.
   const Count& count(std::size_t from, std::size_t to) const { return counts_[from * real_.size() + to]; }
+  // Datagrams from an address that belongs to no process.
   std::uint64_t strangers() const { return strangers_; }
 
  private:
--- a/src/testbed/script.cpp
+++ b/src/testbed/script.cpp
@@ -20,22 +20,22 @@
     {"stutter", Step::Do::stutter}, {"mark", Step::Do::mark},
     {"upgrade", Step::Do::upgrade}, {"expect", Step::Do::expect},
     {"load", Step::Do::load}};
-const std::map<std::string, Step::What> kThings = {{"settled", Step::What::settled},
-                                                   {"sees", Step::What::sees},
-                                                   {"never_lost", Step::What::never_lost},
-                                                   {"quiet", Step::What::quiet},
-                                                   {"answered", Step::What::answered},
-                                                   {"routers", Step::What::routers},
-                                                   {"counted", Step::What::counted},
-                                                   {"least", Step::What::least},
-                                                   {"usable", Step::What::usable},
-                                                   {"leased", Step::What::leased},
-                                                   {"origin_at_most", Step::What::origin_at_most},
-                                                   {"origin_at_least", Step::What::origin_at_least}};
+const std::map<std::string, Step::What> kConditions = {{"settled", Step::What::settled},
+                                                       {"sees", Step::What::sees},
+                                                       {"never_lost", Step::What::never_lost},
+                                                       {"quiet", Step::What::quiet},
+                                                       {"answered", Step::What::answered},
+                                                       {"routers", Step::What::routers},
+                                                       {"counted", Step::What::counted},
+                                                       {"least", Step::What::least},
+                                                       {"usable", Step::What::usable},
+                                                       {"leased", Step::What::leased},
+                                                       {"origin_at_most", Step::What::origin_at_most},
+                                                       {"origin_at_least", Step::What::origin_at_least}};
 
 template <typename Value>
-Value one_of(options::Table& table, const char* key, const std::map<std::string, Value>& words,
-             Value unless) {
+Value read_choice(options::Table& table, const char* key, const std::map<std::string, Value>& words,
+                  Value unless) {
   std::string text;
   if (!table.text(key, text)) return unless;
   const auto found = words.find(text);
@@ -47,8 +47,8 @@
 
 Step read_step(options::Table table, const Script& script) {
   Step out;
-  out.action = one_of(table, "do", kActions, Step::Do::wait);
-  out.what = one_of(table, "what", kThings, Step::What::none);
+  out.action = read_choice(table, "do", kActions, Step::Do::wait);
+  out.what = read_choice(table, "what", kConditions, Step::What::none);
   const bool links = out.action == Step::Do::cut || out.action == Step::Do::link;
   const auto processes = [&](const char* key, const std::string& text) -> std::vector<std::size_t> {
     if (script.origin_places > 0 && text == "home") return {kHome};
@@ -77,7 +77,7 @@
   table.number("number", out.number, 0, 1e9);
   if (out.action == Step::Do::upgrade && !script.doors) table.wrong("do", "an upgrade needs doors = true");
   if ((out.what == Step::What::usable || out.what == Step::What::leased) && script.origin_places == 0)
-    table.wrong("what", "there are no origin_places");
+    table.wrong("what", "this condition needs origin_places above 0");
   if (out.action == Step::Do::expect && out.what == Step::What::none) table.wrong("what", "it is missing");
   if (out.action == Step::Do::wait && out.what == Step::What::none && out.periods == 0)
     table.wrong("periods", "a wait is for something, or for a number of periods");
@@ -144,7 +144,7 @@
 
 Script load_script(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw options::Error(file + ": it can't be read");
+  if (!in) throw options::Error(file + ": the file can't be read");
   return read_script({std::istreambuf_iterator<char>(in), {}}, file);
 }
 
--- a/src/testbed/stream_relay.cpp
+++ b/src/testbed/stream_relay.cpp
@@ -12,7 +12,8 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// One connection and its other half; each direction reads only when what it read before has been written.
+// A router's connection to the relay and the relay's connection to the server. Each direction reads again
+// only after its last bytes have been written.
 class StreamRelay::Pair final : public std::enable_shared_from_this<Pair> {
  public:
   Pair(StreamRelay& owner, tcp::socket near)
@@ -80,7 +81,7 @@
       self->was_cut_ ? self->hold() : self->write(way);
     });
   }
-  // Nothing is read and nothing is written until the link is back.
+  // Stops reading and writing until the link is restored.
   void hold() { waits_ = true; }
   void write(std::size_t way) {
     Way& it = ways_[way];
@@ -117,7 +118,7 @@
     }
   }
   StreamRelay* owner_;
-  std::array<Way, 2> ways_;  // from who asked, and back
+  std::array<Way, 2> ways_;  // from the router to the server, and back
   bool was_cut_ = false, waits_ = false;
 };
 
@@ -148,7 +149,7 @@
 void StreamRelay::accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (!error && pairs_.size() < kMostPairs) {
+    if (!error && pairs_.size() < kMaxPairs) {
       ++count_.connections;
       const auto made = std::make_shared<Pair>(*this, std::move(socket));
       pairs_.insert(made);
--- a/src/testbed/stream_relay.h
+++ b/src/testbed/stream_relay.h
@@ -1,6 +1,7 @@
-// Connections between the processes of a bed and its stand-ins, through the relay: each router has an address
-// of the relay's own for each server. A cut is silence, as a machine that is cut off: open connections stay
-// open, new ones come up and say nothing, and when the link is back those that were under it are reset.
+// Forwards TCP connections from the routers of a testbed to its stand-in servers. Each router has its own
+// relay address for each server. A cut link behaves like an unreachable machine: open connections stay open
+// and carry nothing, new connections are accepted and carry nothing, and all of them are reset when the link
+// is restored.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +21,7 @@
   struct Count {
     std::uint64_t connections = 0, bytes_to = 0, bytes_from = 0, reset = 0;
   };
-  // From process `from` to process `to` of the faults' numbers, which listens at `real`.
+  // Relays connections from process `from` to process `to`, as numbered in `faults`. `to` listens at `real`.
   StreamRelay(boost::asio::io_context& io, Faults& faults, std::size_t from, std::size_t to,
               boost::asio::ip::tcp::endpoint real);
   ~StreamRelay();
@@ -30,14 +31,14 @@
   std::string address() const;
   const Count& count() const { return count_; }
   std::size_t open() const { return pairs_.size(); }
-  // To be called when links have changed: what was held goes on, or is reset where it was cut.
+  // Must be called after a change of links. Resets connections whose cut link has been restored.
   void links_changed();
 
  private:
   class Pair;
   void accept();
   bool cut(bool back) const { return (back ? faults_.link(to_, from_) : faults_.link(from_, to_)).cut; }
-  static constexpr std::size_t kMostPairs = 4'096;
+  static constexpr std::size_t kMaxPairs = 4'096;
   boost::asio::io_context& io_;
   Faults& faults_;
   std::size_t from_, to_;
--- a/tests/tools/build_progress_test.sh
+++ b/tests/tools/build_progress_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What ./demo shows of a build.
+# tools/build_progress.sh: the progress lines that ./demo prints during a build.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 . tools/build_progress.sh
@@ -8,9 +8,9 @@
 
 shown=$(printf '%s\n' '[ 20%] Built target a' '[100%] Built target b' '[ 96%] Built target c' '[100%] Built target d' |
   progress "$log")
-[[ -z $shown ]] || { echo "nothing was built, and it says: $shown"; exit 1; }
+[[ -z $shown ]] || { echo "expected no output when nothing is built, got: $shown"; exit 1; }
 
 shown=$(printf '%s\n' '[ 20%] Building CXX object a' '[100%] Linking CXX executable b' '[ 20%] Building CXX object c' \
   '[100%] Linking CXX executable d' | progress "$log")
-[[ $shown == $'demo: building, 20%\ndemo: building, 100%' ]] || { echo "it says: $shown"; exit 1; }
-[[ $(wc -l < "$log") == 8 ]] || { echo "the log has not all lines"; exit 1; }
+[[ $shown == $'demo: building, 20%\ndemo: building, 100%' ]] || { echo "unexpected progress: $shown"; exit 1; }
+[[ $(wc -l < "$log") == 8 ]] || { echo "the log lacks lines"; exit 1; }
--- a/tests/tools/lint_test.sh
+++ b/tests/tools/lint_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# tools/lint: the list of folders that the linter does not cover may only shrink, and names what exists.
+# tools/lint: folders may only be removed from the list of exempt folders, and the list may name only existing ones.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/../.." && pwd)
 copy=$(mktemp -d)
--- a/tools/build_progress.sh
+++ b/tools/build_progress.sh
@@ -1,11 +1,11 @@
-# Sourced by ./demo: shows the per cents of a build as they come, since one from nothing takes two minutes or more.
-# Keeps all lines in the file $1. Only what is really built counts: where all is up to date nothing is shown.
+# Sourced by ./demo: reads a build's output from standard input, shows its progress in per cent (a full build takes
+# two minutes or more) and writes all lines to the file $1. Shows nothing if all targets are up to date.
 progress() {
   local line last=-1
   while IFS= read -r line; do
     printf '%s\n' "$line" >> "$1"
     [[ $line =~ ^\[\ *([0-9]+)%\]\ (Building|Linking|Generating|Running) ]] || continue
-    # Targets built side by side don't count in order.
+    # Targets that are built in parallel report percentages out of order.
     ((BASH_REMATCH[1] > last)) || continue
     last=${BASH_REMATCH[1]}
     if [[ -t 1 ]]; then
--- a/tools/demo.cpp
+++ b/tools/demo.cpp
@@ -1,5 +1,5 @@
-// Three stand-in caches and an origin, the router between them and a little traffic over HTTP and RESP. Then
-// it stays for the user's own client until Ctrl-C; with --once it ends by itself.
+// streampick_demo: starts three stand-in caches, an origin and the router, and sends 200 requests each over
+// HTTP and RESP. Then it keeps running for the user's own clients until Ctrl-C; with --once it exits.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -79,7 +79,7 @@
   asio::write(socket, asio::buffer(bytes));
   resp::Decoder decoder;
   std::array<char, 4096> chunk{};
-  for (int replies = -1; replies < sent;) {  // the greeting's comes first
+  for (int replies = -1; replies < sent;) {  // the reply to HELLO comes first
     const std::size_t got = socket.read_some(asio::buffer(chunk));
     std::string_view part(chunk.data(), got);
     while (!part.empty() && !decoder.failed()) {
@@ -89,7 +89,7 @@
       if (replies++ < 0) continue;
       ++(!reply.is_error() ? out.served : reply.text.rfind("TRYAGAIN", 0) == 0 ? out.refused : out.failed);
     }
-    if (decoder.failed()) throw std::runtime_error("a reply that can't be read: " + decoder.error());
+    if (decoder.failed()) throw std::runtime_error("invalid reply: " + decoder.error());
   }
   return out;
 }
@@ -110,16 +110,16 @@
   bool once = false;
   unsigned short http_port = 3000, resp_port = 6380;
   std::string router = "build-demo/streampick_router", log = "build-demo/demo-router.log";
-  CLI::App app("The router between stand-in caches, on loopback.", "demo");
-  app.add_flag("--once", once, "end after the traffic");
+  CLI::App app("Runs the router between stand-in servers on loopback.", "demo");
+  app.add_flag("--once", once, "exit after the requests");
   app.add_option("--http", http_port, "the router's port for HTTP");
   app.add_option("--resp", resp_port, "the router's port for RESP");
-  app.add_option("--router", router, "the router's program");
-  app.add_option("--log", log, "the file that the router's log goes to");
+  app.add_option("--router", router, "path of the router's executable");
+  app.add_option("--log", log, "file for the router's log");
   CLI11_PARSE(app, argc, argv);
   for (const unsigned short port : {http_port, resp_port})
     if (!is_free(port)) {
-      std::cerr << "demo: port " << port << " is in use; --http and --resp name others\n";
+      std::cerr << "demo: port " << port << " is in use; choose others with --http and --resp\n";
       return 1;
     }
   ::signal(SIGPIPE, SIG_IGN);
@@ -155,13 +155,13 @@
           if (!error) break;
           std::this_thread::sleep_for(std::chrono::milliseconds(50));
         }
-        if (error) throw std::runtime_error("the router did not come up");
-        std::cout << "200 requests by each front:\n";
+        if (error) throw std::runtime_error("the router did not accept connections within 5 s");
+        std::cout << "200 requests each over HTTP and RESP:\n";
         print("HTTP", over_http({address, http_port}));
         print("RESP", over_resp({address, resp_port}));
         if (!once)
           std::cout << "HTTP at 127.0.0.1:" << http_port << ", RESP at 127.0.0.1:" << resp_port
-                    << " (redis-cli -p " << resp_port << "). Ctrl-C ends it.\n"
+                    << " (redis-cli -p " << resp_port << "). Press Ctrl-C to stop.\n"
                     << std::flush;
       } catch (const std::exception& wrong) {
         problem = wrong.what();
@@ -170,8 +170,8 @@
     });
     io.run();
     traffic.join();
-    std::cout << "  the caches were given " << one.stores + two.stores + three.stores
-              << " values that they had missed\n";
+    std::cout << "  values stored in the caches after a miss: " << one.stores + two.stores + three.stores
+              << "\n";
     const int code = process.stop();
     std::cout << "  the router's log: " << log << '\n';
     if (!problem.empty()) throw std::runtime_error(problem);
--- a/tools/fleet.cpp
+++ b/tools/fleet.cpp
@@ -1,5 +1,5 @@
-// streampick_fleet: the views of a fleet's routers side by side, whether they agree, and beds of processes
-// with faults between them.
+// streampick_fleet: compares the views of a fleet's routers, checks whether they agree, and runs testbed
+// scripts of router processes with network faults between them.
 #include <signal.h>
 
 #include <CLI/CLI.hpp>
@@ -17,7 +17,7 @@
 
 using namespace streampick;
 using namespace std::chrono_literals;
-constexpr int kBad = 2;
+constexpr int kUsageOrFatalError = 2;
 
 std::vector<std::pair<std::string, std::optional<testbed::View>>> ask_all(
     const std::vector<std::string>& addresses) {
@@ -46,7 +46,7 @@
       else
         apart.push_back(address + " does not answer");
     }
-    if (views.empty()) apart.push_back("nobody answers");
+    if (views.empty()) apart.push_back("no router answers");
     for (std::string& line : testbed::differences(views)) apart.push_back(std::move(line));
     if (apart.empty()) {
       std::cout << views.size() << " routers hold the same view\n";
@@ -60,7 +60,8 @@
   }
 }
 
-// Asked one after another while parts move, a sum may look over that never was: only what is over twice is.
+// Routers answer one after another while shares move between them, so that a sum can exceed the total by
+// chance. It counts as exceeded only if it is so in two rounds.
 int shares(const std::vector<std::string>& addresses) {
   bool over = false;
   for (int look = 0; look < 2; ++look) {
@@ -78,7 +79,7 @@
   const testbed::Script script = testbed::load_script(file);
   int failed = 0;
   for (int play = 1; play <= plays; ++play) {
-    if (plays > 1) std::cout << "play " << play << '\n';
+    if (plays > 1) std::cout << "run " << play << '\n';
     const testbed::Played played = testbed::play(script, settings, std::cout);
     if (!views.empty()) std::ofstream(views) << testbed::to_csv(played.samples);
     std::cout << (played.passed ? "passed" : "FAILED") << ": " << played.asked << " requests, " << played.lost
@@ -91,7 +92,7 @@
 
 int plot(const std::string& views, const std::string& title) {
   std::ifstream in(views);
-  if (!in) throw std::runtime_error(views + ": it can't be read");
+  if (!in) throw std::runtime_error(views + ": the file can't be read");
   std::cout << testbed::plot(testbed::from_csv({std::istreambuf_iterator<char>(in), {}}), title);
   return 0;
 }
@@ -100,7 +101,8 @@
 
 int main(int argc, char** argv) {
   ::signal(SIGPIPE, SIG_IGN);
-  CLI::App app("A fleet of routers: its views, and beds of processes with faults.", "streampick_fleet");
+  CLI::App app("Compares the views of a fleet's routers, and runs testbed scripts with faults.",
+               "streampick_fleet");
   app.require_subcommand(1);
   std::vector<std::string> addresses;
   bool once = false;
@@ -109,32 +111,35 @@
   testbed::BedSettings settings{"build-full/streampick_router", ""};
   int plays = 1;
   CLI::App* watching =
-      app.add_subcommand("watch", "the views of routers side by side, at their operators' addresses");
+      app.add_subcommand("watch", "show the views of routers side by side, by their management addresses");
   watching->add_option("addresses", addresses, "HOST:PORT of each")->required();
-  watching->add_flag("--once", once, "say it once");
-  CLI::App* agreeing =
-      app.add_subcommand("agree", "exit code 0: all hold the same view, with each other alive");
+  watching->add_flag("--once", once, "print once and exit");
+  CLI::App* agreeing = app.add_subcommand(
+      "agree",
+      "check that all routers hold the same view and count each other as alive; exit code 0: they do");
   agreeing->add_option("addresses", addresses, "HOST:PORT of each")->required();
-  agreeing->add_option("--within", within_s, "seconds to wait for it")->check(CLI::Range(0.0, 86'400.0));
-  CLI::App* sharing =
-      app.add_subcommand("shares", "routers' parts of limits side by side; exit code 1: a sum is over");
+  agreeing->add_option("--within", within_s, "seconds to wait until they agree")
+      ->check(CLI::Range(0.0, 86'400.0));
+  CLI::App* sharing = app.add_subcommand(
+      "shares",
+      "show routers' shares of limits side by side; exit code 1: the sum of a hard limit exceeds its total");
   sharing->add_option("addresses", addresses, "HOST:PORT of each")->required();
-  CLI::App* running = app.add_subcommand("run", "play a script with real processes");
+  CLI::App* running = app.add_subcommand("run", "run a testbed script with real processes");
   running->add_option("file", file, "the script (TOML)")->required();
   running->add_option("--router", settings.router, "the router's program");
-  running->add_option("--logs", settings.logs, "a folder for the routers' logs");
-  running->add_option("--views", views, "a file for what each router counted over time");
-  running->add_option("--plays", plays, "how often")->check(CLI::Range(1, 1'000));
-  CLI::App* plotting = app.add_subcommand("plot", "an SVG of a file that --views wrote");
+  running->add_option("--logs", settings.logs, "a directory for the routers' logs");
+  running->add_option("--views", views, "a CSV file for each router's count of alive routers over time");
+  running->add_option("--plays", plays, "how often to run the script")->check(CLI::Range(1, 1'000));
+  CLI::App* plotting = app.add_subcommand("plot", "draw a file that --views wrote, as SVG");
   plotting->add_option("file", file, "the file")->required();
-  plotting->add_option("--title", title, "above it");
+  plotting->add_option("--title", title, "title of the chart");
   try {
     app.parse(argc, argv);
   } catch (const CLI::Success& asked) {
     return app.exit(asked);
   } catch (const CLI::ParseError& error) {
     std::cerr << "streampick_fleet: " << error.what() << '\n';
-    return kBad;
+    return kUsageOrFatalError;
   }
   try {
     if (*watching) return watch(addresses, once);
@@ -144,6 +149,6 @@
     return plot(file, title);
   } catch (const std::exception& wrong) {
     std::cerr << "streampick_fleet: " << wrong.what() << '\n';
-    return kBad;
+    return kUsageOrFatalError;
   }
 }
