--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -71,8 +71,8 @@
       [this](Shares shares) { engine_->set_shares(std::move(shares)); }
 });
 if (options.shares.on)
-  fleet_->share(options.shares, {names_.tenants, engine_->tenants()},
-                resolved.settings.seed ^ std::random_device{}());
+  fleet_->start_shared_limits(options.shares, {names_.tenants, engine_->tenants()},
+                              resolved.settings.seed ^ std::random_device{}());
 operators_->set_fleet({[this] { return fleet_->view(); }, [this] { return fleet_->brief(); },
                        [this] { return fleet_->shares(); }});
 }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -42,7 +42,7 @@
   each_second();
 }
 
-void Fleet::share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed) {
+void Fleet::start_shared_limits(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed) {
   hooks_.reset_request_counts();
   const auto view = [this] {
     const std::uint32_t routers = count_.value();
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -38,7 +38,7 @@
   Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options, std::uint64_t seed,
         std::uint32_t constant, Hooks hooks);
   /// Starts the lease protocol for shared limits.
-  void share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
+  void start_shared_limits(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
 
   /// Number of routers that totals are divided by if the platform's settings state `constant`.
   std::uint32_t routers_with(std::uint32_t constant) const {
