--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -250,7 +250,7 @@
 #endif
   engine_->reconfigure(resolved.settings.config, names.classes);
 #ifdef STREAMPICK_WITH_FLEET
-  if (fleet_) fleet_->set_constant(configured_routers);
+  if (fleet_) fleet_->set_configured_routers(configured_routers);
   if (leaves_fleet) {
     net::log(
         "fleet: the new settings forbid messages between routers; this router leaves the fleet until its "
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -25,11 +25,11 @@
 }  // namespace
 
 Fleet::Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options,
-             std::uint64_t seed, std::uint32_t constant, Hooks hooks)
+             std::uint64_t seed, std::uint32_t configured_routers, Hooks hooks)
     : time_(time),
       options_(options),
       hooks_(std::move(hooks)),
-      count_(constant, options.hold),
+      count_(configured_routers, options.hold),
       second_timer_(io),
       socket_(
           io, time,
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -34,17 +34,19 @@
     std::vector<std::string> names;
     std::vector<Tenant> all;
   };
-  /// `constant`: number of routers that the platform's settings state.
+  /// `configured_routers`: number of routers that the platform's settings state.
   Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options, std::uint64_t seed,
-        std::uint32_t constant, Hooks hooks);
+        std::uint32_t configured_routers, Hooks hooks);
   /// Starts the lease protocol for shared limits.
   void start_shared_limits(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed);
 
-  /// Number of routers that totals are divided by if the platform's settings state `constant`.
-  std::uint32_t routers_with(std::uint32_t constant) const {
-    return options_.count_routers && !left_ ? count_.with(constant) : constant;
+  /// Number of routers that totals are divided by if the platform's settings state `configured_routers`.
+  std::uint32_t routers_with(std::uint32_t configured_routers) const {
+    return options_.count_routers && !left_ ? count_.with(configured_routers) : configured_routers;
+  }
+  void set_configured_routers(std::uint32_t configured_routers) {
+    count_.set_configured_routers(configured_routers);
   }
-  void set_constant(std::uint32_t constant) { count_.set_constant(constant); }
   void set_tenants(const Tenants& tenants);
   /// Tells the peers that this router is draining.
   void draining();
