--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -245,7 +245,7 @@
 #ifdef STREAMPICK_WITH_FLEET
   const std::uint32_t configured_routers = resolved.settings.config.routers;
   const bool leaves_fleet = fleet_ && !resolved.settings.may_talk;
-  if (fleet_ && options) fleet::check_work(options->shares, resolved, options->file);
+  if (fleet_ && options) fleet::check_max_work_duration(options->shares, resolved, options->file);
   if (fleet_ && !leaves_fleet) resolved.settings.config.routers = fleet_->routers_with(configured_routers);
 #endif
   engine_->reconfigure(resolved.settings.config, names.classes);
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -111,7 +111,7 @@
   if (options.core.expected_routers == 0)
     options.core.expected_routers = std::max(config.routers, static_cast<std::uint32_t>(peers));
   if (options.core.max_work_duration == 0) options.core.max_work_duration = longest_deadline(settings);
-  check_work(options, settings, file);
+  check_max_work_duration(options, settings, file);
   options.core.limits = limits_of(options, settings.settings.names.tenants, config.tenants);
   std::set<leases::LimitId> ids;
   for (const leases::Limit& limit : options.core.limits)
@@ -120,8 +120,8 @@
                                "two limits have the same hash; rename the tenant of " + limit.name);
 }
 
-void check_work(const ShareOptions& options, const platform::NodeSettings& settings,
-                const std::string& file) {
+void check_max_work_duration(const ShareOptions& options, const platform::NodeSettings& settings,
+                             const std::string& file) {
   const Time longest = longest_deadline(settings);
   if (options.on && options.core.max_work_duration < longest)
     throw ConfigurationError(file, "shares.work_ms",
--- a/src/fleet/share_options.h
+++ b/src/fleet/share_options.h
@@ -26,7 +26,8 @@
              const std::string& file);
 /// Checks that every request sent to the origin under these settings ends within max_work_duration, for which
 /// granters wait. Throws options::Error if a request class has a longer deadline.
-void check_work(const ShareOptions& options, const platform::NodeSettings& settings, const std::string& file);
+void check_max_work_duration(const ShareOptions& options, const platform::NodeSettings& settings,
+                             const std::string& file);
 /// One line for --check.
 std::string describe(const ShareOptions& options);
 
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -181,11 +181,11 @@
   options.on = true;
   for (const RequestClass& kind : settings.settings.config.classes)
     options.core.max_work_duration = std::max(options.core.max_work_duration, kind.deadline);
-  EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
+  EXPECT_NO_THROW(fleet::check_max_work_duration(options, settings, "o.toml"));
   settings.settings.config.classes[0].deadline = options.core.max_work_duration + 1;
-  EXPECT_THROW(fleet::check_work(options, settings, "o.toml"), options::Error);
+  EXPECT_THROW(fleet::check_max_work_duration(options, settings, "o.toml"), options::Error);
   options.on = false;
-  EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
+  EXPECT_NO_THROW(fleet::check_max_work_duration(options, settings, "o.toml"));
 }
 
 // Routers identify a limit by the hash of its name, so the order of tenants in their settings does not
