--- a/src/emulator/simulated_network.cpp
+++ b/src/emulator/simulated_network.cpp
@@ -187,7 +187,7 @@
     if (is_view_due || node.view_reported_at == 0) {
       node.view_reported_at = time;
       node.share->set_view(time, leases::living_peers(*node.gossip),
-                           node.router_count->see(time, node.gossip->summary(time)));
+                           node.router_count->observe(time, node.gossip->summary(time)));
     }
     node.share->tick(time);
   }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -105,7 +105,7 @@
   }
   reload_roster();
   const auto now = time_.now();
-  const std::uint32_t routers = count_.see(now, socket_.protocol().summary(now));
+  const std::uint32_t routers = count_.observe(now, socket_.protocol().summary(now));
   if (options_.count_routers && routers != hooks_.divisor()) {
     hooks_.log("fleet: totals are divided by " + std::to_string(routers) + " routers");
     hooks_.set_divisor(routers);
--- a/src/fleet/router_count.h
+++ b/src/fleet/router_count.h
@@ -27,7 +27,7 @@
     configured_routers_ = configured_routers;
   }
   /// Updates the count from the view's summary and returns it. Call it at least once per second.
-  std::uint32_t see(membership::Time now, const membership::ViewSummary& counts) {
+  std::uint32_t observe(membership::Time now, const membership::ViewSummary& counts) {
     settled_once_ = settled_once_ || (counts.is_settled && counts.alive > 1);
     auto maximum = static_cast<std::uint32_t>(std::max<std::size_t>(1, counts.max_live));
     if (!settled_once_) maximum = std::max(maximum, configured_routers_);
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -47,7 +47,7 @@
       std::uint32_t wanted = 0;
       for (const auto& [time, seen] : all)
         if (time >= now - hold) wanted = std::max(wanted, seen);
-      const std::uint32_t got = count.see(now, counts);
+      const std::uint32_t got = count.observe(now, counts);
       RC_ASSERT(got >= wanted);
       if (now - all.front().first >= hold) RC_ASSERT(got == wanted);
     }
@@ -57,16 +57,16 @@
 TEST(FleetRouterCount, BeforeViewSettles_SettingsCountIsLowerBound) {
   RouterCount count(300, kSecond);
   ViewSummary alone;
-  EXPECT_EQ(count.see(kSecond, alone), 300U);
-  EXPECT_EQ(count.see(60 * kSecond, alone),
+  EXPECT_EQ(count.observe(kSecond, alone), 300U);
+  EXPECT_EQ(count.observe(60 * kSecond, alone),
             300U);  // it has seen no other router, so it may be cut off itself
   ViewSummary two;
   two.alive = two.max_live = 2;
   two.is_settled = true;
-  EXPECT_EQ(count.see(61 * kSecond, two), 300U);
-  EXPECT_EQ(count.see(63 * kSecond, two), 2U);
+  EXPECT_EQ(count.observe(61 * kSecond, two), 300U);
+  EXPECT_EQ(count.observe(63 * kSecond, two), 2U);
   two.max_live = 5;
-  EXPECT_EQ(count.see(63 * kSecond + 1, two), 5U);  // an increase takes effect at once
+  EXPECT_EQ(count.observe(63 * kSecond + 1, two), 5U);  // an increase takes effect at once
 }
 
 TEST(FleetBudget, ExhaustedBudget_AllowsOneSecondOfBurstAndPrefersAcks) {
