--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -244,7 +244,7 @@
     net::log("reload: changes of zones, kinds and the listen address take effect at the next start");
 #ifdef STREAMPICK_WITH_FLEET
   const std::uint32_t configured_routers = resolved.settings.config.routers;
-  const bool leaves_fleet = fleet_ && !resolved.settings.may_talk;
+  const bool leaves_fleet = fleet_ && !resolved.settings.peer_messages_allowed;
   if (fleet_ && options) fleet::check_max_work_duration(options->shares, resolved, options->file);
   if (fleet_ && !leaves_fleet) resolved.settings.config.routers = fleet_->routers_with(configured_routers);
 #endif
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -105,12 +105,12 @@
   for (const JsonValue& peer : peers->items("a list of addresses"))
     options.udp.peers.push_back(endpoint(peer));
   if (options.udp.peers.size() > kMaxContacts) peers->wrong("at most 2048 addresses");
-  if (settings.settings.me >= options.udp.peers.size())
+  if (settings.settings.router_index >= options.udp.peers.size())
     throw ConfigurationError(file, "fleet",
                              "the platform's configuration has " + std::to_string(options.udp.peers.size()) +
                                  " peers, but this router's number is " +
-                                 std::to_string(settings.settings.me));
-  options.core.address = membership::numbered(settings.settings.me);
+                                 std::to_string(settings.settings.router_index));
+  options.core.address = membership::numbered(settings.settings.router_index);
   for (std::uint32_t number = 0; number < options.udp.peers.size(); ++number)
     options.core.contacts.push_back(membership::numbered(number));
   options.core.max_datagram_size = 256;
@@ -150,7 +150,7 @@
 
 void resolve(Options& options, const platform::NodeSettings& settings, const std::string& file) {
   if (!options.on) return;
-  if (!settings.settings.may_talk)
+  if (!settings.settings.peer_messages_allowed)
     throw ConfigurationError(
         file, "fleet", "the platform's settings forbid messages between routers (PolicyLimits.PeerMessages)");
   apply_name(options, settings, file);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -180,8 +180,8 @@
   config.slow_start_overload_factor = reader.number("Guarantees.OverloadFactor", 0);
   config.slow_start_overload_window =
       reader.integer<Time>("Guarantees.TipAfterUs", config.slow_start_overload_window, 1);
-  out.may_talk = reader.yes("PolicyLimits.PeerMessages");
-  out.me = reader.integer<std::uint32_t>("Me", 0);
+  out.peer_messages_allowed = reader.yes("PolicyLimits.PeerMessages");
+  out.router_index = reader.integer<std::uint32_t>("Me", 0);
   out.drain_grace = reader.integer<Time>("Guarantees.StopSendingWithinUs", 0);
 
   const auto classes = reader.list_length("Profiles");
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -43,9 +43,9 @@
   std::uint64_t seed = 0;
   Config config;
   Names names;
-  bool may_talk = false;  // whether routers may send one another datagrams
-  std::uint32_t me = 0;   // this router's index among the routers
-  Time drain_grace = 0;   // from the news that a server leaves to the last new request sent to it, us
+  bool peer_messages_allowed = false;  // whether routers may send one another datagrams
+  std::uint32_t router_index = 0;      // this router's index among the routers
+  Time drain_grace = 0;  // from the news that a server leaves to the last new request sent to it, us
 };
 
 // Both throw SettingsError. check_usable() rejects settings from which a Router cannot be made; its error
