--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -20,7 +20,7 @@
 #ifdef STREAMPICK_WITH_ETCD
 void Host::start_etcd_roster(const etcd::Options& options, std::uint64_t seed) {
   etcd_ = std::make_unique<etcd::EtcdRoster>(
-      io_, names_, options, seed, sources_->second(), [this] { return sources_->told() == 0; },
+      io_, names_, options, seed, sources_->secondary(), [this] { return sources_->published_count() == 0; },
       [](std::string_view text) { net::log(text); });
 }
 #endif
--- a/src/roster/sources.h
+++ b/src/roster/sources.h
@@ -27,9 +27,9 @@
       : engine_(engine), platform_(*this, 0), second_(*this, 1) {}
 
   engine::EndpointListObserver& platform() { return platform_; }
-  engine::EndpointListObserver& second() { return second_; }
+  engine::EndpointListObserver& secondary() { return second_; }
   bool second_leads() const { return second_.has_complete_list; }
-  std::size_t told() const { return published_.size(); }
+  std::size_t published_count() const { return published_.size(); }
 
  private:
   struct Source final : engine::EndpointListObserver {
--- a/tests/roster/sources_test.cpp
+++ b/tests/roster/sources_test.cpp
@@ -63,9 +63,9 @@
   Sources sources(engine);
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b")}));
   EXPECT_EQ(engine.all(), "a b ");
-  sources.second().on_endpoint_list(list(false, {server("c")}));  // no complete list yet
+  sources.secondary().on_endpoint_list(list(false, {server("c")}));  // no complete list yet
   EXPECT_EQ(engine.all(), "a b ");
-  sources.second().on_endpoint_list(list(true, {server("b"), server("c")}));
+  sources.secondary().on_endpoint_list(list(true, {server("b"), server("c")}));
   EXPECT_EQ(engine.all(), "b c ");
   EXPECT_EQ(engine.departures, std::vector<std::string>{"a"});
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b"), server("z")}));
@@ -77,14 +77,14 @@
   Engine engine;
   Sources sources(engine);
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b"), server("c")}));
-  sources.second().on_endpoint_list(list(true, {server("a"), server("b"), server("c")}));
+  sources.secondary().on_endpoint_list(list(true, {server("a"), server("b"), server("c")}));
   sources.platform().on_endpoint_list(list(false, {server("a", Phase::draining)}));
   EXPECT_EQ(engine.all(), "a- b c ");
   sources.platform().on_endpoint_list(list(false, {server("b", Phase::gone)}));
   EXPECT_EQ(engine.all(), "a- c ");
-  sources.second().on_endpoint_list(list(false, {server("c", Phase::draining)}));
+  sources.secondary().on_endpoint_list(list(false, {server("c", Phase::draining)}));
   EXPECT_EQ(engine.all(), "a- c- ");
-  sources.second().on_endpoint_list(list(false, {server("a", Phase::gone)}));
+  sources.secondary().on_endpoint_list(list(false, {server("a", Phase::gone)}));
   EXPECT_EQ(engine.all(), "c- ");
   // The platform lists b again, and the second source never reported it as gone.
   sources.platform().on_endpoint_list(list(false, {server("b")}));
@@ -95,10 +95,10 @@
   Engine engine;
   Sources sources(engine);
   sources.platform().on_endpoint_list(list(true, {server("a"), server("b")}));
-  sources.second().on_endpoint_list(list(true, {server("a"), server("b")}));
+  sources.secondary().on_endpoint_list(list(true, {server("a"), server("b")}));
   sources.platform().on_endpoint_list(list(false, {server("a", Phase::gone)}));
-  sources.second().on_endpoint_list(list(false, {server("a", Phase::gone)}));
-  sources.second().on_endpoint_list(
+  sources.secondary().on_endpoint_list(list(false, {server("a", Phase::gone)}));
+  sources.secondary().on_endpoint_list(
       list(false, {server("a")}));  // restarted; the platform has not listed it yet
   EXPECT_EQ(engine.all(), "a b ");
   EXPECT_EQ(engine.departures, std::vector<std::string>{"a"});
@@ -107,14 +107,14 @@
 TEST(RosterSources, FailureOfSecondarySource_IsNotForwarded) {
   Engine engine;
   Sources sources(engine);
-  sources.second().on_discovery_failed();
+  sources.secondary().on_discovery_failed();
   EXPECT_EQ(engine.failed, 0);
   sources.platform().on_discovery_failed();
   EXPECT_EQ(engine.failed, 1);
-  sources.second().on_endpoint_list(list(true, {server("a")}));
+  sources.secondary().on_endpoint_list(list(true, {server("a")}));
   sources.platform().on_discovery_failed();
   EXPECT_EQ(engine.failed, 1);
-  sources.second().on_discovery_failed();
+  sources.secondary().on_discovery_failed();
   EXPECT_EQ(engine.failed, 2);
 }
 
