--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -281,7 +281,7 @@
   }
 #endif
   accepted_.text = next.text;
-  discovery_->move_to(next.discovery);
+  discovery_->set_address(next.discovery);
 }
 
 std::string Host::summary() const {
--- a/src/plugin/client.cpp
+++ b/src/plugin/client.cpp
@@ -189,7 +189,7 @@
   }
   // Nothing new is sent until the list is in.
   void read_list() {
-    discovery->read_anew();
+    discovery->refetch();
     hold_over->expires_after(
         std::chrono::microseconds(std::max<Time>(0, clock.resume().hold_until() - clock.real_now())));
     hold_over->async_wait([this](const boost::system::error_code& cancelled) {
--- a/src/roster/discovery.cpp
+++ b/src/roster/discovery.cpp
@@ -150,15 +150,15 @@
   watch_->start();
 }
 
-void Discovery::move_to(const net::tcp::endpoint& address) {
+void Discovery::set_address(const net::tcp::endpoint& address) {
   if (address == address_) return;
   net::log("discovery: address changed to " + address.address().to_string() + ":" +
            std::to_string(address.port()));
   address_ = address;
-  read_anew();
+  refetch();
 }
 
-void Discovery::read_anew() {
+void Discovery::refetch() {
   revision_ = 0;
   outdated_since_.reset();
   backoff_ = times_.backoff_first;
--- a/src/roster/discovery.h
+++ b/src/roster/discovery.h
@@ -32,10 +32,10 @@
   void watch() override;
   // Switches to another discovery service. Its revisions are independent of the former one's, so the complete
   // list is requested at once.
-  void move_to(const boost::asio::ip::tcp::endpoint& address);
+  void set_address(const boost::asio::ip::tcp::endpoint& address);
   // Requests the complete list now, whatever revision is known.
-  void read_anew();
-  // Closes the watch without reporting a failure, until the next watch() or read_anew().
+  void refetch();
+  // Closes the watch without reporting a failure, until the next watch() or refetch().
   void pause();
   void stop();
 
