--- a/src/daemon/host.h
+++ b/src/daemon/host.h
@@ -55,7 +55,7 @@
   boost::asio::ip::tcp::endpoint address() const { return http_->address(); }
   Operators& operators() { return *operators_; }
   const engine::Counters& counts() const { return engine_->counts(); }
-  std::size_t servers() const { return engine_->servers(); }  // the highest number known at one time
+  std::size_t max_endpoints() const { return engine_->servers(); }  // the highest number known at one time
   net::UpstreamResources& upstream_resources() { return resources_; }
   const net::LoadShedder& load_shedder() const { return *load_shedder_; }
   const overload::DescriptorBudget& descriptors() const { return descriptors_; }
--- a/tests/roster/discovery_test.cpp
+++ b/tests/roster/discovery_test.cpp
@@ -449,7 +449,7 @@
     EXPECT_EQ(cache.peers.size(), static_cast<std::size_t>(i) + 2);
     before = now;
   }
-  EXPECT_LE(host->servers(), 4U);
+  EXPECT_LE(host->max_endpoints(), 4U);
 }
 
 TEST_F(Watched, GoneServer_IsForgottenAfterItsLastAttempt) {
@@ -463,13 +463,13 @@
   quiet(30);
   chunk(list_json(3, false, {{"s-new", other.address()}}).dump() + "\n");
   quiet(30);
-  EXPECT_EQ(host->servers(), 3U);  // its numeric id is not reused while the attempt is in progress
+  EXPECT_EQ(host->max_endpoints(), 3U);  // its numeric id is not reused while the attempt is in progress
   cache.peers[0]->write(response(200, "x"));
   ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
   EXPECT_EQ(one->body(), "x");
   chunk(list_json(4, false, {{"s-newer", other.address()}}).dump() + "\n");
   quiet(30);
-  EXPECT_EQ(host->servers(), 3U);
+  EXPECT_EQ(host->max_endpoints(), 3U);
 }
 
 }  // namespace
