--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -106,7 +106,7 @@
   engine_ = std::make_unique<engine::Engine>(
       clock_, engine::EngineSettings{router.config, router.seed, {}, names_.classes}, *transports_,
       [](std::string_view text) { net::log(text); });
-  transports_->report_to(*engine_);
+  transports_->set_observer(*engine_);
   platform_lists_.next = engine_.get();
 #ifdef STREAMPICK_WITH_ETCD
   if (has_second_source) {
--- a/src/platform/transports.h
+++ b/src/platform/transports.h
@@ -17,7 +17,7 @@
 
 class ServerTransports final : public engine::UpstreamFactory {
  public:
-  // `io`, `time` and `resources` must outlive this object. Call report_to() before the first make().
+  // `io`, `time` and `resources` must outlive this object. Call set_observer() before the first make().
   ServerTransports(boost::asio::io_context& io, engine::TimeSource& time, net::UpstreamResources& resources,
                    const NodeSettings& settings);
 #ifdef STREAMPICK_WITH_OPTIONS
@@ -27,7 +27,7 @@
   // Marks keyed classes as unsafe where their servers would run a retry a second time.
   static void mark_unsafe_classes(const Options& options, Settings& settings);
 #endif
-  void report_to(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
+  void set_observer(engine::AttemptObserver& outcomes) { outcomes_ = &outcomes; }
   std::unique_ptr<engine::Upstream> make(const std::string& name, std::uint32_t kind) override;
   std::string summary() const;  // for the log; may be empty
 #ifdef STREAMPICK_WITH_RESP
--- a/src/plugin/client.cpp
+++ b/src/plugin/client.cpp
@@ -110,7 +110,7 @@
     engine_settings.is_idle = [this] { return resources.connections.open() == 0; };
     engine.emplace(clock, engine_settings, static_cast<engine::UpstreamFactory&>(*this),
                    [](std::string_view text) { net::log(text); });
-    servers->report_to(*engine);
+    servers->set_observer(*engine);
     const bool polls_discovery = told.settings.config.polls_discovery;
     discovery.emplace(io, told.settings.names, told.discovery, told.known.revision, !polls_discovery, seed,
                       static_cast<engine::EndpointListObserver&>(*this));
