--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -127,7 +127,7 @@
                                           settings.passed_socket);
   engine_->add(*http_);
   operators_ =
-      std::make_unique<Operators>(io_, clock_, *engine_, resources_, takes_over ? settings.scratch : "",
+      std::make_unique<Operators>(io_, clock_, *engine_, resources_, takes_over ? settings.shared_folder : "",
                                   [this](bool is_only_process) { set_resource_limits(is_only_process); });
   operators_->set_listening_check([this] { return http_->listens(); });
   if (settings.management) operators_->listen(*settings.management);
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -135,7 +135,7 @@
       throw std::runtime_error("NODE_MANAGEMENT: found '" + environment.management.substr(0, 60) +
                                "', expected an address and a port, such as 10.0.0.4:15000");
   }
-  settings.scratch = environment.scratch;
+  settings.shared_folder = environment.shared_folder;
   const std::string& passed = environment.passed_socket;
   if (passed.empty()) return;
   int number = -1;
--- a/src/platform/node_settings.h
+++ b/src/platform/node_settings.h
@@ -21,7 +21,8 @@
       management;  // of the management server; none: there is no such server
   int passed_socket =
       -1;  // descriptor of the listening socket that the platform passed; -1: the router opens one
-  std::string scratch;      // folder that this router's processes share, also one after another; empty: none
+  std::string
+      shared_folder;        // folder that this router's processes share, also one after another; empty: none
   std::size_t sockets = 0;  // file descriptors that this process may open
   std::size_t memory_mb = 0;
   double cores = 1;  // processor cores that this process may use
@@ -37,7 +38,7 @@
 // The configuration in environment variables. It is of this process alone, and takes precedence over the
 // file, which the process that is replaced may read as well.
 struct Environment {
-  std::string management, passed_socket, scratch;  // empty: not set
+  std::string management, passed_socket, shared_folder;  // empty: not set
   static Environment from_process();
 };
 void apply(const Environment& environment, NodeSettings& settings);
