--- a/src/platform/transports.cpp
+++ b/src/platform/transports.cpp
@@ -27,7 +27,7 @@
 void ServerTransports::mark_unsafe_classes([[maybe_unused]] const Options& options,
                                            [[maybe_unused]] Settings& settings) {
 #ifdef STREAMPICK_WITH_RESP
-  if (!resp::repeats_run_twice(options.resp, settings)) return;
+  if (!resp::repeated_writes_run_twice(options.resp, settings)) return;
   net::log(
       "keyed classes count as unsafe: the servers that execute writes do not receive idempotency keys "
       "(resp.servers.send_ids)");
@@ -40,7 +40,7 @@
 std::unique_ptr<engine::Upstream> ServerTransports::make(const std::string& name,
                                                          [[maybe_unused]] std::uint32_t kind) {
 #ifdef STREAMPICK_WITH_RESP
-  if (resp_ && resp_->speak(kinds_, kind)) {
+  if (resp_ && resp_->speaks_resp(kinds_, kind)) {
     const bool holds_copies = origin_kind_ != kNone && kind != origin_kind_;
     return std::make_unique<resp::RespTransport>(io_, time_, resources_, *outcomes_, resp_->settings,
                                                  resp_counts_, name, holds_copies);
--- a/src/resp/options.cpp
+++ b/src/resp/options.cpp
@@ -71,7 +71,7 @@
   return out;
 }
 
-bool ServerOptions::speak(const std::vector<std::string>& names, std::uint32_t kind) const {
+bool ServerOptions::speaks_resp(const std::vector<std::string>& names, std::uint32_t kind) const {
   return kinds.empty() ||
          (kind < names.size() && std::find(kinds.begin(), kinds.end(), names[kind]) != kinds.end());
 }
@@ -111,10 +111,10 @@
   // If some kind of server does not speak RESP, it may have to answer any command.
   settings.rules.table.any_protocol_only = !all.servers;
   for (std::uint32_t kind = 0; kind < names.kinds.size() && all.servers; ++kind)
-    if (!all.servers->speak(names.kinds, kind)) settings.rules.table.any_protocol_only = true;
+    if (!all.servers->speaks_resp(names.kinds, kind)) settings.rules.table.any_protocol_only = true;
   settings.seed = platform.seed ^ 0x52455350U;
   // Servers that don't receive the key of a write can't drop its repeats.
-  if (settings.write_key && repeats_run_twice(all, platform))
+  if (settings.write_key && repeated_writes_run_twice(all, platform))
     wrong("resp.servers.send_ids",
           "the class '" + names.classes[settings.write_class] +
               "' is keyed: its servers must be told keys to drop repeats, so send_ids must be true, or "
@@ -129,11 +129,11 @@
           "of " + std::to_string(clients) + " descriptors for clients it must leave 8 to the HTTP side");
 }
 
-bool repeats_run_twice(const Options& options, const Settings& platform) {
+bool repeated_writes_run_twice(const Options& options, const Settings& platform) {
   if (!options.servers || options.servers->settings.rules.send_ids) return false;
   const Config& config = platform.config;
   // If values are stored at an origin, writes go only there.
-  return !config.cache_aside || options.servers->speak(platform.names.kinds, config.origin_kind);
+  return !config.cache_aside || options.servers->speaks_resp(platform.names.kinds, config.origin_kind);
 }
 
 std::string describe(const Options& options) {
--- a/src/resp/options.h
+++ b/src/resp/options.h
@@ -20,7 +20,7 @@
 
   // Whether members of this kind (an index into `names`) speak RESP. Members of an unknown kind do if all
   // members do.
-  bool speak(const std::vector<std::string>& names, std::uint32_t kind) const;
+  bool speaks_resp(const std::vector<std::string>& names, std::uint32_t kind) const;
 };
 
 // [resp.front]: the listener for RESP clients.
@@ -42,7 +42,7 @@
 
 // Whether writes go to servers that receive no idempotency keys. Such servers can't drop repeats, so a keyed
 // class is in fact unsafe there.
-bool repeats_run_twice(const Options& options, const Settings& settings);
+bool repeated_writes_run_twice(const Options& options, const Settings& settings);
 
 // Describes the enabled parts, one line each.
 std::string describe(const Options& options);
