--- a/src/control/admin_overrides.cpp
+++ b/src/control/admin_overrides.cpp
@@ -21,10 +21,10 @@
   constexpr const char* kExpectedId = "a text of 1 to 256 bytes";
   AdminOverrides::Endpoints endpoints;
   for (const JsonValue& item : items) {
-    const std::string id = item.at("id", kExpectedId).text(kExpectedId, 1, AdminOverrides::kMaxIdSize);
+    const std::string id = item.at("id", kExpectedId).string(kExpectedId, 1, AdminOverrides::kMaxIdSize);
     AdminOverrides::Endpoint& endpoint = endpoints[id];
-    endpoint.is_disabled = item.at("out", "true or false").yes();
-    endpoint.changed_at = static_cast<Time>(item.at("since_us", "microseconds").whole(0, kMaxTime));
+    endpoint.is_disabled = item.at("out", "true or false").boolean();
+    endpoint.changed_at = static_cast<Time>(item.at("since_us", "microseconds").integer(0, kMaxTime));
   }
   return endpoints;
 }
@@ -76,10 +76,10 @@
   const nlohmann::json document = parse_json(text);
   const JsonValue root(document);
   const JsonValue format = root.at("format", kFormat);
-  if (format.text(kFormat) != kFormat) format.wrong(kFormat);
-  root.at("version", "1").whole(kVersion, kVersion);
+  if (format.string(kFormat) != kFormat) format.reject(kFormat);
+  root.at("version", "1").integer(kVersion, kVersion);
   AdminOverrides overrides;
-  overrides.is_draining_ = root.at("clients_away", "true or false").yes();
+  overrides.is_draining_ = root.at("clients_away", "true or false").boolean();
   overrides.endpoints_ = parse_endpoints(root.at("servers", "a list of servers"));
   return overrides;
 }
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -94,8 +94,8 @@
                           const std::string& file) {
   const char* const expected = "an address and a port, such as 10.0.0.4:7946";
   const auto endpoint = [&](const JsonValue& value) {
-    const std::string text = value.text(expected);
-    if (parse_address(text) == 0) value.wrong(expected);
+    const std::string text = value.string(expected);
+    if (parse_address(text) == 0) value.reject(expected);
     return to_udp(text);
   };
   options.udp.listen = endpoint(config.at("peer_listen", expected));
@@ -104,7 +104,7 @@
     throw ConfigurationError(file, "fleet", "the platform's configuration has peer_listen but no peers");
   for (const JsonValue& peer : peers->items("a list of addresses"))
     options.udp.peers.push_back(endpoint(peer));
-  if (options.udp.peers.size() > kMaxContacts) peers->wrong("at most 2048 addresses");
+  if (options.udp.peers.size() > kMaxContacts) peers->reject("at most 2048 addresses");
   if (settings.settings.router_index >= options.udp.peers.size())
     throw ConfigurationError(file, "fleet",
                              "the platform's configuration has " + std::to_string(options.udp.peers.size()) +
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -30,8 +30,8 @@
 net::tcp::endpoint endpoint(const JsonValue& config, const char* key) {
   const char* const expected = "an address and a port, as 10.0.0.4:3000";
   const JsonValue value = config.at(key, expected);
-  if (const auto parsed = net::parse_endpoint(value.text(expected))) return *parsed;
-  value.wrong(expected);
+  if (const auto parsed = net::parse_endpoint(value.string(expected))) return *parsed;
+  value.reject(expected);
 }
 
 std::string to_text(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
@@ -56,9 +56,9 @@
 }
 
 std::uint64_t parse_seed(const JsonValue& value) {
-  if (value.json().is_number_unsigned()) return value.whole(0, std::numeric_limits<std::uint64_t>::max());
-  if (!value.json().is_string()) value.wrong("a whole number, or a text");
-  return hash_name(value.text("a text"));
+  if (value.json().is_number_unsigned()) return value.integer(0, std::numeric_limits<std::uint64_t>::max());
+  if (!value.json().is_string()) value.reject("a whole number, or a text");
+  return hash_name(value.string("a text"));
 }
 
 // The error's message with the key's path in the file, settings.Profiles[0].AimUs, in place of the flattened
@@ -103,7 +103,7 @@
   out.text = text;
   out.settings = parse_settings_object(config.at("settings", "an object with the settings"));
   validate(out.settings.config);
-  if (const auto name = config.find("name")) out.name = name->text("a text");
+  if (const auto name = config.find("name")) out.name = name->string("a text");
   out.listen = endpoint(config, "listen");
   out.discovery = endpoint(config, "discovery");
   if (config.find("management")) out.management = endpoint(config, "management");
@@ -112,8 +112,8 @@
   out.memory_mb = kDefaultMemoryMb;
   if (const auto limits = config.find("limits")) {
     if (const auto cores = limits->find("cores")) out.cores = cores->number(1e-3, 1e6, "a number above 0");
-    if (const auto memory = limits->find("memory_mb")) out.memory_mb = memory->whole(1, 1U << 30U);
-    if (const auto sockets = limits->find("sockets")) out.sockets = sockets->whole(1, 1U << 30U);
+    if (const auto memory = limits->find("memory_mb")) out.memory_mb = memory->integer(1, 1U << 30U);
+    if (const auto sockets = limits->find("sockets")) out.sockets = sockets->integer(1, 1U << 30U);
   }
   if (const auto known = config.find("known"))
     out.known = discovery::parse_members(*known, out.settings.names);
--- a/src/roster/etcd/registry.cpp
+++ b/src/roster/etcd/registry.cpp
@@ -33,10 +33,10 @@
   // so that an unknown name there is an error.
   const auto check_name = [&](const char* key, const std::vector<std::string>& all) {
     const auto named = entry.find(key);
-    if (named && !all.empty() && index_of(all, named->text("a name")) == kNone) {
+    if (named && !all.empty() && index_of(all, named->string("a name")) == kNone) {
       std::string expected = "one of";
       for (const std::string& name : all) expected += " " + name;
-      named->wrong(expected);
+      named->reject(expected);
     }
   };
   check_name("locality", names.zones);
--- a/src/settings/json_value.cpp
+++ b/src/settings/json_value.cpp
@@ -57,12 +57,12 @@
 }
 
 const JsonValue& JsonValue::object(const char* expected) const {
-  if (!value_->is_object()) wrong(expected);
+  if (!value_->is_object()) reject(expected);
   return *this;
 }
 
 std::vector<JsonValue> JsonValue::items(const char* expected) const {
-  if (!value_->is_array()) wrong(expected);
+  if (!value_->is_array()) reject(expected);
   std::vector<JsonValue> out;
   out.reserve(value_->size());
   for (std::size_t i = 0; i < value_->size(); ++i)
@@ -70,44 +70,43 @@
   return out;
 }
 
-std::string JsonValue::text(const char* expected, std::size_t least, std::size_t most) const {
-  if (!value_->is_string()) wrong(expected);
+std::string JsonValue::string(const char* expected, std::size_t min, std::size_t max) const {
+  if (!value_->is_string()) reject(expected);
   const auto& out = value_->get_ref<const std::string&>();
-  if (out.size() < least || out.size() > most) wrong(expected);
+  if (out.size() < min || out.size() > max) reject(expected);
   return out;
 }
 
-bool JsonValue::yes() const {
-  if (!value_->is_boolean()) wrong("true or false");
+bool JsonValue::boolean() const {
+  if (!value_->is_boolean()) reject("true or false");
   return value_->get<bool>();
 }
 
-double JsonValue::number(double least, double most, const char* expected) const {
-  if (!value_->is_number()) wrong(expected);
+double JsonValue::number(double min, double max, const char* expected) const {
+  if (!value_->is_number()) reject(expected);
   const double out = value_->get<double>();
-  if (!(out >= least && out <= most)) wrong(expected);  // written so that NaN is rejected too
+  if (!(out >= min && out <= max)) reject(expected);  // written so that NaN is rejected too
   return out;
 }
 
-std::uint64_t JsonValue::whole(std::uint64_t least, std::uint64_t most) const {
+std::uint64_t JsonValue::integer(std::uint64_t min, std::uint64_t max) const {
   const std::string expected =
-      "a whole number from " + std::to_string(least) +
-      (most == std::numeric_limits<std::uint64_t>::max() ? " on" : " to " + std::to_string(most));
+      "a whole number from " + std::to_string(min) +
+      (max == std::numeric_limits<std::uint64_t>::max() ? " on" : " to " + std::to_string(max));
   if (value_->is_number_float()) {
     // Some JSON writers print every number with a decimal point.
     const double given = value_->get<double>();
-    if (!(given >= static_cast<double>(least) && given <= 9e15) || given != std::floor(given))
-      wrong(expected);
-    if (static_cast<std::uint64_t>(given) > most) wrong(expected);
+    if (!(given >= static_cast<double>(min) && given <= 9e15) || given != std::floor(given)) reject(expected);
+    if (static_cast<std::uint64_t>(given) > max) reject(expected);
     return static_cast<std::uint64_t>(given);
   }
-  if (!value_->is_number_unsigned()) wrong(expected);
+  if (!value_->is_number_unsigned()) reject(expected);
   const auto out = value_->get<std::uint64_t>();
-  if (out < least || out > most) wrong(expected);
+  if (out < min || out > max) reject(expected);
   return out;
 }
 
-void JsonValue::wrong(const std::string& expected) const {
+void JsonValue::reject(const std::string& expected) const {
   throw JsonError(path_, "there is " + describe(*value_), expected);
 }
 
--- a/src/settings/json_value.h
+++ b/src/settings/json_value.h
@@ -35,11 +35,11 @@
 
   const JsonValue& object(const char* expected = "an object") const;
   std::vector<JsonValue> items(const char* expected) const;
-  std::string text(const char* expected, std::size_t least = 0, std::size_t most = 4096) const;
-  bool yes() const;
-  double number(double least, double most, const char* expected) const;
-  std::uint64_t whole(std::uint64_t least, std::uint64_t most) const;
-  [[noreturn]] void wrong(const std::string& expected) const;
+  std::string string(const char* expected, std::size_t min = 0, std::size_t max = 4096) const;
+  bool boolean() const;
+  double number(double min, double max, const char* expected) const;
+  std::uint64_t integer(std::uint64_t min, std::uint64_t max) const;
+  [[noreturn]] void reject(const std::string& expected) const;
 
   const nlohmann::json& json() const { return *value_; }
   const std::string& path() const { return path_; }
--- a/src/settings/shape.cpp
+++ b/src/settings/shape.cpp
@@ -32,7 +32,7 @@
 
 void require_members(const std::string& path, const json& accepted, const json& next) {
   if (accepted.is_null()) return;
-  if (type_of(accepted) != type_of(next)) JsonValue(next, path).wrong(type_of(accepted));
+  if (type_of(accepted) != type_of(next)) JsonValue(next, path).reject(type_of(accepted));
   if (accepted.is_object()) {
     for (const auto& [key, value] : accepted.items()) {
       if (value.is_null()) continue;
