--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -47,27 +47,27 @@
 Options read_options(options::Table table) {
   Options out;
   out.on = true;
-  table.text("listen", out.listen, 64);
-  table.text("advertise", out.advertise, 64);
+  table.string("listen", out.listen, 64);
+  table.string("advertise", out.advertise, 64);
   for (const auto& [key, text] : {std::pair("listen", &out.listen), std::pair("advertise", &out.advertise)})
     if (!text->empty() && parse_address(*text) == 0)
-      table.wrong(key, "expected ADDRESS:PORT with a numeric IPv4 address");
-  table.text("name", out.udp.fleet, 64);
-  table.texts("seeds", out.seeds);
-  if (out.seeds.size() > 64) table.wrong("seeds", "expected at most 64 addresses");
+      table.reject(key, "expected ADDRESS:PORT with a numeric IPv4 address");
+  table.string("name", out.udp.fleet, 64);
+  table.strings("seeds", out.seeds);
+  if (out.seeds.size() > 64) table.reject("seeds", "expected at most 64 addresses");
   for (const std::string& seed : out.seeds)
     if (parse_address(seed) == 0)
-      table.wrong("seeds", "expected ADDRESS:PORT, not '" + seed.substr(0, 60) + "'");
-  table.text("roster_file", out.roster_file, 4096);
+      table.reject("seeds", "expected ADDRESS:PORT, not '" + seed.substr(0, 60) + "'");
+  table.string("roster_file", out.roster_file, 4096);
   std::string admit = "listed";
-  table.text("admit", admit);
-  if (admit != "listed" && admit != "any") table.wrong("admit", R"(expected "listed" or "any")");
+  table.string("admit", admit);
+  if (admit != "listed" && admit != "any") table.reject("admit", R"(expected "listed" or "any")");
   out.udp.contacts_only = admit == "listed";
   table.integer("period_ms", out.core.period, 50, 60'000, 1'000);
   out.core.ping_timeout = out.core.period * 3 / 10;
   table.integer("answer_ms", out.core.ping_timeout, 10, 30'000, 1'000);
   if (out.core.ping_timeout * 3 > out.core.period)
-    table.wrong("answer_ms", "expected at most a third of period_ms");
+    table.reject("answer_ms", "expected at most a third of period_ms");
   table.integer("datagram_bytes", out.core.max_datagram_size, 256, 1'200);
   table.integer("helpers", out.core.indirect_probers, 0, 16);
   table.integer("unreachable_s", out.core.lifetimes.unreachable, 10, 86'400, kSecond);
@@ -76,9 +76,9 @@
   table.integer("datagrams_per_s", datagrams, 10, 100'000);
   table.integer("bytes_per_s", bytes, 4'096, 100'000'000);
   out.udp.budget = {static_cast<double>(datagrams), static_cast<double>(bytes)};
-  table.yes("count_routers", out.count_routers);
+  table.boolean("count_routers", out.count_routers);
   table.integer("hold_ms", out.hold, 0, 3'600'000, 1'000);
-  table.no_others();
+  table.reject_unknown_keys();
   return out;
 }
 
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -44,10 +44,10 @@
   out.on = true;
   out.core.shards = 4;
   out.core.max_work_duration = 0;
-  table.texts("voters", out.voters);
-  if (out.voters.size() > kMaxVoters) table.wrong("voters", "expected at most 9 addresses");
+  table.strings("voters", out.voters);
+  if (out.voters.size() > kMaxVoters) table.reject("voters", "expected at most 9 addresses");
   table.integer("origin_places", out.origin_places, 0, static_cast<std::int64_t>(leases::kMaxTotal));
-  table.yes("quotas", out.quotas);
+  table.boolean("quotas", out.quotas);
   table.integer("seats", out.core.shards, 1, leases::kMaxShards);
   out.core.expected_routers = 0;
   table.integer("routers", out.core.expected_routers, 1, 4'096);
@@ -56,15 +56,15 @@
   out.core.lease_duration = 3 * out.core.period;
   table.integer("term_ms", out.core.term, 100, 600'000, 1'000);
   table.integer("lease_ms", out.core.lease_duration, 100, 600'000, 1'000);
-  if (out.core.term < 2 * out.core.period) table.wrong("term_ms", "expected at least two periods");
+  if (out.core.term < 2 * out.core.period) table.reject("term_ms", "expected at least two periods");
   if (out.core.lease_duration < 2 * out.core.period || out.core.lease_duration > out.core.term)
-    table.wrong("lease_ms", "expected at least two periods and at most term_ms");
+    table.reject("lease_ms", "expected at least two periods and at most term_ms");
   table.integer("work_ms", out.core.max_work_duration, 1, 3'600'000, 1'000);
   table.number("drift", out.core.max_clock_drift, 0, 0.5);
   table.number("floor", out.core.guaranteed_share, 0, 1);
   table.number("reserve", out.core.reserve_share, 0, 0.5);
   table.number("weight", out.core.weight, leases::kMinWeight, leases::kMaxWeight);
-  table.no_others();
+  table.reject_unknown_keys();
   return out;
 }
 
--- a/src/options/table.cpp
+++ b/src/options/table.cpp
@@ -53,7 +53,7 @@
   }
 }
 
-void Table::wrong(std::string_view key, const std::string& why) const {
+void Table::reject(std::string_view key, const std::string& why) const {
   const toml::node* node = key.empty() ? nullptr : impl_->table->get(key);
   const auto line = node != nullptr ? node->source().begin.line : impl_->table->source().begin.line;
   std::string full_path = impl_->path;
@@ -61,12 +61,12 @@
   throw Error(impl_->file + ":" + std::to_string(line) + ": " + full_path + ": " + why);
 }
 
-std::optional<std::int64_t> Table::whole(std::string_view key, std::int64_t least, std::int64_t most) {
+std::optional<std::int64_t> Table::integer(std::string_view key, std::int64_t least, std::int64_t most) {
   const toml::node* node = impl_->find(key);
   if (node == nullptr) return std::nullopt;
   const auto value = node->value_exact<std::int64_t>();
   if (!value || *value < least || *value > most)
-    wrong(key, "expected a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+    reject(key, "expected a whole number from " + std::to_string(least) + " to " + std::to_string(most));
   return value;
 }
 
@@ -75,36 +75,36 @@
   if (node == nullptr) return;
   const auto value = node->value<double>();
   if (!node->is_number() || !value || !(*value >= least && *value <= most))
-    wrong(key, "expected a number from " + to_text(least) + " to " + to_text(most));
+    reject(key, "expected a number from " + to_text(least) + " to " + to_text(most));
   out = *value;
 }
 
-void Table::yes(std::string_view key, bool& out) {
+void Table::boolean(std::string_view key, bool& out) {
   const toml::node* node = impl_->find(key);
   if (node == nullptr) return;
   const auto value = node->value_exact<bool>();
-  if (!value) wrong(key, "expected true or false");
+  if (!value) reject(key, "expected true or false");
   out = *value;
 }
 
-bool Table::text(std::string_view key, std::string& out, std::size_t most) {
+bool Table::string(std::string_view key, std::string& out, std::size_t most) {
   const toml::node* node = impl_->find(key);
   if (node == nullptr) return false;
   const auto value = node->value_exact<std::string>();
   if (!value || value->size() > most)
-    wrong(key, "expected a text of at most " + std::to_string(most) + " bytes");
+    reject(key, "expected a text of at most " + std::to_string(most) + " bytes");
   out = *value;
   return true;
 }
 
-void Table::texts(std::string_view key, std::vector<std::string>& out) {
+void Table::strings(std::string_view key, std::vector<std::string>& out) {
   const toml::node* node = impl_->find(key);
   if (node == nullptr) return;
   const toml::array* all = node->as_array();
-  if (all == nullptr) wrong(key, "expected a list of texts");
+  if (all == nullptr) reject(key, "expected a list of texts");
   for (const toml::node& item : *all) {
     const auto value = item.value_exact<std::string>();
-    if (!value) wrong(key, "expected a list of texts");
+    if (!value) reject(key, "expected a list of texts");
     out.push_back(*value);
   }
 }
@@ -112,7 +112,7 @@
 std::optional<Table> Table::table(std::string_view key) {
   const toml::node* node = impl_->find(key);
   if (node == nullptr) return std::nullopt;
-  if (!node->is_table()) wrong(key, "expected a table");
+  if (!node->is_table()) reject(key, "expected a table");
   const std::string path = impl_->path.empty() ? std::string(key) : impl_->path + "." + std::string(key);
   return Table(impl_->inner(*node->as_table(), path));
 }
@@ -122,18 +122,18 @@
   const toml::node* node = impl_->find(key);
   if (node == nullptr) return out;
   const toml::array* all = node->as_array();
-  if (all == nullptr) wrong(key, "expected tables");
+  if (all == nullptr) reject(key, "expected tables");
   const std::string path = impl_->path.empty() ? std::string(key) : impl_->path + "." + std::string(key);
   for (const toml::node& item : *all) {
-    if (!item.is_table()) wrong(key, "expected tables");
+    if (!item.is_table()) reject(key, "expected tables");
     out.push_back(Table(impl_->inner(*item.as_table(), path + "[" + std::to_string(out.size()) + "]")));
   }
   return out;
 }
 
-void Table::no_others() const {
+void Table::reject_unknown_keys() const {
   for (const auto& [key, node] : *impl_->table)
-    if (!impl_->read_keys.contains(std::string(key.str()))) wrong(key.str(), "there is no such key");
+    if (!impl_->read_keys.contains(std::string(key.str()))) reject(key.str(), "there is no such key");
 }
 
 }  // namespace streampick::options
--- a/src/options/table.h
+++ b/src/options/table.h
@@ -32,25 +32,25 @@
   template <typename Integer>
   void integer(std::string_view key, Integer& out, std::int64_t least, std::int64_t most,
                std::int64_t unit = 1) {
-    if (const auto value = whole(key, least, most)) out = static_cast<Integer>(*value * unit);
+    if (const auto value = integer(key, least, most)) out = static_cast<Integer>(*value * unit);
   }
   // Reads an integer or a floating-point number from `least` to `most`.
   void number(std::string_view key, double& out, double least, double most);
-  void yes(std::string_view key, bool& out);
+  void boolean(std::string_view key, bool& out);
   // Reads a string of at most `most` bytes. Returns whether the file contains the key.
-  bool text(std::string_view key, std::string& out, std::size_t most = 256);
-  void texts(std::string_view key, std::vector<std::string>& out);
+  bool string(std::string_view key, std::string& out, std::size_t most = 256);
+  void strings(std::string_view key, std::vector<std::string>& out);
   std::optional<Table> table(std::string_view key);
   std::vector<Table> tables(std::string_view key);
   // Throws for a key that no function has read: an operator would believe that it has an effect.
-  void no_others() const;
+  void reject_unknown_keys() const;
   // Throws an Error about the key, or about the table itself when the key is empty.
-  [[noreturn]] void wrong(std::string_view key, const std::string& why) const;
+  [[noreturn]] void reject(std::string_view key, const std::string& why) const;
 
  private:
   struct Impl;
   explicit Table(std::unique_ptr<Impl> impl);
-  std::optional<std::int64_t> whole(std::string_view key, std::int64_t least, std::int64_t most);
+  std::optional<std::int64_t> integer(std::string_view key, std::int64_t least, std::int64_t most);
   std::unique_ptr<Impl> impl_;
 };
 
--- a/src/overload/options.cpp
+++ b/src/overload/options.cpp
@@ -16,7 +16,7 @@
   table.number("clients_floor", settings.client_minimum_share, 0.05, 0.9);
   table.number("servers_floor", settings.upstream_minimum_share, 0.05, 0.9);
   if (settings.client_minimum_share + settings.upstream_minimum_share > 1) {
-    table.wrong("servers_floor", "with clients_floor it is more than the whole");
+    table.reject("servers_floor", "with clients_floor it is more than the whole");
   }
 }
 
@@ -26,14 +26,14 @@
   table.integer("crowded_idle_ms", settings.idle_timeout_under_pressure, 100, kDay,
                 kMicrosecondsPerMillisecond);
   if (settings.idle_timeout_under_pressure > settings.idle_timeout) {
-    table.wrong("crowded_idle_ms", "it is longer than calm_idle_ms");
+    table.reject("crowded_idle_ms", "it is longer than calm_idle_ms");
   }
 }
 
 void read_load_shedding(options::Table& table, Settings& settings) {
   table.integer("late_ms", settings.target_loop_lag, 0, kTenSeconds, kMicrosecondsPerMillisecond);
   table.number("busy", settings.saturated_cpu, 0.1, 1.5);
-  table.texts("spared", settings.protected_classes);
+  table.strings("spared", settings.protected_classes);
 }
 
 void read_cancellation(options::Table& table, Settings& settings) {
@@ -46,7 +46,7 @@
   table.integer("whole_answer_bytes", settings.max_buffered_response, 64 * kKibibyte, kMebibyte);
   table.integer("longest_answer_bytes", settings.max_response, 64 * kKibibyte, kTebibyte);
   if (settings.max_response < settings.max_buffered_response) {
-    table.wrong("longest_answer_bytes", "it is less than whole_answer_bytes");
+    table.reject("longest_answer_bytes", "it is less than whole_answer_bytes");
   }
 }
 }  // namespace
@@ -58,7 +58,7 @@
   read_load_shedding(table, settings);
   read_cancellation(table, settings);
   read_response_bodies(table, settings);
-  table.no_others();
+  table.reject_unknown_keys();
   return settings;
 }
 
--- a/src/platform/options.cpp
+++ b/src/platform/options.cpp
@@ -18,7 +18,7 @@
   if (auto grpc = root.table("grpc")) out.grpc = rpc::read_options(std::move(*grpc));
   if (auto roster = root.table("roster")) {
     if (auto etcd = roster->table("etcd")) out.etcd = etcd::read_options(std::move(*etcd));
-    roster->no_others();
+    roster->reject_unknown_keys();
   }
 #ifdef STREAMPICK_WITH_FLEET
   if (auto fleet = root.table("fleet")) out.fleet = fleet::read_options(std::move(*fleet));
@@ -27,7 +27,7 @@
 #ifdef STREAMPICK_WITH_RESP
   if (auto resp = root.table("resp")) out.resp = resp::read_options(std::move(*resp));
 #endif
-  root.no_others();
+  root.reject_unknown_keys();
   return out;
 }
 
--- a/src/resp/options.cpp
+++ b/src/resp/options.cpp
@@ -13,14 +13,14 @@
 FrontOptions read_front(options::Table table) {
   FrontOptions out;
   std::string listen;
-  if (!table.text("listen", listen)) table.wrong("listen", "it is missing");
+  if (!table.string("listen", listen)) table.reject("listen", "it is missing");
   const auto endpoint = net::parse_endpoint(listen);
-  if (!endpoint) table.wrong("listen", "expected ADDRESS:PORT, the address in numbers");
+  if (!endpoint) table.reject("listen", "expected ADDRESS:PORT, the address in numbers");
   FrontSettings& settings = out.settings;
   settings.listen = *endpoint;
-  table.text("read_class", out.read_class);
-  table.text("write_class", out.write_class);
-  table.text("tenant", settings.rules.tenant);
+  table.string("read_class", out.read_class);
+  table.string("write_class", out.write_class);
+  table.string("tenant", settings.rules.tenant);
   table.integer("most_clients", settings.most_clients, 1, 65'536);
   table.integer("most_requests", settings.most_requests, 1, 65'536);
   table.integer("pipeline", settings.rules.pipeline, 1, 4'096);
@@ -31,33 +31,33 @@
   table.integer("idle_ms", settings.idle, 0, kMaxMs, 1000);
   for (options::Table& user : table.tables("users")) {
     User& added = settings.rules.users.emplace_back();
-    if (!user.text("name", added.name) || added.name.empty()) user.wrong("name", "it is missing");
-    if (!user.text("password", added.password) || added.password.empty())
-      user.wrong("password", "it is missing");
-    user.text("tenant", added.tenant);
-    user.no_others();
+    if (!user.string("name", added.name) || added.name.empty()) user.reject("name", "it is missing");
+    if (!user.string("password", added.password) || added.password.empty())
+      user.reject("password", "it is missing");
+    user.string("tenant", added.tenant);
+    user.reject_unknown_keys();
   }
-  table.no_others();
+  table.reject_unknown_keys();
   return out;
 }
 
 ServerOptions read_servers(options::Table table) {
   ServerOptions out;
-  table.texts("kinds", out.kinds);
+  table.strings("kinds", out.kinds);
   ServerSettings& settings = out.settings;
-  table.text("user", settings.rules.user);
-  table.text("password", settings.rules.password);
+  table.string("user", settings.rules.user);
+  table.string("password", settings.rules.password);
   if (!settings.rules.user.empty() && settings.rules.password.empty())
-    table.wrong("user", "a user needs a password");
+    table.reject("user", "a user needs a password");
   table.integer("connections", settings.connections, 1, 256);
   table.integer("pipeline", settings.pipeline, 1, 1'024);
-  table.yes("writes_alone", settings.writes_alone);
+  table.boolean("writes_alone", settings.writes_alone);
   table.integer("waiting", settings.waiting, 1, 65'536);
   table.integer("store_queue", settings.store_queue, 0, 65'536);
   table.integer("store_ms", settings.rules.store_ms, 0, kMaxMs * 30);
   table.integer("longest_value_bytes", settings.rules.longest_value, 1, 1024 * 1024);
-  table.yes("send_ids", settings.rules.send_ids);
-  table.no_others();
+  table.boolean("send_ids", settings.rules.send_ids);
+  table.reject_unknown_keys();
   return out;
 }
 
@@ -67,7 +67,7 @@
   Options out;
   if (auto front = table.table("front")) out.front = read_front(std::move(*front));
   if (auto servers = table.table("servers")) out.servers = read_servers(std::move(*servers));
-  table.no_others();
+  table.reject_unknown_keys();
   return out;
 }
 
--- a/src/testbed/script.cpp
+++ b/src/testbed/script.cpp
@@ -37,12 +37,12 @@
 Value one_of(options::Table& table, const char* key, const std::map<std::string, Value>& words,
              Value unless) {
   std::string text;
-  if (!table.text(key, text)) return unless;
+  if (!table.string(key, text)) return unless;
   const auto found = words.find(text);
   if (found != words.end()) return found->second;
   std::string all;
   for (const auto& [word, value] : words) all += (all.empty() ? "" : ", ") + word;
-  table.wrong(key, "expected one of " + all + ", not '" + text.substr(0, 40) + "'");
+  table.reject(key, "expected one of " + all + ", not '" + text.substr(0, 40) + "'");
 }
 
 Step read_step(options::Table table, const Script& script) {
@@ -56,32 +56,32 @@
     try {
       return parse_processes(text, script.routers, links ? script.caches : 0);
     } catch (const std::runtime_error& wrong) {
-      table.wrong(key, wrong.what());
+      table.reject(key, wrong.what());
     }
   };
-  if (std::string who; table.text("who", who)) out.who = processes("who", who);
+  if (std::string who; table.string("who", who)) out.who = processes("who", who);
   std::vector<std::string> groups;
-  table.texts("groups", groups);
+  table.strings("groups", groups);
   for (const std::string& group : groups) out.groups.push_back(processes("groups", group));
   if (out.action == Step::Do::cut && out.groups.size() < 2)
-    table.wrong("groups", "a cut is between two groups or more");
-  table.yes("one_way", out.one_way);
+    table.reject("groups", "a cut is between two groups or more");
+  table.boolean("one_way", out.one_way);
   table.number("loss", out.link.loss, 0, 1);
   table.number("twice", out.link.twice, 0, 1);
   table.number("damaged", out.link.damaged, 0, 1);
   table.integer("delay_ms", out.link.delay, 0, 60'000, 1'000);
   table.integer("spread_ms", out.link.spread, 0, 60'000, 1'000);
   table.number("bytes_per_s", out.link.bytes_per_s, 0, 1e9);
-  table.text("name", out.name, 32);
+  table.string("name", out.name, 32);
   table.number("periods", out.periods, 0, 100'000);
   table.number("number", out.number, 0, 1e9);
-  if (out.action == Step::Do::upgrade && !script.doors) table.wrong("do", "an upgrade needs doors = true");
+  if (out.action == Step::Do::upgrade && !script.doors) table.reject("do", "an upgrade needs doors = true");
   if ((out.what == Step::What::usable || out.what == Step::What::leased) && script.origin_places == 0)
-    table.wrong("what", "there are no origin_places");
-  if (out.action == Step::Do::expect && out.what == Step::What::none) table.wrong("what", "it is missing");
+    table.reject("what", "there are no origin_places");
+  if (out.action == Step::Do::expect && out.what == Step::What::none) table.reject("what", "it is missing");
   if (out.action == Step::Do::wait && out.what == Step::What::none && out.periods == 0)
-    table.wrong("periods", "a wait is for something, or for a number of periods");
-  table.no_others();
+    table.reject("periods", "a wait is for something, or for a number of periods");
+  table.reject_unknown_keys();
   return out;
 }
 
@@ -128,17 +128,17 @@
   table.integer("datagram_bytes", out.datagram, 256, 1'200);
   table.integer("unreachable_s", out.unreachable_s, 10, 86'400);
   table.integer("hold_ms", out.hold_ms, 0, 600'000);
-  table.yes("doors", out.doors);
-  table.yes("numbered", out.numbered);
+  table.boolean("doors", out.doors);
+  table.boolean("numbered", out.numbered);
   table.number("requests_per_s", out.requests_per_s, 0, 10'000);
   table.integer("clients", out.clients, 1, 64);
-  table.yes("misses", out.misses);
+  table.boolean("misses", out.misses);
   table.integer("origin_ms", out.origin_ms, 0, 1'000);
   table.integer("origin_places", out.origin_places, 0, 10'000);
   table.number("floor", out.floor, 0, 1);
   for (options::Table& step : table.tables("step")) out.steps.push_back(read_step(std::move(step), out));
-  if (out.steps.empty()) table.wrong("step", "a script has one step at least");
-  table.no_others();
+  if (out.steps.empty()) table.reject("step", "a script has one step at least");
+  table.reject_unknown_keys();
   return out;
 }
 
