--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -20,7 +20,7 @@
 #ifdef STREAMPICK_WITH_ETCD
 void Host::start_etcd_roster(const etcd::Options& options, std::uint64_t seed) {
   etcd_ = std::make_unique<etcd::EtcdRoster>(
-      io_, names_, options, seed, sources_->second(), [this] { return sources_->told() == 0; },
+      io_, names_, options, seed, sources_->secondary(), [this] { return sources_->published_count() == 0; },
       [](std::string_view text) { net::log(text); });
 }
 #endif
@@ -71,8 +71,8 @@
       [this](Shares shares) { engine_->set_shares(std::move(shares)); }
 });
 if (options.shares.on)
-  fleet_->share(options.shares, {names_.tenants, engine_->tenants()},
-                resolved.settings.seed ^ std::random_device{}());
+  fleet_->start_shared_limits(options.shares, {names_.tenants, engine_->tenants()},
+                              resolved.settings.seed ^ std::random_device{}());
 operators_->set_fleet({[this] { return fleet_->view(); }, [this] { return fleet_->brief(); },
                        [this] { return fleet_->shares(); }});
 }
@@ -106,7 +106,7 @@
   engine_ = std::make_unique<engine::Engine>(
       clock_, engine::EngineSettings{router.config, router.seed, {}, names_.classes}, *transports_,
       [](std::string_view text) { net::log(text); });
-  transports_->report_to(*engine_);
+  transports_->set_observer(*engine_);
   platform_lists_.next = engine_.get();
 #ifdef STREAMPICK_WITH_ETCD
   if (has_second_source) {
@@ -127,7 +127,7 @@
                                           settings.passed_socket);
   engine_->add(*http_);
   operators_ =
-      std::make_unique<Operators>(io_, clock_, *engine_, resources_, takes_over ? settings.scratch : "",
+      std::make_unique<Operators>(io_, clock_, *engine_, resources_, takes_over ? settings.shared_folder : "",
                                   [this](bool is_only_process) { set_resource_limits(is_only_process); });
   operators_->set_listening_check([this] { return http_->listens(); });
   if (settings.management) operators_->listen(*settings.management);
@@ -244,13 +244,13 @@
     net::log("reload: changes of zones, kinds and the listen address take effect at the next start");
 #ifdef STREAMPICK_WITH_FLEET
   const std::uint32_t configured_routers = resolved.settings.config.routers;
-  const bool leaves_fleet = fleet_ && !resolved.settings.may_talk;
-  if (fleet_ && options) fleet::check_work(options->shares, resolved, options->file);
+  const bool leaves_fleet = fleet_ && !resolved.settings.peer_messages_allowed;
+  if (fleet_ && options) fleet::check_max_work_duration(options->shares, resolved, options->file);
   if (fleet_ && !leaves_fleet) resolved.settings.config.routers = fleet_->routers_with(configured_routers);
 #endif
   engine_->reconfigure(resolved.settings.config, names.classes);
 #ifdef STREAMPICK_WITH_FLEET
-  if (fleet_) fleet_->set_constant(configured_routers);
+  if (fleet_) fleet_->set_configured_routers(configured_routers);
   if (leaves_fleet) {
     net::log(
         "fleet: the new settings forbid messages between routers; this router leaves the fleet until its "
@@ -281,7 +281,7 @@
   }
 #endif
   accepted_.text = next.text;
-  discovery_->move_to(next.discovery);
+  discovery_->set_address(next.discovery);
 }
 
 std::string Host::summary() const {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -25,11 +25,11 @@
 }  // namespace
 
 Fleet::Fleet(boost::asio::io_context& io, engine::TimeSource& time, const Options& options,
-             std::uint64_t seed, std::uint32_t constant, Hooks hooks)
+             std::uint64_t seed, std::uint32_t configured_routers, Hooks hooks)
     : time_(time),
       options_(options),
       hooks_(std::move(hooks)),
-      count_(constant, options.hold),
+      count_(configured_routers, options.hold),
       second_timer_(io),
       socket_(
           io, time,
@@ -42,7 +42,7 @@
   each_second();
 }
 
-void Fleet::share(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed) {
+void Fleet::start_shared_limits(const ShareOptions& options, const Tenants& tenants, std::uint64_t seed) {
   hooks_.reset_request_counts();
   const auto view = [this] {
     const std::uint32_t routers = count_.value();
@@ -105,7 +105,7 @@
   }
   reload_roster();
   const auto now = time_.now();
-  const std::uint32_t routers = count_.see(now, socket_.protocol().summary(now));
+  const std::uint32_t routers = count_.observe(now, socket_.protocol().summary(now));
   if (options_.count_routers && routers != hooks_.divisor()) {
     hooks_.log("fleet: totals are divided by " + std::to_string(routers) + " routers");
     hooks_.set_divisor(routers);
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -47,27 +47,27 @@
 Options read_options(options::Table table) {
   Options out;
   out.on = true;
-  table.text("listen", out.listen, 64);
-  table.text("advertise", out.advertise, 64);
+  table.string("listen", out.listen, 64);
+  table.string("advertise", out.advertise, 64);
   for (const auto& [key, text] : {std::pair("listen", &out.listen), std::pair("advertise", &out.advertise)})
     if (!text->empty() && parse_address(*text) == 0)
-      table.wrong(key, "expected ADDRESS:PORT with a numeric IPv4 address");
-  table.text("name", out.udp.fleet, 64);
-  table.texts("seeds", out.seeds);
-  if (out.seeds.size() > 64) table.wrong("seeds", "expected at most 64 addresses");
+      table.reject(key, "expected ADDRESS:PORT with a numeric IPv4 address");
+  table.string("name", out.udp.fleet, 64);
+  table.strings("seeds", out.seeds);
+  if (out.seeds.size() > 64) table.reject("seeds", "expected at most 64 addresses");
   for (const std::string& seed : out.seeds)
     if (parse_address(seed) == 0)
-      table.wrong("seeds", "expected ADDRESS:PORT, not '" + seed.substr(0, 60) + "'");
-  table.text("roster_file", out.roster_file, 4096);
+      table.reject("seeds", "expected ADDRESS:PORT, not '" + seed.substr(0, 60) + "'");
+  table.string("roster_file", out.roster_file, 4096);
   std::string admit = "listed";
-  table.text("admit", admit);
-  if (admit != "listed" && admit != "any") table.wrong("admit", R"(expected "listed" or "any")");
+  table.string("admit", admit);
+  if (admit != "listed" && admit != "any") table.reject("admit", R"(expected "listed" or "any")");
   out.udp.contacts_only = admit == "listed";
   table.integer("period_ms", out.core.period, 50, 60'000, 1'000);
   out.core.ping_timeout = out.core.period * 3 / 10;
   table.integer("answer_ms", out.core.ping_timeout, 10, 30'000, 1'000);
   if (out.core.ping_timeout * 3 > out.core.period)
-    table.wrong("answer_ms", "expected at most a third of period_ms");
+    table.reject("answer_ms", "expected at most a third of period_ms");
   table.integer("datagram_bytes", out.core.max_datagram_size, 256, 1'200);
   table.integer("helpers", out.core.indirect_probers, 0, 16);
   table.integer("unreachable_s", out.core.lifetimes.unreachable, 10, 86'400, kSecond);
@@ -76,9 +76,9 @@
   table.integer("datagrams_per_s", datagrams, 10, 100'000);
   table.integer("bytes_per_s", bytes, 4'096, 100'000'000);
   out.udp.budget = {static_cast<double>(datagrams), static_cast<double>(bytes)};
-  table.yes("count_routers", out.count_routers);
+  table.boolean("count_routers", out.count_routers);
   table.integer("hold_ms", out.hold, 0, 3'600'000, 1'000);
-  table.no_others();
+  table.reject_unknown_keys();
   return out;
 }
 
@@ -94,8 +94,8 @@
                           const std::string& file) {
   const char* const expected = "an address and a port, such as 10.0.0.4:7946";
   const auto endpoint = [&](const JsonValue& value) {
-    const std::string text = value.text(expected);
-    if (parse_address(text) == 0) value.wrong(expected);
+    const std::string text = value.string(expected);
+    if (parse_address(text) == 0) value.reject(expected);
     return to_udp(text);
   };
   options.udp.listen = endpoint(config.at("peer_listen", expected));
@@ -104,13 +104,13 @@
     throw ConfigurationError(file, "fleet", "the platform's configuration has peer_listen but no peers");
   for (const JsonValue& peer : peers->items("a list of addresses"))
     options.udp.peers.push_back(endpoint(peer));
-  if (options.udp.peers.size() > kMaxContacts) peers->wrong("at most 2048 addresses");
-  if (settings.settings.me >= options.udp.peers.size())
+  if (options.udp.peers.size() > kMaxContacts) peers->reject("at most 2048 addresses");
+  if (settings.settings.router_index >= options.udp.peers.size())
     throw ConfigurationError(file, "fleet",
                              "the platform's configuration has " + std::to_string(options.udp.peers.size()) +
                                  " peers, but this router's number is " +
-                                 std::to_string(settings.settings.me));
-  options.core.address = membership::numbered(settings.settings.me);
+                                 std::to_string(settings.settings.router_index));
+  options.core.address = membership::numbered(settings.settings.router_index);
   for (std::uint32_t number = 0; number < options.udp.peers.size(); ++number)
     options.core.contacts.push_back(membership::numbered(number));
   options.core.max_datagram_size = 256;
@@ -150,7 +150,7 @@
 
 void resolve(Options& options, const platform::NodeSettings& settings, const std::string& file) {
   if (!options.on) return;
-  if (!settings.settings.may_talk)
+  if (!settings.settings.peer_messages_allowed)
     throw ConfigurationError(
         file, "fleet", "the platform's settings forbid messages between routers (PolicyLimits.PeerMessages)");
   apply_name(options, settings, file);
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -47,7 +47,7 @@
       std::uint32_t wanted = 0;
       for (const auto& [time, seen] : all)
         if (time >= now - hold) wanted = std::max(wanted, seen);
-      const std::uint32_t got = count.see(now, counts);
+      const std::uint32_t got = count.observe(now, counts);
       RC_ASSERT(got >= wanted);
       if (now - all.front().first >= hold) RC_ASSERT(got == wanted);
     }
@@ -57,16 +57,16 @@
 TEST(FleetRouterCount, BeforeViewSettles_SettingsCountIsLowerBound) {
   RouterCount count(300, kSecond);
   ViewSummary alone;
-  EXPECT_EQ(count.see(kSecond, alone), 300U);
-  EXPECT_EQ(count.see(60 * kSecond, alone),
+  EXPECT_EQ(count.observe(kSecond, alone), 300U);
+  EXPECT_EQ(count.observe(60 * kSecond, alone),
             300U);  // it has seen no other router, so it may be cut off itself
   ViewSummary two;
   two.alive = two.max_live = 2;
   two.is_settled = true;
-  EXPECT_EQ(count.see(61 * kSecond, two), 300U);
-  EXPECT_EQ(count.see(63 * kSecond, two), 2U);
+  EXPECT_EQ(count.observe(61 * kSecond, two), 300U);
+  EXPECT_EQ(count.observe(63 * kSecond, two), 2U);
   two.max_live = 5;
-  EXPECT_EQ(count.see(63 * kSecond + 1, two), 5U);  // an increase takes effect at once
+  EXPECT_EQ(count.observe(63 * kSecond + 1, two), 5U);  // an increase takes effect at once
 }
 
 TEST(FleetBudget, ExhaustedBudget_AllowsOneSecondOfBurstAndPrefersAcks) {
@@ -181,11 +181,11 @@
   options.on = true;
   for (const RequestClass& kind : settings.settings.config.classes)
     options.core.max_work_duration = std::max(options.core.max_work_duration, kind.deadline);
-  EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
+  EXPECT_NO_THROW(fleet::check_max_work_duration(options, settings, "o.toml"));
   settings.settings.config.classes[0].deadline = options.core.max_work_duration + 1;
-  EXPECT_THROW(fleet::check_work(options, settings, "o.toml"), options::Error);
+  EXPECT_THROW(fleet::check_max_work_duration(options, settings, "o.toml"), options::Error);
   options.on = false;
-  EXPECT_NO_THROW(fleet::check_work(options, settings, "o.toml"));
+  EXPECT_NO_THROW(fleet::check_max_work_duration(options, settings, "o.toml"));
 }
 
 // Routers identify a limit by the hash of its name, so the order of tenants in their settings does not
