--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -158,7 +158,7 @@
   std::string options_path;
 #ifdef STREAMPICK_WITH_OPTIONS
   bool only_check = false;
-  CLI::App app("A router for key reads and saves over a fleet of cache servers.", "streampick_router");
+  CLI::App app("Routes reads and writes of keys to a fleet of cache servers.", "streampick_router");
   app.add_option("--options", options_path, "the operator's options file (TOML)");
   app.add_flag("--check", only_check, "check the configuration, print which features are enabled, and exit");
   app.set_version_flag("--version", "streampick_router " STREAMPICK_VERSION);
@@ -173,7 +173,8 @@
 #else
   // An argument that has no effect must not be accepted silently.
   if (argc > 1) {
-    std::cerr << "streampick_router: " << argv[1] << ": this build takes no options (STREAMPICK_OPTIONS)\n";
+    std::cerr << "streampick_router: " << argv[1]
+              << ": this build accepts no command-line arguments (built without STREAMPICK_OPTIONS)\n";
     return kExitBadSettings;
   }
 #endif
--- a/src/engine/engine_control.cpp
+++ b/src/engine/engine_control.cpp
@@ -184,7 +184,8 @@
   if (open == nullptr || open->finished) return;
   ++counters_.deadline_guards;
   if (!shutdown_.started() && !open->deadline_moved)
-    log_("GUARD: the module left request " + open->message->transaction_id + " unanswered");
+    log_("GUARD: the decision module left request " + open->message->transaction_id +
+         " unanswered at its deadline");
   fail_late(request);
 }
 
--- a/src/engine/server_starts.h
+++ b/src/engine/server_starts.h
@@ -32,9 +32,11 @@
 
 class ServerStarts {
  public:
-  /// Maximum delay of a list, in microseconds: 6 s for a notification, the rest for an outage of discovery.
+  /// Maximum time from a server's start until a list contains it, in microseconds: 6 s for the notification,
+  /// the rest for an outage of discovery.
   static constexpr Time kListLag = 30'000'000;
-  /// Time after the first list, in microseconds, during which further lists count as catching up with it.
+  /// Time after the first list, in microseconds, during which a further list may still report servers that
+  /// the first one lacked.
   static constexpr Time kCatchUp = 1'000'000;
   /// Maximum number of departed servers whose starts are kept.
   static constexpr std::size_t kMaxDeparted = 4'096;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -107,7 +107,8 @@
   const auto now = time_.now();
   const std::uint32_t routers = count_.see(now, socket_.protocol().summary(now));
   if (options_.count_routers && routers != hooks_.divisor()) {
-    hooks_.log("fleet: totals are divided by " + std::to_string(routers) + " routers");
+    hooks_.log("fleet: limits for the whole fleet are now divided by " + std::to_string(routers) +
+               " routers");
     hooks_.set_divisor(routers);
   }
   second_timer_.expires_after(std::chrono::seconds(1));
--- a/src/fleet/options.cpp
+++ b/src/fleet/options.cpp
@@ -141,9 +141,9 @@
   options.core.name = settings.name;
   const membership::Record self{1, settings.name, 1, 0, membership::State::alive, 0, 0, {}};
   if (settings.name.empty() || !membership::validation_error(self).empty())
-    throw ConfigurationError(
-        file, "fleet",
-        "this router's name in the platform's settings must be 1 to 32 letters, digits or signs");
+    throw ConfigurationError(file, "fleet",
+                             "this router's name in the platform's settings must be 1 to 32 printable ASCII "
+                             "characters without spaces");
 }
 
 }  // namespace
--- a/src/fleet/share_options.cpp
+++ b/src/fleet/share_options.cpp
@@ -157,7 +157,8 @@
   if (!options.on) return "shares: off\n";
   std::ostringstream out;
   out << "shares: " << options.core.limits.size() << " limits, " << options.core.voters.size()
-      << " voters, a home's term of " << options.core.term / 1'000 << " ms, leases of "
+      << " voters, a term of " << options.core.term / 1'000
+      << " ms for each seat's home (the router that grants its leases), leases of "
       << options.core.lease_duration / 1'000 << " ms, at most " << options.core.expected_routers
       << " routers\n";
   return out.str();
--- a/src/membership/bounds.cpp
+++ b/src/membership/bounds.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kMaxProbePeriods = 5;  // 1 + LocalHealth::kWorst
-// Live processes choose their probe targets at random: after kProbeRounds * members / live periods, a
-// fraction of e^-kProbeRounds of the members has not been probed by any of them.
+// Live processes choose their probe targets at random: after 6 * (members / live processes) periods, a
+// fraction of e^-6 of the members has not been probed by any of them.
 constexpr double kProbeRounds = 6;
 constexpr double kMessageOverhead = 100;  // bytes
 constexpr double kRecordSize = 56;        // bytes
--- a/src/overload/keep_alive_policy.h
+++ b/src/overload/keep_alive_policy.h
@@ -25,7 +25,8 @@
     return active_connections >= pressure_threshold_;
   }
 
-  /// Whether a connection stays open after its response number `responses`. `active_connections` includes it.
+  /// Whether a connection stays open after response number `responses` on it. `active_connections` includes
+  /// this connection.
   [[nodiscard]] bool keeps_open(std::size_t responses, std::size_t active_connections) const {
     return responses > 1 || !is_under_pressure(active_connections);
   }
--- a/src/platform/options.cpp
+++ b/src/platform/options.cpp
@@ -62,14 +62,18 @@
 std::string describe(const Options& options) {
   std::ostringstream out;
   const overload::Settings& limits = options.overload;
-  out << "overload: floors " << limits.client_minimum_share << " and " << limits.upstream_minimum_share
-      << ", a crowd from " << limits.connection_pressure_share << " on, idle " << limits.idle_timeout / 1000
-      << " ms, " << limits.idle_timeout_under_pressure / 1000 << " ms in a crowd\n"
-      << "overload: behind from " << limits.target_loop_lag / 1000 << " ms on, cancelled attempts waited for "
-      << limits.max_drain_time / 1000 << " ms, answers passed on in parts from "
-      << limits.max_buffered_response << " bytes on, up to " << limits.max_response << "\n";
+  out << "overload: minimum share of descriptors: clients " << limits.client_minimum_share << ", servers "
+      << limits.upstream_minimum_share << ", connection pressure from a share of "
+      << limits.connection_pressure_share << " of the descriptors, idle timeout "
+      << limits.idle_timeout / 1000 << " ms, " << limits.idle_timeout_under_pressure / 1000
+      << " ms under pressure\n"
+      << "overload: load shedding from an event loop lag of " << limits.target_loop_lag / 1000
+      << " ms, wait for a cancelled attempt's response at most " << limits.max_drain_time / 1000
+      << " ms, responses streamed above " << limits.max_buffered_response << " bytes, at most "
+      << limits.max_response << " bytes\n";
   if (!options.grpc.routes.empty())
-    out << "grpc: " << options.grpc.routes.size() << " routes, for programs on the client library\n";
+    out << "grpc: " << options.grpc.routes.size()
+        << " routes (used only by programs that link the client library)\n";
   out << etcd::describe(options.etcd);
 #ifdef STREAMPICK_WITH_FLEET
   out << fleet::describe(options.fleet) << fleet::describe(options.shares);
--- a/src/policy/idle_connections.cpp
+++ b/src/policy/idle_connections.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Config::connection_cost is the cost of this many connections to a server. With no more routers than this,
-// one connection from each does not load a server noticeably.
+// one connection from each router does not fill a server's connection table.
 constexpr std::uint32_t kConnectionsPerCost = 100;
 // Timeout of infrequently used idle connections, where connections have a cost.
 constexpr Time kInfrequentTimeout = kSecond / 2;
--- a/src/policy/idle_connections.h
+++ b/src/policy/idle_connections.h
@@ -71,7 +71,7 @@
   Time max_timeout_;  // after which the endpoint closes the connection
   Time next_timer_ = 0;
   double refused_share_ = 0;         // running share of refused ones among new connections
-  std::array<IdleQueue, 2> queues_;  // by use pattern; each in the order of last use
+  std::array<IdleQueue, 2> queues_;  // indexed by UsePattern; each in the order of last use, oldest first
 };
 
 }  // namespace streampick::policy
--- a/src/resp/transport.cpp
+++ b/src/resp/transport.cpp
@@ -22,8 +22,9 @@
 // From the time when a connection expects only replies to cancelled attempts until it is closed: the server
 // stalls.
 constexpr Time kMaxStall = kSecond;
-// From the time when the socket blocks until unwritten commands are dropped. A command holds its remaining
-// time at the time of encoding, and a server may receive a deadline that is at most 0.15 s too late.
+// Maximum time from when the socket blocks until unwritten commands are dropped. A command holds the time
+// that its request had left when the command was encoded, and a server may be told at most 0.15 s more than
+// is left when the command is written. The 0.1 s here stay below that limit.
 constexpr Time kMaxDeadlineAge = 100'000;
 }  // namespace
 
--- a/src/roster/discovery.cpp
+++ b/src/roster/discovery.cpp
@@ -197,7 +197,7 @@
       if (!list.complete) return;
       // Later changes on this watch build on the list that was rejected.
       if (watch_) watch_->close();
-      return on_watch_ended("its list is older than the known revision");
+      return on_watch_ended("the service sent a list that is older than the known revision");
     }
     outdated_since_.reset();
     revision_ = list.revision;
--- a/src/roster/etcd/options.cpp
+++ b/src/roster/etcd/options.cpp
@@ -43,7 +43,7 @@
 }
 
 std::string describe(const Options& options) {
-  if (!options.on) return "roster: the platform's\n";
+  if (!options.on) return "roster: from the platform's discovery service\n";
   std::string out = "roster: etcd at";
   for (const std::string& endpoint : options.endpoints) out += " " + endpoint;
   out += options.ca_file.empty()     ? ", plain"
--- a/src/roster/etcd/watcher.cpp
+++ b/src/roster/etcd/watcher.cpp
@@ -122,7 +122,7 @@
   if (!continues) {
     const std::string what = kind == Suspicion::few_keys
                                  ? "the listing has " + std::to_string(suspect_.listing.kvs.size()) +
-                                       " keys; known were " + std::to_string(published_.size())
+                                       " keys, but " + std::to_string(published_.size()) + " were known"
                              : suspect_.listing.cluster_id != cluster_id_
                                  ? "the cluster id changed"
                                  : "the revision went back from " + std::to_string(revision_) + " to " +
@@ -152,7 +152,8 @@
     ++epoch_;
     ++counts_.epochs;
     if (epoch_ > 1)
-      actions_.log_line("etcd: accepted another history, at revision " + std::to_string(out.revision));
+      actions_.log_line("etcd: accepted a listing with another cluster id or a lower revision, at revision " +
+                        std::to_string(out.revision));
   }
   cluster_id_ = listing.cluster_id;
   revision_ = listing.revision;
--- a/src/settings/json_value.cpp
+++ b/src/settings/json_value.cpp
@@ -108,7 +108,7 @@
 }
 
 void JsonValue::wrong(const std::string& expected) const {
-  throw JsonError(path_, "there is " + describe(*value_), expected);
+  throw JsonError(path_, "found " + describe(*value_), expected);
 }
 
 }  // namespace streampick
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -206,7 +206,7 @@
   const Config& config = settings.config;
   if (config.cache_aside && config.origin_kind == kNone)
     reader.reject("FamilyInfo.OriginKind", reader.text("FamilyInfo.OriginKind"),
-                  "the place of the origin's kind in Shapes");
+                  "the index of the origin's kind in Shapes");
   if (config.classes.empty()) reader.reject("Profiles", "", "a list of at least one class");
   for (std::size_t i = 0; i < config.classes.size(); ++i) {
     const std::string prefix = "Profiles." + std::to_string(i) + ".";
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -22,8 +22,7 @@
  public:
   // `text`: the value found; empty: the value is missing.
   SettingsError(std::string path, std::string text, const std::string& expected)
-      : std::runtime_error(path + ": " +
-                           (text.empty() ? "missing" : "there is '" + text.substr(0, 60) + "'") +
+      : std::runtime_error(path + ": " + (text.empty() ? "missing" : "found '" + text.substr(0, 60) + "'") +
                            ", expected " + expected),
         path_(std::move(path)),
         text_(std::move(text)) {}
--- a/src/shares/fair_division.cpp
+++ b/src/shares/fair_division.cpp
@@ -23,8 +23,8 @@
   return order;
 }
 
-// Adds what each demand received less than its fair share. Shortfalls are bounded, and reset when the demand
-// is met, so that a demand gets no priority for shortfalls of long ago.
+// Adds to each demand's shortfall the amount by which its share was below its fair share. Shortfalls are
+// bounded, and reset when the demand is met, so that old shortfalls give a demand no priority.
 void update_shortfalls(std::span<const Demand> demands, std::span<const double> fair,
                        std::span<const double> shares, std::span<double> shortfalls) {
   const auto limit = static_cast<double>(fair.size()) + kHoldDivisions;
--- a/src/takeover/override_store.cpp
+++ b/src/takeover/override_store.cpp
@@ -73,7 +73,8 @@
     if (entry.done) {
       entry.done({entry.outcome.result, std::nullopt});
     } else if (entry.outcome.result == ApplyResult::too_many) {
-      log_("shared folder: " + entry.change.endpoint_id + " is not disabled: too many cache servers are");
+      log_("shared folder: " + entry.change.endpoint_id +
+           " was not disabled: too many cache servers are already disabled");
     }
   }
 }
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -280,7 +280,7 @@
       const std::size_t first = fleet.sent.size();
       const std::uint64_t before = not_sent();
       const RequestId request = ask(kRead, 1, 8 * kSecond, 300 + first);
-      time.advance(900 * kMs);  // a hedged request was sent
+      time.advance(900 * kMs);  // within this time the hedge (the second attempt) is sent
       ASSERT_EQ(fleet.sent.size(), first + 2);
       end(first, Outcome::miss);
       ASSERT_EQ(fleet.sent.size(), first + 3);
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_NEAR(router.allowances.quotas[1], 2, 0.5);
   EXPECT_EQ(router.allowances.origin_leased, 8);  // nine, of which one is the guaranteed minimum
   EXPECT_GT(router.allowances.origin_lease_end, router.time.now());
-  // The decision module compares the end of a lease with the clock itself, so no hook is called at the end.
+  // The decision module itself compares a lease's end with the clock, so no hook is called when a lease ends.
   router.limits->leave(true);
   EXPECT_EQ(router.allowances.origin_reserved + router.allowances.origin_leased, 0);
 }
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -136,11 +136,11 @@
   wrong = peers;
   wrong["peers"][1] = "x";
   EXPECT_EQ(error_of("[fleet]\n", true, wrong),
-            "o.toml: fleet: the platform's configuration: peers[1]: there is \"x\", expected an address and "
+            "o.toml: fleet: the platform's configuration: peers[1]: found \"x\", expected an address and "
             "a port, such as 10.0.0.4:7946");
   EXPECT_EQ(error_of(good, true, {{"name", "a b"}}),
-            "o.toml: fleet: this router's name in the platform's settings must be 1 to 32 letters, digits or "
-            "signs");
+            "o.toml: fleet: this router's name in the platform's settings must be 1 to 32 printable "
+            "ASCII characters without spaces");
 }
 
 TEST(ShareOptions, InvalidOptions_GiveOneLineErrorWithFileLineAndKey) {
--- a/tests/membership/protocol_rules_test.cpp
+++ b/tests/membership/protocol_rules_test.cpp
@@ -22,7 +22,7 @@
   ASSERT_TRUE(fleet.settles());
   fleet.run(20);
   EXPECT_GE(fleet.changes[Change::Kind::name_conflict], 5);
-  EXPECT_LE(fleet.changes[Change::Kind::name_conflict], 6);  // once per process
+  EXPECT_LE(fleet.changes[Change::Kind::name_conflict], 6);  // at most once per process
   EXPECT_EQ(fleet.summary(0).alive, 6U);
   EXPECT_EQ(fleet.summary(0).min_live, 5U);  // votes are counted by name
   EXPECT_EQ(fleet.summary(0).max_live, 6U);
--- a/tests/net/net_digest_test.cpp
+++ b/tests/net/net_digest_test.cpp
@@ -37,7 +37,7 @@
   EXPECT_TRUE(has_hash(digest, "d57a6bae856c3574"));
 }
 
-TEST(NetDigest, Addresses_AreParsedAsRecorded) {
+TEST(NetDigest, ValidAndInvalidAddresses_ParseResultsMatchTheRecordedDigest) {
   Digest digest;
   for (const char* text : {"",
                            ":",
--- a/tests/overload/keep_alive_policy_test.cpp
+++ b/tests/overload/keep_alive_policy_test.cpp
@@ -13,7 +13,8 @@
   EXPECT_TRUE(policy.keeps_open(2, 350));  // it was reused: an active client
   EXPECT_EQ(policy.idle_timeout(87), 10'000'000);
   EXPECT_EQ(policy.idle_timeout(88), 2'000'000);
-  EXPECT_TRUE(KeepAlivePolicy(0).keeps_open(1, 3));  // however few descriptors there are
+  // Even with no descriptors, 3 connections are below the pressure threshold.
+  EXPECT_TRUE(KeepAlivePolicy(0).keeps_open(1, 3));
 }
 
 }  // namespace
--- a/tests/platform/node_settings_test.cpp
+++ b/tests/platform/node_settings_test.cpp
@@ -66,61 +66,58 @@
     ::testing::Values(
         InvalidValue{
             "", "[]",
-            "the document: there is an empty list, expected an object with the keys settings, listen and "
+            "the document: found an empty list, expected an object with the keys settings, listen and "
             "discovery"},
         InvalidValue{"", "null",
-                     "the document: there is null, expected an object with the keys settings, listen and "
+                     "the document: found null, expected an object with the keys settings, listen and "
                      "discovery"},
         InvalidValue{"", R"({"a":1})", "settings: missing, expected an object with the settings"},
-        InvalidValue{"/settings", "[1]", "settings: there is a list, expected an object with the settings"},
-        InvalidValue{"/name", "7", "name: there is 7, expected a text"},
+        InvalidValue{"/settings", "[1]", "settings: found a list, expected an object with the settings"},
+        InvalidValue{"/name", "7", "name: found 7, expected a text"},
         InvalidValue{"/listen", nullptr, "listen: missing, " ADDRESS},
-        InvalidValue{"/listen", "3000", "listen: there is 3000, " ADDRESS},
-        InvalidValue{"/listen", R"("localhost")", "listen: there is \"localhost\", " ADDRESS},
+        InvalidValue{"/listen", "3000", "listen: found 3000, " ADDRESS},
+        InvalidValue{"/listen", R"("localhost")", "listen: found \"localhost\", " ADDRESS},
         InvalidValue{"/discovery", "null", "discovery: missing, " ADDRESS},
-        InvalidValue{"/discovery", "{}", "discovery: there is an empty object, " ADDRESS},
-        InvalidValue{"/discovery", R"("127.0.0.1:99999")",
-                     "discovery: there is \"127.0.0.1:99999\", " ADDRESS},
-        InvalidValue{"/seed", "[1]", "seed: there is a list, expected a whole number, or a text"},
-        InvalidValue{"/limits", "5", "limits: there is 5, expected an object"},
-        InvalidValue{"/limits/cores", "0", "limits.cores: there is 0, expected a number above 0"},
-        InvalidValue{"/limits/cores", R"("1")", "limits.cores: there is \"1\", expected a number above 0"},
+        InvalidValue{"/discovery", "{}", "discovery: found an empty object, " ADDRESS},
+        InvalidValue{"/discovery", R"("127.0.0.1:99999")", "discovery: found \"127.0.0.1:99999\", " ADDRESS},
+        InvalidValue{"/seed", "[1]", "seed: found a list, expected a whole number, or a text"},
+        InvalidValue{"/limits", "5", "limits: found 5, expected an object"},
+        InvalidValue{"/limits/cores", "0", "limits.cores: found 0, expected a number above 0"},
+        InvalidValue{"/limits/cores", R"("1")", "limits.cores: found \"1\", expected a number above 0"},
         InvalidValue{"/limits/memory_mb", "-1",
-                     "limits.memory_mb: there is -1, expected a whole number from 1 to 1073741824"},
+                     "limits.memory_mb: found -1, expected a whole number from 1 to 1073741824"},
         InvalidValue{"/limits/sockets", "true",
-                     "limits.sockets: there is true, expected a whole number from 1 to 1073741824"},
+                     "limits.sockets: found true, expected a whole number from 1 to 1073741824"},
         InvalidValue{"/limits/sockets", "1.5",
-                     "limits.sockets: there is 1.5, expected a whole number from 1 to 1073741824"}));
+                     "limits.sockets: found 1.5, expected a whole number from 1 to 1073741824"}));
 INSTANTIATE_TEST_SUITE_P(
     Known, InvalidNodeSettings,
     ::testing::Values(
-        InvalidValue{"/known", "3", "known: there is 3, expected an object"},
+        InvalidValue{"/known", "3", "known: found 3, expected an object"},
         InvalidValue{"/known/revision", nullptr, "known.revision: missing, expected a whole number"},
-        InvalidValue{"/known/revision", "-3",
-                     "known.revision: there is -3, expected a whole number from 0 on"},
-        InvalidValue{"/known/complete", "1", "known.complete: there is 1, expected true or false"},
+        InvalidValue{"/known/revision", "-3", "known.revision: found -3, expected a whole number from 0 on"},
+        InvalidValue{"/known/complete", "1", "known.complete: found 1, expected true or false"},
         InvalidValue{"/known/members", nullptr, "known.members: missing, expected a list of servers"},
         InvalidValue{"/known/members", "{}",
-                     "known.members: there is an empty object, expected a list of servers"},
-        InvalidValue{"/known/members/0", "1", "known.members[0]: there is 1, expected an object"},
+                     "known.members: found an empty object, expected a list of servers"},
+        InvalidValue{"/known/members/0", "1", "known.members[0]: found 1, expected an object"},
         InvalidValue{"/known/members/0/id", R"("")",
-                     "known.members[0].id: there is \"\", expected a text of 1 to 256 bytes"},
+                     "known.members[0].id: found \"\", expected a text of 1 to 256 bytes"},
         InvalidValue{"/known/members/0/host_port", R"("x:1")",
-                     "known.members[0].host_port: there is \"x:1\", expected an address and a port, as "
+                     "known.members[0].host_port: found \"x:1\", expected an address and a port, as "
                      "10.1.0.18:3000"},
-        InvalidValue{
-            "/known/members/0/phase", R"("up")",
-            "known.members[0].phase: there is \"up\", expected in_service, terminating or terminated"},
+        InvalidValue{"/known/members/0/phase", R"("up")",
+                     "known.members[0].phase: found \"up\", expected in_service, terminating or terminated"},
         InvalidValue{"/known/members/0/locality", "1",
-                     "known.members[0].locality: there is 1, expected a zone's name"},
+                     "known.members[0].locality: found 1, expected a zone's name"},
         InvalidValue{"/known/members/0/flavor", "[]",
-                     "known.members[0].flavor: there is an empty list, expected a kind's name"},
+                     "known.members[0].flavor: found an empty list, expected a kind's name"},
         InvalidValue{"/known/members/0/cell", "-1",
-                     "known.members[0].cell: there is -1, expected a whole number from 0 to 4294967295"},
+                     "known.members[0].cell: found -1, expected a whole number from 0 to 4294967295"},
         InvalidValue{"/known/members/0/size", "-0.5",
-                     "known.members[0].size: there is -0.5, expected a number of 0 or more"},
+                     "known.members[0].size: found -0.5, expected a number of 0 or more"},
         InvalidValue{"/known/members/0/up_since_ms", R"("now")",
-                     "known.members[0].up_since_ms: there is \"now\", expected milliseconds"}));
+                     "known.members[0].up_since_ms: found \"now\", expected milliseconds"}));
 #define LIMIT "/settings/PolicyLimits/"
 #define GUARANTEE "/settings/Guarantees/"
 #define FIRST_CLASS "/settings/Profiles/0/"
@@ -128,51 +125,48 @@
     Settings, InvalidNodeSettings,
     ::testing::Values(
         InvalidValue{"/settings/Zones", R"({"a":1})",
-                     "settings.Zones: there is 'an object or a list of them', expected a text"},
-        InvalidValue{"/settings/FamilyInfo", "5", "settings.FamilyInfo: there is '5', expected an object"},
+                     "settings.Zones: found 'an object or a list of them', expected a text"},
+        InvalidValue{"/settings/FamilyInfo", "5", "settings.FamilyInfo: found '5', expected an object"},
         InvalidValue{
             "/settings/FamilyInfo/OriginKind", nullptr,
-            "settings.FamilyInfo.OriginKind: missing, expected the place of the origin's kind in Shapes"},
+            "settings.FamilyInfo.OriginKind: missing, expected the index of the origin's kind in Shapes"},
         InvalidValue{"/settings/FamilyInfo/OriginKind", R"("origin")",
-                     "settings.FamilyInfo.OriginKind: there is 'origin', expected a number of -1 or more"},
+                     "settings.FamilyInfo.OriginKind: found 'origin', expected a number of -1 or more"},
         InvalidValue{"/settings/Balancers", "-1",
-                     "settings.Balancers: there is '-1', expected a whole number of 0 or more"},
+                     "settings.Balancers: found '-1', expected a whole number of 0 or more"},
         InvalidValue{"/settings/PolicyLimits", R"("none")",
-                     "settings.PolicyLimits: there is 'none', expected an object"},
+                     "settings.PolicyLimits: found 'none', expected an object"},
         InvalidValue{
             LIMIT "MaxAttempts", R"({"a":1})",
-            "settings.PolicyLimits.MaxAttempts: there is 'an object or a list of them', expected a whole "
+            "settings.PolicyLimits.MaxAttempts: found 'an object or a list of them', expected a whole "
             "number of 0 or more"},
         InvalidValue{LIMIT "SecondCopies", "2",
-                     "settings.PolicyLimits.SecondCopies: there is '2', expected true or false"},
+                     "settings.PolicyLimits.SecondCopies: found '2', expected true or false"},
         InvalidValue{LIMIT "Cancelling", R"("on")",
-                     "settings.PolicyLimits.Cancelling: there is 'on', expected true or false"},
+                     "settings.PolicyLimits.Cancelling: found 'on', expected true or false"},
         InvalidValue{LIMIT "RetryAfter", "[1,2]",
-                     "settings.PolicyLimits.RetryAfter: there is '1,2', expected true or false"},
+                     "settings.PolicyLimits.RetryAfter: found '1,2', expected true or false"},
         InvalidValue{
             LIMIT "MaxRetryAfterUs", "-1",
-            "settings.PolicyLimits.MaxRetryAfterUs: there is '-1', expected a whole number of 0 or more"},
+            "settings.PolicyLimits.MaxRetryAfterUs: found '-1', expected a whole number of 0 or more"},
         InvalidValue{LIMIT "DialTimeoutUs", R"("0.25s")",
-                     "settings.PolicyLimits.DialTimeoutUs: there is '0.25s', expected a whole number of 0 or "
+                     "settings.PolicyLimits.DialTimeoutUs: found '0.25s', expected a whole number of 0 or "
                      "more"},
-        InvalidValue{
-            LIMIT "KeepaliveUs", "true",
-            "settings.PolicyLimits.KeepaliveUs: there is 'true', expected a whole number of 0 or more"},
+        InvalidValue{LIMIT "KeepaliveUs", "true",
+                     "settings.PolicyLimits.KeepaliveUs: found 'true', expected a whole number of 0 or more"},
         InvalidValue{"/settings/Costs", R"({"Connection":-2})",
-                     "settings.Costs.Connection: there is '-2', expected a number of 0 or more"},
-        InvalidValue{
-            GUARANTEE "AnswerSlackUs", "-5",
-            "settings.Guarantees.AnswerSlackUs: there is '-5', expected a whole number of 0 or more"},
-        InvalidValue{
-            GUARANTEE "StopSendingWithinUs", R"("soon")",
-            "settings.Guarantees.StopSendingWithinUs: there is 'soon', expected a whole number of 0 or "
-            "more"},
+                     "settings.Costs.Connection: found '-2', expected a number of 0 or more"},
+        InvalidValue{GUARANTEE "AnswerSlackUs", "-5",
+                     "settings.Guarantees.AnswerSlackUs: found '-5', expected a whole number of 0 or more"},
+        InvalidValue{GUARANTEE "StopSendingWithinUs", R"("soon")",
+                     "settings.Guarantees.StopSendingWithinUs: found 'soon', expected a whole number of 0 or "
+                     "more"},
         InvalidValue{GUARANTEE "ColdUs", "-1",
-                     "settings.Guarantees.ColdUs: there is '-1', expected a whole number of 0 or more"},
+                     "settings.Guarantees.ColdUs: found '-1', expected a whole number of 0 or more"},
         InvalidValue{"/settings/Tenants", "[1,2]",
-                     "settings.Tenants: there is '1,2', expected a list of objects"},
+                     "settings.Tenants: found '1,2', expected a list of objects"},
         InvalidValue{"/settings/Tenants/0/QuotaPerS", "-1",
-                     "settings.Tenants[0].QuotaPerS: there is '-1', expected a number of 0 or more"}));
+                     "settings.Tenants[0].QuotaPerS: found '-1', expected a number of 0 or more"}));
 INSTANTIATE_TEST_SUITE_P(
     Profiles, InvalidNodeSettings,
     ::testing::Values(
@@ -181,19 +175,19 @@
         InvalidValue{"/settings/Profiles", "[]",
                      "settings.Profiles: missing, expected a list of at least one class"},
         InvalidValue{FIRST_CLASS "AimUs", "0",
-                     "settings.Profiles[0].AimUs: there is '0', expected a whole number of 1 or more"},
+                     "settings.Profiles[0].AimUs: found '0', expected a whole number of 1 or more"},
         InvalidValue{FIRST_CLASS "HardLimitUs", nullptr,
                      "settings.Profiles[0].HardLimitUs: missing, expected a whole number of 1 or more"},
         InvalidValue{FIRST_CLASS "Worth", R"("much")",
-                     "settings.Profiles[0].Worth: there is 'much', expected a number of 0 or more"},
+                     "settings.Profiles[0].Worth: found 'much', expected a number of 0 or more"},
         InvalidValue{FIRST_CLASS "WindowUs", "-1",
-                     "settings.Profiles[0].WindowUs: there is '-1', expected a whole number of 0 or more"},
+                     "settings.Profiles[0].WindowUs: found '-1', expected a whole number of 0 or more"},
         InvalidValue{FIRST_CLASS "Effect", nullptr,
                      "settings.Profiles[0].Effect: missing, expected safe, keyed or unsafe"},
         InvalidValue{FIRST_CLASS "Effect", R"("sometimes")",
-                     "settings.Profiles[0].Effect: there is 'sometimes', expected safe, keyed or unsafe"},
+                     "settings.Profiles[0].Effect: found 'sometimes', expected safe, keyed or unsafe"},
         InvalidValue{FIRST_CLASS "Group", R"("rack")",
-                     "settings.Profiles[0].Group: there is 'rack', expected all, zone or cell"}));
+                     "settings.Profiles[0].Group: found 'rack', expected all, zone or cell"}));
 #undef ADDRESS
 #undef LIMIT
 #undef GUARANTEE
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -25,7 +25,7 @@
 
 // Where server queues are short, overloaded outcomes are common and the next server of the plan takes the
 // request.
-TEST(Admission, FirstAttemptsOverloaded_AreNoCongestion) {
+TEST(Admission, FirstAttemptsAnsweredOverloaded_DoNotCountAsCongestion) {
   FakeHost host(FakeHost::hedging_config());
   for (RequestId id = 1; id <= 500; ++id) {
     host.request(id, 0, id);
--- a/tests/policy/limits_test.cpp
+++ b/tests/policy/limits_test.cpp
@@ -54,7 +54,7 @@
   EXPECT_EQ(limit.resumes_at(), 350);
 }
 
-TEST(CacheLimitUnit, LimitInUse_IsIncreasedAndUnderCongestionDecreased) {
+TEST(CacheLimitUnit, LimitInUseOrCongestion_IncreasesOrDecreasesTheLimit) {
   CongestionEstimate congestion;
   CacheLimit limit(congestion);
   EXPECT_TRUE(limit.initialize(1));
--- a/tests/policy/replay_test.cpp
+++ b/tests/policy/replay_test.cpp
@@ -74,7 +74,7 @@
   out.clients_retry = true;
   out.slots = 2;
   out.queue_length = 8;
-  out.origin_slots = 7;  // a capacity of 109 per second for a load of 64 per second
+  out.origin_slots = 7;  // a capacity of 109 per second, 1.7 times the load of 64 per second
   return out;
 }
 
--- a/tests/policy/router_test.cpp
+++ b/tests/policy/router_test.cpp
@@ -62,14 +62,17 @@
   };
   EXPECT_EQ(reason([](Config&) {}), "");
   EXPECT_NE(reason([](Config& c) { c.classes.clear(); }).find("no request class"), std::string::npos);
-  EXPECT_NE(reason([](Config& c) { c.classes[1].latency_objective = 0; }).find("class 1: aim"),
+  EXPECT_NE(reason([](Config& c) {
+              c.classes[1].latency_objective = 0;
+            }).find("class 1: latency objective (AimUs)"),
             std::string::npos);
   EXPECT_NE(reason([](Config& c) { c.classes[0].deadline = -1; }).find("deadline"), std::string::npos);
-  EXPECT_NE(reason([](Config& c) { c.max_attempts = 0; }).find("max_attempts"), std::string::npos);
-  EXPECT_NE(reason([](Config& c) { c.slow_start_initial_share = 1.5; }).find("cold_share"),
+  EXPECT_NE(reason([](Config& c) { c.max_attempts = 0; }).find("MaxAttempts"), std::string::npos);
+  EXPECT_NE(reason([](Config& c) { c.slow_start_initial_share = 1.5; }).find("slow-start share (ColdShare)"),
             std::string::npos);
   EXPECT_NE(reason([](Config& c) { c.keep_alive = -1; }).find("negative"), std::string::npos);
-  EXPECT_NE(reason([](Config& c) { c.origin_kind = kNone; }).find("origin_kind"), std::string::npos);
+  EXPECT_NE(reason([](Config& c) { c.origin_kind = kNone; }).find("origin kind (OriginKind)"),
+            std::string::npos);
   Config none;
   EXPECT_THROW(FakeHost host(none), std::invalid_argument);
 }
--- a/tests/policy/shares_test.cpp
+++ b/tests/policy/shares_test.cpp
@@ -56,7 +56,9 @@
   Config config = FakeHost::aside_config();
   config.tenants = {{100}, {100}};
   config.routers = 10;
-  // The number of requests that are not rejected, of 60 that one tenant sends at once.
+  // The number of requests that are not rejected, of 60 that one tenant sends at once. The tenant's quota for
+  // all 10 routers is 100 requests per second. Only requests above this router's share of the
+  // quota are rejected, whatever its share of the limit is.
   const auto accepted_with = [&](std::vector<double> quotas) {
     FakeHost host(config, 2);
     Shares shares;
--- a/tests/resp/options_test.cpp
+++ b/tests/resp/options_test.cpp
@@ -87,7 +87,8 @@
   EXPECT_NE(out.find("resp.front: on"), std::string::npos) << out;
   EXPECT_EQ(run(router + "--check --options " STREAMPICK_SOURCE "/deploy/examples/overload.toml", out), 0)
       << out;
-  EXPECT_NE(out.find("overload: floors 0.4 and 0.3"), std::string::npos) << out;
+  EXPECT_NE(out.find("overload: minimum share of descriptors: clients 0.4, servers 0.3"), std::string::npos)
+      << out;
   EXPECT_EQ(run(router + "--check --options " STREAMPICK_SOURCE "/deploy/examples/grpc.toml", out), 0) << out;
   EXPECT_NE(out.find("grpc: 2 routes"), std::string::npos) << out;
 #ifdef STREAMPICK_WITH_FLEET
--- a/tests/takeover/override_store_test.cpp
+++ b/tests/takeover/override_store_test.cpp
@@ -290,7 +290,7 @@
 }
 
 // The other process takes 200 ms for its change, between reading the file and writing it.
-TEST_F(LockedOverrideStoreTest, ChangeDuringAnotherProcesssChange_BothAreStored) {
+TEST_F(LockedOverrideStoreTest, TwoProcessesChangeAtTheSameTime_BothChangesAreStored) {
   std::array<int, 2> ready{};
   ASSERT_EQ(::pipe(ready.data()), 0);
   const pid_t other = storage::test::start_process([&] {
