--- a/src/settings/json_value.cpp
+++ b/src/settings/json_value.cpp
@@ -107,7 +107,7 @@
 }
 
 void JsonValue::reject(const std::string& expected) const {
-  throw JsonError(path_, "there is " + describe(*value_), expected);
+  throw JsonError(path_, "found " + describe(*value_), expected);
 }
 
 }  // namespace streampick
