--- a/tests/faults/demo_test.sh
+++ b/tests/faults/demo_test.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# The demo's load on a router whose system calls fail: DEMO ROUTER LIBRARY ONE_IN SEED. Each of the 200 requests
-# of both fronts must be served.
+# usage: demo_test.sh DEMO ROUTER LIBRARY ONE_IN SEED
+# Runs the demo's requests against a router in which one of ONE_IN system calls fails. All 200 requests over HTTP and
+# all 200 over RESP must be served.
 set -eu
 demo=$1 router=$2 library=$3 one_in=$4 seed=$5
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-port=$((20000 + $$ % 6000 * 2)) # below the ports that the system gives to connections
+port=$((20000 + $$ % 6000 * 2)) # below the ephemeral port range
 faults=""
 for call in socket bind listen connect accept watch wait loop client_receive client_send server_receive server_send; do
   faults="$faults$call/$one_in "
--- a/tests/faults/fault_counts.h
+++ b/tests/faults/fault_counts.h
@@ -1,4 +1,5 @@
-/// What the preloaded library of failing system calls shares with the test that starts a program under it.
+/// Counters in shared memory between the preloaded library that fails system calls and the test that starts a
+/// program with that library.
 #pragma once
 
 #include <array>
@@ -8,8 +9,8 @@
 
 namespace streampick::faults {
 
-/// The calls that may fail. A connection's side: `client` where it was accepted, `server` where the program
-/// made it, `peer` for datagrams.
+/// The calls that may fail. Transfers are named after the other side: `client` on accepted connections,
+/// `server` on connections that the program opened, `peer` on datagram sockets.
 enum class Call : std::size_t {
   socket,
   bind,
@@ -27,14 +28,14 @@
   peer_send,
 };
 inline constexpr std::size_t kCalls = 14;
-/// Their names in STREAMPICK_FAULTS.
+/// Names of the calls in STREAMPICK_FAULTS.
 inline constexpr std::array<const char*, kCalls> kCallNames = {
     "socket", "bind",           "listen",      "connect",        "accept",      "watch",        "wait",
     "loop",   "client_receive", "client_send", "server_receive", "server_send", "peer_receive", "peer_send"};
 
-/// In a file that both sides map.
+/// Lies in a file that both processes map.
 struct FaultCounts {
-  /// Whether calls fail at this moment.
+  /// 1: calls may fail now; 0: no call fails.
   std::atomic<std::uint32_t> armed;
   std::array<std::atomic<std::uint64_t>, kCalls> calls;
   std::array<std::atomic<std::uint64_t>, kCalls> faults;
--- a/tests/faults/faulty_router.h
+++ b/tests/faults/faulty_router.h
@@ -1,5 +1,5 @@
-/// The router's program as a child under the library of failing system calls, with servers, a discovery and
-/// clients of the test's.
+/// Starts the router as a child process with the preloaded library that fails system calls. Servers,
+/// discovery and clients run in the test's process.
 #pragma once
 
 #include <fcntl.h>
@@ -23,15 +23,15 @@
 
 namespace streampick::test {
 
-/// What fails in a router's process.
+/// Which system calls fail in a router's process, and how its wall clock is stepped.
 struct FaultPlan {
-  std::string faults;  // as STREAMPICK_FAULTS has it
+  std::string faults;  // value of STREAMPICK_FAULTS
   std::uint64_t seed = 1;
-  std::string clock_steps = {};  // as STREAMPICK_CLOCK_STEPS has it
-  bool armed = true;             // from the start
+  std::string clock_steps = {};  // value of STREAMPICK_CLOCK_STEPS
+  bool armed = true;             // whether calls fail from the start of the process
 };
 
-/// The counts that a router's process shares with the test.
+/// The test's view of the counts that it shares with a router's process.
 class SharedCounts {
  public:
   explicit SharedCounts(std::string path) : path_(std::move(path)) {
@@ -39,7 +39,7 @@
     const bool is_sized = ::ftruncate(file, sizeof(faults::FaultCounts)) == 0;
     void* at = ::mmap(nullptr, sizeof(faults::FaultCounts), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     ::close(file);
-    if (!is_sized || at == MAP_FAILED) throw std::runtime_error("no memory to share: " + path_);
+    if (!is_sized || at == MAP_FAILED) throw std::runtime_error("cannot map shared memory: " + path_);
     counts_ = static_cast<faults::FaultCounts*>(at);
   }
   ~SharedCounts() {
@@ -64,10 +64,11 @@
   faults::FaultCounts* counts_ = nullptr;
 };
 
-/// One router's process. Ended with the object, however the test ends.
+/// A router's process. The destructor kills it if it still runs.
 class FaultyRouter {
  public:
-  /// `config`: as the platform writes it. `environment`: what the process is told beside it.
+  /// `config`: the platform's configuration file. `environment`: further environment variables. `options`:
+  /// the options file; empty: none.
   FaultyRouter(const std::string& name, const nlohmann::json& config, const FaultPlan& plan,
                const std::vector<std::pair<std::string, std::string>>& environment = {},
                const std::string& options = "")
@@ -95,19 +96,19 @@
   void signal(int number) const {
     if (child_ > 0) ::kill(child_, number);
   }
-  /// Replaces the configuration as a whole.
+  /// Atomically replaces the configuration file.
   void configure(const nlohmann::json& config) const {
     const std::string next = file_.string() + ".next";
     std::ofstream(next) << config.dump();
     std::filesystem::rename(next, file_);
   }
-  /// Whether the process is over; its exit code is then known.
+  /// Whether the process has exited; exit_code() is valid then.
   bool ended() {
     if (child_ <= 0) return true;
     int status = 0;
     if (::waitpid(child_, &status, WNOHANG) != child_) return false;
     child_ = 0;
-    exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalled + WTERMSIG(status);
+    exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : kSignalExitBase + WTERMSIG(status);
     return true;
   }
   int exit_code() const { return exit_code_; }
@@ -115,8 +116,8 @@
     std::ifstream file(log_file());
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  /// A number of the last summary in the log; none: the log has no such summary.
-  std::optional<std::uint64_t> summed(const std::string& name) const {
+  /// Returns the value `name` of the last "stopped:" line in the log, or nothing if there is none.
+  std::optional<std::uint64_t> summary_value(const std::string& name) const {
     const std::string text = log();
     const std::size_t line = text.rfind("streampick: stopped:");
     if (line == std::string::npos) return std::nullopt;
@@ -126,7 +127,7 @@
   }
 
  private:
-  static constexpr int kSignalled = 1000;
+  static constexpr int kSignalExitBase = 1000;
   static constexpr int kMaxDescriptors = 4'096;
 
   std::string options_file() const { return file_.string() + ".toml"; }
@@ -140,7 +141,7 @@
     int first_to_close = 3;
     for (const auto& [name, value] : environment) {
       ::setenv(name.c_str(), value.c_str(), 1);
-      if (name == "NODE_PASSED_SOCKET") first_to_close = 4;  // it is passed as the descriptor 3
+      if (name == "NODE_PASSED_SOCKET") first_to_close = 4;  // passed as descriptor 3
     }
     for (int fd = first_to_close; fd < kMaxDescriptors; ++fd) ::close(fd);
     ::setenv("NODE_CONFIG", file_.c_str(), 1);
@@ -149,7 +150,7 @@
     ::setenv("STREAMPICK_FAULTS_FILE", counts_.path().c_str(), 1);
     ::setenv("STREAMPICK_CLOCK_STEPS", plan.clock_steps.c_str(), 1);
     ::setenv("LD_PRELOAD", STREAMPICK_CALL_FAULTS, 1);
-    // A sanitizer's runtime wants to be the first library; it works behind this one as well.
+    // AddressSanitizer's runtime checks that it is loaded first; it also works behind this library.
     ::setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
     const std::string options = options_file();
     if (has_options) {
@@ -166,7 +167,7 @@
   int exit_code_ = -1;
 };
 
-/// Servers and a discovery for routers under faults.
+/// Fixture with servers and a discovery service for routers whose system calls fail.
 class RouterUnderFaults : public Loopback {
  protected:
   RouterUnderFaults() {
@@ -174,7 +175,8 @@
     keep_watches();
   }
 
-  /// An address for a router. It stays bound here, without listening: nobody else is given its port.
+  /// Returns an address for a router. The test keeps a socket bound to it without listening, so that the
+  /// kernel gives its port to no other process.
   net::tcp::endpoint free_address() {
     net::tcp::acceptor& bound = reserved_.emplace_back(io);
     bound.open(net::tcp::v4());
@@ -190,7 +192,7 @@
     out["listen"] = text_of(listen);
     return out;
   }
-  /// Whether GET /up on a new connection is answered with 200. Waits for it no longer than a moment.
+  /// Whether GET /up on a new connection is answered with 200 within 2 s.
   bool is_up(const net::tcp::endpoint& address) {
     net::tcp::socket probe(io);
     net::error_code error;
@@ -211,7 +213,7 @@
   }
 
  private:
-  /// Whoever watches is told the list and then signs of life.
+  /// Sends each new watch the endpoint list. keep_watches() then sends keep-alive lines.
   void accept_watches() {
     discovery.async_accept([this](net::error_code error, net::tcp::socket socket) {
       if (error) return;
--- a/tests/faults/fleet_test.cpp
+++ b/tests/faults/fleet_test.cpp
@@ -1,4 +1,5 @@
-// The fleet's datagrams while calls on their sockets fail: the view settles, and nothing spins.
+// Membership gossip while system calls on its sockets fail: the routers must agree on the view, and must not
+// call in a busy loop.
 #include "faults/faulty_router.h"
 
 namespace streampick::test {
@@ -15,7 +16,7 @@
     std::unique_ptr<FaultyRouter> process;
   };
 
-  /// All of one fleet, on addresses that each knows.
+  /// Starts the routers of one fleet, each with the addresses of all as seeds.
   void start(const std::string& faults, bool armed) {
     std::string seeds;
     std::vector<std::string> addresses;
@@ -37,8 +38,8 @@
       members_.push_back(std::move(member));
     }
   }
-  /// How many routers a router knows to be alive, itself among them; 0: it can't be asked.
-  std::size_t alive_at(const Member& member) {
+  /// Returns how many routers `member` counts as alive, including itself; 0 if it does not answer.
+  std::size_t count_alive(const Member& member) {
     net::tcp::socket socket(io);
     net::error_code error;
     socket.connect(member.management, error);
@@ -53,13 +54,13 @@
     return wait_for([&] {
       quiet(50);
       return std::all_of(members_.begin(), members_.end(),
-                         [&](const Member& member) { return alive_at(member) == kRouters; });
+                         [&](const Member& member) { return count_alive(member) == kRouters; });
     });
   }
   std::string views() {
     std::string out;
     for (const Member& member : members_)
-      out += std::to_string(alive_at(member)) + "\n" + member.process->log();
+      out += std::to_string(count_alive(member)) + "\n" + member.process->log();
     return out;
   }
 
@@ -74,7 +75,7 @@
   }
 };
 
-TEST_F(FleetUnderFaults, WithOneCallInTenFailingTheViewSettles) {
+TEST_F(FleetUnderFaults, OneOfTenCallsFails_ViewSettles) {
   start("socket/10 bind/10 watch/10 wait/10 accept/10 peer_receive/10 peer_send/10", true);
   EXPECT_TRUE(settles()) << views();
   for (const Member& member : members_) {
@@ -87,8 +88,8 @@
   }
 }
 
-TEST_F(FleetUnderFaults, ASocketThatCannotBeReadForAWhileIsReadSeldomAndThenAgain) {
-  constexpr std::uint64_t kMaxReadsInASecond = 1'200;  // 16 each 20 ms, and as many for each of few timers
+TEST_F(FleetUnderFaults, ReceiveFailsTemporarily_IsRetriedAtALowRateAndRecovers) {
+  constexpr std::uint64_t kMaxReadsInASecond = 1'200;  // 16 reads every 20 ms are 800; the rest is for timers
   start("peer_receive/1:ENOMEM", false);
   ASSERT_TRUE(settles()) << views();
   SharedCounts& counts = members_[0].process->counts();
@@ -103,7 +104,7 @@
   EXPECT_TRUE(settles()) << views();
 }
 
-TEST_F(FleetUnderFaults, WhatCannotBeSentForAWhileIsMadeUpFor) {
+TEST_F(FleetUnderFaults, SendFailsTemporarily_ViewSettlesAfterwards) {
   start("peer_send/1:ENOBUFS+EAGAIN+ENETUNREACH", false);
   ASSERT_TRUE(settles()) << views();
   SharedCounts& counts = members_[0].process->counts();
--- a/tests/faults/load_test.cpp
+++ b/tests/faults/load_test.cpp
@@ -1,4 +1,5 @@
-// Load and the end of a router while its system calls fail: each request that was read has one final answer.
+// Load on a router, and its shutdown, while its system calls fail: each request that it read must get exactly
+// one final answer.
 #include <algorithm>
 #include <set>
 
@@ -9,15 +10,17 @@
 
 using faults::Call;
 
-/// What became of the requests of all clients.
+/// Outcomes of all clients' requests.
 struct Tally {
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;  // 503
   std::uint64_t failed = 0;    // 502, 504
   std::uint64_t other = 0;
-  std::uint64_t sent = 0;     // also those that were sent again
-  std::uint64_t unread = 0;   // ended on a new connection with no answer, sent again
-  std::uint64_t crossed = 0;  // ended between two requests with no answer, sent again
+  std::uint64_t sent = 0;  // including requests that were sent again
+  // Requests that were sent again because their connection ended without an answer to them: on a new
+  // connection, and on one that had answered before.
+  std::uint64_t ended_before_answer = 0;
+  std::uint64_t ended_between_requests = 0;
   std::uint64_t not_connected = 0;
   std::uint64_t answered() const { return served + rejected + failed + other; }
   void count(int status) {
@@ -28,8 +31,8 @@
   }
 };
 
-/// Sends one request after another, each on the connection of the one before while that lives. What ended
-/// with no answer is sent again on a new connection.
+/// Sends one request after another on a persistent connection. A request whose connection ends without an
+/// answer is sent again on a new connection.
 class LoadClient {
  public:
   LoadClient(asio::io_context& io, const net::tcp::endpoint& to, std::vector<std::string> requests,
@@ -44,7 +47,7 @@
   LoadClient(const LoadClient&) = delete;
   LoadClient& operator=(const LoadClient&) = delete;
 
-  /// Gives up where it can't connect any more.
+  /// From now on, a failed connection attempt ends the client.
   void expect_end() { is_end_expected_ = true; }
   bool is_done() const { return is_done_; }
 
@@ -52,8 +55,8 @@
   static constexpr std::chrono::milliseconds kPause{20};
 
   void connect() {
-    answered_here_ = 0;
-    got_.clear();
+    answers_on_connection_ = 0;
+    received_.clear();
     socket_ = std::make_unique<net::tcp::socket>(io_);
     socket_->async_connect(to_, [this, alive = alive_](net::error_code error) {
       if (!*alive) return;
@@ -82,20 +85,19 @@
     read();
   }
   void read() {
-    socket_->async_read_some(asio::buffer(chunk_),
-                             [this, alive = alive_](net::error_code error, std::size_t got) {
-                               if (!*alive) return;
-                               got_.append(chunk_.data(), got);
-                               if (const std::string answer = take_message(got_); !answer.empty())
-                                 return answered(answer);
-                               if (!error) return read();
-                               ++(answered_here_ == 0 ? tally_.unread : tally_.crossed);
-                               connect_later();
-                             });
+    socket_->async_read_some(
+        asio::buffer(chunk_), [this, alive = alive_](net::error_code error, std::size_t got) {
+          if (!*alive) return;
+          received_.append(chunk_.data(), got);
+          if (const std::string answer = take_message(received_); !answer.empty()) return answered(answer);
+          if (!error) return read();
+          ++(answers_on_connection_ == 0 ? tally_.ended_before_answer : tally_.ended_between_requests);
+          connect_later();
+        });
   }
   void answered(const std::string& answer) {
     tally_.count(std::stoi(answer.substr(9, 3)));
-    ++answered_here_;
+    ++answers_on_connection_;
     ++next_;
     if (answer.find("Connection: close") != std::string::npos) return connect_later();
     ask();
@@ -109,16 +111,17 @@
   asio::steady_timer pause_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::array<char, 4096> chunk_{};
-  std::string got_;
+  std::string received_;
   std::size_t next_ = 0;
-  std::size_t answered_here_ = 0;
+  std::size_t answers_on_connection_ = 0;
   bool is_end_expected_ = false;
   bool is_done_ = false;
   net::error_code ignored_;
 };
 
-/// Of ten requests seven are reads, two saves with a key, one is a write that must not run twice.
-std::vector<std::string> some_requests(std::size_t count) {
+/// Returns requests of which, in each ten, seven are reads, two are saves with an idempotency key and one is
+/// a write that must not run twice.
+std::vector<std::string> mixed_requests(std::size_t count) {
   std::vector<std::string> out;
   for (std::size_t i = 0; i < count; ++i) {
     char key[17];
@@ -155,7 +158,7 @@
     router_ = std::make_unique<FaultyRouter>("load", config(address_), plan);
     ASSERT_TRUE(becomes_ready(*router_, address_)) << router_->log();
     for (std::size_t i = 0; i < kClients; ++i)
-      clients_.push_back(std::make_unique<LoadClient>(io, address_, some_requests(requests_each), tally_));
+      clients_.push_back(std::make_unique<LoadClient>(io, address_, mixed_requests(requests_each), tally_));
   }
   bool all_done() const {
     return std::all_of(clients_.begin(), clients_.end(),
@@ -167,12 +170,12 @@
     ASSERT_TRUE(wait_for([&] { return all_done() && router_->ended(); })) << router_->log();
     EXPECT_EQ(router_->exit_code(), 0) << router_->log();
   }
-  /// What the router has read is what clients have answers to.
+  /// Checks that the router read as many requests as clients received answers.
   void expect_all_accounted_for() {
-    const std::uint64_t asked = router_->summed("asked").value_or(0);
-    const std::uint64_t shed = router_->summed("shed").value_or(0);
+    const std::uint64_t asked = router_->summary_value("asked").value_or(0);
+    const std::uint64_t shed = router_->summary_value("shed").value_or(0);
     EXPECT_EQ(asked + shed, tally_.answered()) << router_->log();
-    EXPECT_EQ(router_->summed("withdrawn"), 0U) << router_->log();
+    EXPECT_EQ(router_->summary_value("withdrawn"), 0U) << router_->log();
     EXPECT_EQ(tally_.other, 0U);
     expect_no_write_ran_twice();
   }
@@ -183,19 +186,21 @@
     for (const std::string& transaction_id : ran) EXPECT_EQ(ran.count(transaction_id), 1U) << transaction_id;
   }
   void report(const std::string& what) {
-    const std::uint64_t asked = router_->summed("asked").value_or(0) + router_->summed("shed").value_or(0);
+    const std::uint64_t asked =
+        router_->summary_value("asked").value_or(0) + router_->summary_value("shed").value_or(0);
     std::printf(
         "%s: faults=%llu sent=%llu read=%llu answered=%llu (served=%llu rejected=%llu failed=%llu) "
-        "lost=%lld; ended unread=%llu, between two requests=%llu\n",
+        "lost=%lld; connections ended before the first answer=%llu, between requests=%llu\n",
         what.c_str(), static_cast<unsigned long long>(router_->counts().all_faults()),
         static_cast<unsigned long long>(tally_.sent), static_cast<unsigned long long>(asked),
         static_cast<unsigned long long>(tally_.answered()), static_cast<unsigned long long>(tally_.served),
         static_cast<unsigned long long>(tally_.rejected), static_cast<unsigned long long>(tally_.failed),
         static_cast<long long>(asked) - static_cast<long long>(tally_.answered()),
-        static_cast<unsigned long long>(tally_.unread), static_cast<unsigned long long>(tally_.crossed));
+        static_cast<unsigned long long>(tally_.ended_before_answer),
+        static_cast<unsigned long long>(tally_.ended_between_requests));
   }
-  /// A load, then the end; and the end in the midst of a load.
-  void play(int one_in, std::uint64_t seed, std::size_t requests_each, double least_served) {
+  /// Runs the router twice: with SIGTERM after all requests, and with SIGTERM after half of them.
+  void run_load(int one_in, std::uint64_t seed, std::size_t requests_each, double least_served) {
     const std::string name = "one in " + std::to_string(one_in) + ", seed " + std::to_string(seed);
     start({faults_at(one_in), seed}, requests_each);
     ASSERT_TRUE(wait_for([&] { return all_done() || router_->ended(); })) << router_->log();
@@ -223,20 +228,21 @@
   std::vector<std::unique_ptr<LoadClient>> clients_;
 };
 
-TEST_F(Load, WithOneCallInTwoHundredFailingEachRequestHasItsAnswer) {
-  for (const std::uint64_t seed : {1, 2, 3}) play(200, seed, 100, 0.99);
+TEST_F(Load, OneOfTwoHundredCallsFails_EachRequestIsAnswered) {
+  for (const std::uint64_t seed : {1, 2, 3}) run_load(200, seed, 100, 0.99);
 }
 
-TEST_F(Load, WithOneCallInTenFailingEachRequestHasItsAnswer) {
-  for (const std::uint64_t seed : {1, 2, 3}) play(10, seed, 100, 0.9);
+TEST_F(Load, OneOfTenCallsFails_EachRequestIsAnswered) {
+  for (const std::uint64_t seed : {1, 2, 3}) run_load(10, seed, 100, 0.9);
 }
 
-// The wall clock is stepped in the midst of requests: deadlines hold, and all is served as without.
+// Steps of the wall clock during requests must change neither deadlines nor results: spans of time are
+// measured on the monotonic clock.
 class SteppedClock : public Load {
  protected:
   static constexpr std::size_t kRequestsEach = 60;
-  static constexpr int kHeld = 10;
-  static constexpr double kHeldFor = 0.6, kOthersFor = 8.0;  // s that their clients wait
+  static constexpr int kHeldRequests = 10;
+  static constexpr double kHeldTimeout = 0.6, kOtherTimeout = 8.0;  // seconds that clients wait
 
   SteppedClock() {
     cache.answer = [](const std::string& request) { return is_held(request) ? "" : response(200, "cached"); };
@@ -246,9 +252,10 @@
   }
   static bool is_held(const std::string& request) { return request.rfind("GET /read/held", 0) == 0; }
 
-  /// Asks what nobody answers, one request each 100 ms, so that steps come before, in and behind their time.
+  /// Sends a request that no server answers every 100 ms, so that clock steps come before, during and after
+  /// the requests. Each must be answered at its deadline.
   void expect_deadlines_hold() {
-    constexpr auto kApart = std::chrono::milliseconds(100);
+    constexpr auto kInterval = std::chrono::milliseconds(100);
     constexpr auto kAtLeast = std::chrono::milliseconds(550);
     constexpr auto kAtMost = std::chrono::milliseconds(1'500);
     struct Held {
@@ -263,12 +270,12 @@
           one.took = std::chrono::steady_clock::now() - one.asked;
       return std::all_of(all.begin(), all.end(), [](const Held& one) { return one.took.count() > 0; });
     };
-    for (int i = 0; i < kHeld; ++i) {
+    for (int i = 0; i < kHeldRequests; ++i) {
       const auto now = std::chrono::steady_clock::now();
       all.push_back({std::make_unique<FakeClient>(io, address_), now});
       const std::string path = "/read/held" + std::to_string(i);
-      all.back().client->ask(request_text("GET", path, "read", "", std::to_string(kHeldFor)));
-      while (std::chrono::steady_clock::now() - now < kApart) {
+      all.back().client->ask(request_text("GET", path, "read", "", std::to_string(kHeldTimeout)));
+      while (std::chrono::steady_clock::now() - now < kInterval) {
         quiet(5);
         look();
       }
@@ -279,15 +286,15 @@
       EXPECT_LE(one.took, kAtMost);
     }
   }
-  /// What servers were told that is left, of each request.
+  /// Checks the remaining time that servers received with each request.
   void expect_times_left_are_sound() {
     for (const std::string& request : cache.requests) {
       const double left = std::stod(request.substr(request.find("X-Remaining: ") + 13));
       EXPECT_GT(left, 0.0);
-      EXPECT_LE(left, is_held(request) ? kHeldFor : kOthersFor);
+      EXPECT_LE(left, is_held(request) ? kHeldTimeout : kOtherTimeout);
     }
   }
-  void play(const std::string& steps) {
+  void run_load(const std::string& steps) {
     SCOPED_TRACE("steps: " + steps);
     start({"", 1, steps}, kRequestsEach);
     expect_deadlines_hold();
@@ -301,14 +308,14 @@
   }
 };
 
-TEST_F(SteppedClock, WithoutAStepAllIsServedAndDeadlinesHold) { play(""); }
-TEST_F(SteppedClock, AStepOfAnHourChangesNothing) {
-  play("500:3600");
-  play("500:-3600,900:-3600");
+TEST_F(SteppedClock, NoStep_AllRequestsAreServedAndDeadlinesHold) { run_load(""); }
+TEST_F(SteppedClock, StepOfAnHour_ResultsAndDeadlinesHold) {
+  run_load("500:3600");
+  run_load("500:-3600,900:-3600");
 }
-TEST_F(SteppedClock, StepsOfSomeSecondsChangeNothing) {
-  play("400:7,600:-9,800:5");
-  play("500:-3,700:3600,900:-3600");
+TEST_F(SteppedClock, StepsOfSeveralSeconds_ResultsAndDeadlinesHold) {
+  run_load("400:7,600:-9,800:5");
+  run_load("500:-3,700:3600,900:-3600");
 }
 
 }  // namespace
--- a/tests/faults/start_test.cpp
+++ b/tests/faults/start_test.cpp
@@ -1,4 +1,5 @@
-// A router's start while system calls fail: what may pass is tried again, what can't ends the process.
+// A router's start while system calls fail: temporary errors must be retried, permanent ones must end the
+// process.
 #include "faults/faulty_router.h"
 
 namespace streampick::test {
@@ -6,9 +7,9 @@
 
 using faults::Call;
 
-constexpr std::chrono::seconds kWantedReady{10};
+constexpr std::chrono::seconds kMaxStartTime{10};
 
-/// A process that ended with `code` and one line that says why.
+/// Checks that the process exited with `code` and that its log ends with one line that contains `reason`.
 ::testing::AssertionResult ended_for(FaultyRouter& router, int code, const std::string& reason) {
   const std::string log = router.log();
   const std::size_t at = log.rfind("streampick_router: ");
@@ -19,14 +20,14 @@
   return ::testing::AssertionFailure() << "exit code " << router.exit_code() << ", log:\n" << log;
 }
 
-TEST_F(RouterUnderFaults, WithOneCallInTenFailingEveryRouterBecomesReady) {
+TEST_F(RouterUnderFaults, OneOfTenCallsFails_EveryRouterBecomesReady) {
   constexpr std::uint64_t kRouters = 40;
-  constexpr std::uint64_t kAtOnce = 8;
+  constexpr std::uint64_t kBatch = 8;
   std::uint64_t faulted = 0;
-  for (std::uint64_t first = 1; first <= kRouters; first += kAtOnce) {
+  for (std::uint64_t first = 1; first <= kRouters; first += kBatch) {
     const auto began = std::chrono::steady_clock::now();
     std::vector<std::pair<std::unique_ptr<FaultyRouter>, net::tcp::endpoint>> routers;
-    for (std::uint64_t seed = first; seed < first + kAtOnce; ++seed) {
+    for (std::uint64_t seed = first; seed < first + kBatch; ++seed) {
       const net::tcp::endpoint address = free_address();
       routers.emplace_back(
           std::make_unique<FaultyRouter>(
@@ -38,7 +39,7 @@
       EXPECT_TRUE(becomes_ready(*router, address)) << router->exit_code() << "\n" << router->log();
       faulted += router->counts().all_faults() > 0 ? 1 : 0;
     }
-    EXPECT_LT(std::chrono::steady_clock::now() - began, kWantedReady);
+    EXPECT_LT(std::chrono::steady_clock::now() - began, kMaxStartTime);
     for (const auto& [router, address] : routers) router->signal(SIGTERM);
     for (const auto& [router, address] : routers) {
       EXPECT_TRUE(ends(*router));
@@ -48,7 +49,7 @@
   EXPECT_GE(faulted, kRouters / 2);
 }
 
-TEST_F(RouterUnderFaults, WhatFailsForAMomentAtTheStartIsTriedAgain) {
+TEST_F(RouterUnderFaults, TemporaryErrorAtStart_IsRetried) {
   for (const std::string fault :
        {"loop/1x2:EMFILE", "loop/1x2:ENFILE", "loop/1x2:ENOMEM", "socket/1x4:EMFILE", "socket/1x4:ENFILE",
         "socket/1x4:ENOBUFS", "socket/1x4:ENOMEM", "bind/1x4:EAGAIN", "bind/1x4:ENOBUFS", "bind/1x4:ENOMEM",
@@ -63,7 +64,7 @@
   }
 }
 
-TEST_F(RouterUnderFaults, AnAddressThatCannotBeHadEndsTheProcessAtOnceWithItsReason) {
+TEST_F(RouterUnderFaults, PermanentErrorOfTheListenAddress_EndsTheProcessWithTheReason) {
   const net::tcp::endpoint address = free_address();
   for (const auto& [fault, reason] :
        {std::pair("bind/1:EADDRINUSE", "Address already in use"),
@@ -73,14 +74,14 @@
     ASSERT_TRUE(ends(router)) << fault;
     EXPECT_TRUE(ended_for(router, 1, "listen on " + text_of(address) + ": " + reason)) << fault;
   }
-  // And with no fault at all, on an address that is taken.
+  // The same without injected faults: another socket listens on the address.
   const net::tcp::acceptor taken(io, any_port());
   FaultyRouter router("taken", config(taken.local_endpoint()), {""});
   ASSERT_TRUE(ends(router));
   EXPECT_TRUE(ended_for(router, 1, "Address already in use"));
 }
 
-TEST_F(RouterUnderFaults, AnAddressThatIsTakenBetweenTwoAttemptsEndsTheProcess) {
+TEST_F(RouterUnderFaults, AddressInUseAfterTemporaryErrors_EndsTheProcess) {
   const net::tcp::acceptor taken(io, any_port());
   FaultyRouter router("late", config(taken.local_endpoint()), {"socket/1x3:EMFILE"});
   ASSERT_TRUE(ends(router));
@@ -88,7 +89,7 @@
   EXPECT_GE(router.counts().faults(Call::socket), 1U);
 }
 
-TEST_F(RouterUnderFaults, SigtermEndsARouterThatCannotOpenItsAddressYet) {
+TEST_F(RouterUnderFaults, SigtermDuringListenRetries_EndsTheProcess) {
   FaultyRouter router("term", config(free_address()), {"socket/1:EMFILE"});
   ASSERT_TRUE(wait_for([&] { return router.counts().faults(Call::socket) >= 3; }));
   router.signal(SIGHUP);
@@ -97,7 +98,7 @@
   EXPECT_EQ(router.exit_code(), 0) << router.log();
 }
 
-TEST_F(RouterUnderFaults, AManagementAddressIsTriedAgainAndSaysServingOnceClientsCanCome) {
+TEST_F(RouterUnderFaults, TemporaryErrorOfTheManagementAddress_IsRetriedAndHealthReportsServing) {
   const net::tcp::endpoint address = free_address();
   const net::tcp::endpoint management = free_address();
   FaultyRouter router("health", config(address), {"bind/1x7:ENOBUFS"},
@@ -121,10 +122,11 @@
   EXPECT_TRUE(is_up(address));
 }
 
-// The process before holds the listening socket too; requests wait in its queue.
-TEST_F(RouterUnderFaults, APassedSocketThatFailsForAMomentIsTriedAgain) {
+// The previous process also holds the listening socket, so that requests wait in its queue during the
+// retries.
+TEST_F(RouterUnderFaults, TemporaryErrorOfAPassedSocket_IsRetried) {
   net::tcp::acceptor door(io, any_port());
-  const int kept = ::dup(3);  // what the test itself has there
+  const int kept = ::dup(3);  // keeps the test's own descriptor 3
   ASSERT_EQ(::dup2(door.native_handle(), 3), 3);
   ::fcntl(3, F_SETFD, 0);
   FaultyRouter router("passed", config(door.local_endpoint()), {"watch/1x4:ENOMEM socket/1x2:EMFILE"},
@@ -135,7 +137,7 @@
   EXPECT_GE(router.counts().faults(Call::watch), 1U);
 }
 
-TEST_F(RouterUnderFaults, ADiscoveryThatIsMovedWhileSocketsFailIsWatched) {
+TEST_F(RouterUnderFaults, DiscoveryAddressChangesWhileSocketsFail_NewAddressIsWatched) {
   const net::tcp::endpoint address = free_address();
   FaultyRouter router("reload", config(address), {"socket/1:EMFILE", 1, "", false});
   ASSERT_TRUE(becomes_ready(router, address)) << router.log();
--- a/tests/faults/system_call_faults.cpp
+++ b/tests/faults/system_call_faults.cpp
@@ -1,15 +1,14 @@
-/// Preloaded into a program (LD_PRELOAD): lets some of its system calls fail as Linux documents, and steps
-/// its wall clock. From the environment:
+/// A library for LD_PRELOAD: makes system calls of a program fail with errors that Linux documents, and steps
+/// the program's wall clock. Environment variables:
 ///
-///   STREAMPICK_FAULTS       what fails: "accept/10 connect/200:ENOBUFS+EMFILE socket/1x3". A call's name,
-///   one
-///                           in how many of them fails, after an x how many fail at most, after a colon with
-///                           which errors. "short" moves a part of the bytes. Names are in fault_counts.h.
-///   STREAMPICK_FAULTS_SEED  which ones: the n-th call of a kind fails under a seed, or does not.
-///   STREAMPICK_FAULTS_FILE  a file with FaultCounts; without one calls fail from the start.
-///   STREAMPICK_CLOCK_STEPS  "300:3600,900:-7": so many ms after the start the wall clock is put forward by
-///   so
-///                           many seconds.
+///   STREAMPICK_FAULTS       the calls that fail, as in "accept/10 connect/200:ENOBUFS+EMFILE socket/1x3":
+///                           the call's name (fault_counts.h), "/" and N if one of N calls fails, "x" and the
+///                           maximum number of failures, ":" and the errors. The error "short" transfers
+///                           only a part of the bytes.
+///   STREAMPICK_FAULTS_SEED  selects which calls fail: for each seed the same n-th calls of a kind.
+///   STREAMPICK_FAULTS_FILE  a file that holds FaultCounts; without it calls fail from the start.
+///   STREAMPICK_CLOCK_STEPS  "300:3600,900:-7": 300 ms after the start the wall clock is set forward by
+///                           3600 s, and 900 ms after the start it is set back by 7 s.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -37,7 +36,7 @@
 using streampick::faults::kCallNames;
 using streampick::faults::kCalls;
 
-/// In place of an error number: the call moves a part of the bytes.
+/// Stands for an error number: the call transfers only a part of the bytes.
 constexpr int kShort = -1;
 constexpr std::size_t kMaxErrors = 8, kMaxSteps = 4, kMaxDescriptors = 65'536;
 constexpr int kMaxParts = 64;
@@ -66,8 +65,8 @@
                                      {"EPROTO", EPROTO},
                                      {"ETIMEDOUT", ETIMEDOUT}};
 
-/// What each call fails with where the plan names no errors; by Call.
-constexpr std::array<const char*, kCalls> kUsualErrors = {
+/// The errors of each call, indexed by Call, if the plan names none.
+constexpr std::array<const char*, kCalls> kDefaultErrors = {
     "EMFILE+ENFILE+ENOBUFS+ENOMEM",
     "EAGAIN+ENOBUFS+ENOMEM",
     "ENOBUFS+ENOMEM",
@@ -96,7 +95,7 @@
   std::int64_t by_seconds = 0;
 };
 
-/// What a descriptor was made as.
+/// The kind of socket of a descriptor.
 enum class Side : unsigned char { none, client, server, peer };
 
 FaultCounts own_counts{};
@@ -108,7 +107,7 @@
 std::uint64_t seed = 0;
 std::array<std::atomic<Side>, kMaxDescriptors> sides;
 
-/// The next definition of the function that this one stands before.
+/// Returns the definition that the library's function of this name overrides.
 template <typename Function>
 Function* next(Function*& cached, const char* name) {
   if (cached == nullptr) cached = reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
@@ -151,7 +150,7 @@
   char* end = nullptr;
   plan.one_in = std::strtoull(text + length + 1, &end, 10);
   if (*end == 'x') plan.max_faults = std::strtoull(end + 1, &end, 10);
-  read_errors(kUsualErrors[call], plan);
+  read_errors(kDefaultErrors[call], plan);
   if (*end == ':') return read_errors(end + 1, plan);
   return end;
 }
@@ -194,7 +193,7 @@
   return now.tv_sec * 1'000'000'000LL + now.tv_nsec;
 }
 
-/// How far the wall clock has been put forward.
+/// Returns the seconds by which the wall clock is now set forward.
 std::int64_t wall_clock_ahead() {
   if (step_count == 0) return 0;
   const std::int64_t age = steady_ns() - started_ns;
@@ -221,8 +220,8 @@
   return value ^ (value >> 31U);
 }
 
-/// With what this call is to fail; 0: with nothing. Counts it.
-int fault_of(Call call) {
+/// Counts the call. Returns the error that it must fail with, or 0.
+int next_fault(Call call) {
   const auto index = static_cast<std::size_t>(call);
   const std::uint64_t number = ++counts->calls[index];
   const CallPlan& plan = plans[index];
@@ -233,15 +232,15 @@
   return plan.errors[mix(draw) % plan.error_count];
 }
 
-/// Whether the call fails; then `errno` says with what.
+/// Whether the call must fail; sets `errno` if so.
 bool fails(Call call) {
-  const int error = fault_of(call);
+  const int error = next_fault(call);
   if (error == 0) return false;
   errno = error;
   return true;
 }
 
-void made(int fd, Side side) {
+void set_side(int fd, Side side) {
   if (fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors) sides[static_cast<std::size_t>(fd)] = side;
 }
 Side side_of(int fd) {
@@ -249,14 +248,14 @@
   return sides[static_cast<std::size_t>(fd)];
 }
 
-/// What a transfer of bytes is to do.
+/// What a send or receive must do.
 struct Transfer {
   bool failed = false;
-  std::size_t bytes = 0;  // to move, of those that were asked for
+  std::size_t bytes = 0;  // number of the requested bytes to transfer
 };
 
 Transfer begin_transfer(Call call, std::size_t bytes) {
-  const int error = fault_of(call);
+  const int error = next_fault(call);
   if (error == 0) return {false, bytes};
   if (error == kShort) return {false, bytes < 2 ? bytes : 1 + mix(bytes ^ counts->calls[0]) % (bytes - 1)};
   errno = error;
@@ -284,7 +283,7 @@
   return {false, bytes};
 }
 
-/// A message whose parts are cut to a number of bytes.
+/// A copy of a message whose buffers are shortened to `bytes` in total.
 class CutMessage {
  public:
   CutMessage(const msghdr& whole, std::size_t bytes) : message_(whole) {
@@ -310,17 +309,18 @@
   return bytes;
 }
 
-/// Whether accept() fails so because the connection in the queue had failed: the kernel takes it off then.
+/// Whether accept() returns this error because the connection in the queue has failed. The kernel removes
+/// that connection from the queue.
 bool takes_connection(int error) {
   return error == ECONNABORTED || error == EPROTO || error == ENETUNREACH || error == EHOSTUNREACH;
 }
 
-/// Lets an accept fail with `error`; `accept_one` is the real one.
+/// Makes accept() fail with `error`; `accept_one` calls the real function.
 template <typename Accept>
 int fail_accept(int error, Accept accept_one) {
   if (takes_connection(error)) {
     const int failed = accept_one();
-    if (failed < 0) return -1;  // none is there that could fail
+    if (failed < 0) return -1;  // the queue is empty
     ::close(failed);
   }
   errno = error;
@@ -344,7 +344,7 @@
   NEXT(socket);
   if (fails(Call::socket)) return -1;
   const int fd = cached_socket(domain, type, protocol);
-  made(fd, (type & SOCK_DGRAM) != 0 ? Side::peer : Side::server);
+  set_side(fd, (type & SOCK_DGRAM) != 0 ? Side::peer : Side::server);
   return fd;
 }
 int bind(int fd, const sockaddr* address, socklen_t length) noexcept {
@@ -362,17 +362,17 @@
 int accept(int fd, sockaddr* address, socklen_t* length) {
   NEXT(accept);
   const auto accept_one = [&] { return cached_accept(fd, address, length); };
-  if (const int error = fault_of(Call::accept); error != 0) return fail_accept(error, accept_one);
+  if (const int error = next_fault(Call::accept); error != 0) return fail_accept(error, accept_one);
   const int out = accept_one();
-  made(out, Side::client);
+  set_side(out, Side::client);
   return out;
 }
 int accept4(int fd, sockaddr* address, socklen_t* length, int flags) {
   NEXT(accept4);
   const auto accept_one = [&] { return cached_accept4(fd, address, length, flags); };
-  if (const int error = fault_of(Call::accept); error != 0) return fail_accept(error, accept_one);
+  if (const int error = next_fault(Call::accept); error != 0) return fail_accept(error, accept_one);
   const int out = accept_one();
-  made(out, Side::client);
+  set_side(out, Side::client);
   return out;
 }
 int epoll_ctl(int fd, int operation, int of, epoll_event* event) noexcept {
--- a/tests/faults/wait_test.cpp
+++ b/tests/faults/wait_test.cpp
@@ -1,4 +1,5 @@
-// Waits and accepts that fail: nothing spins, and nothing waits for an event that does not come.
+// epoll_wait() and accept() that fail: the router must not loop without a pause, and must not wait for an
+// event that does not come.
 #include "faults/faulty_router.h"
 
 namespace streampick::test {
@@ -6,11 +7,12 @@
 
 using faults::Call;
 
-/// accept() at most once in 20 ms, and what a moment of 1 s may be off by on a busy machine.
+/// One accept() every 20 ms is 50 in a second; the rest allows for a second that lasts longer on a busy
+/// machine.
 constexpr std::uint64_t kMaxAcceptsInASecond = 60;
-/// Failed connections that are passed over without a pause.
-constexpr std::uint64_t kPassedOverAtOnce = 16;
-/// Each of these accepts has a timer's wait beside it; other timers of the router run each 100 ms.
+/// Failed connections that the router skips without a pause.
+constexpr std::uint64_t kMaxSkippedAtOnce = 16;
+/// Each of these accepts also takes a wait for a timer; other timers of the router run every 100 ms.
 constexpr std::uint64_t kMaxWaitsInASecond = 400;
 
 class Waits : public RouterUnderFaults {
@@ -28,7 +30,7 @@
   std::unique_ptr<FaultyRouter> router_;
 };
 
-TEST_F(Waits, OutOfDescriptorsAcceptIsTriedAgainSeldomAndTheClientIsServedOnceThereIsOne) {
+TEST_F(Waits, AcceptOutOfResources_IsRetriedAtALowRateAndTheClientIsServedLater) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   for (const std::string error : {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}) {
     start({"accept/1:" + error, 1, "", false});
@@ -48,8 +50,9 @@
   }
 }
 
-// The connection that failed in the queue is passed over, and those behind it are taken at once.
-TEST_F(Waits, BehindAConnectionThatFailedInTheQueueTheNextIsTakenAtOnce) {
+// A connection that failed in the listen queue is skipped, and the connections behind it are accepted at
+// once.
+TEST_F(Waits, ConnectionFailedInTheQueue_NextOneIsAcceptedAtOnce) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   for (const std::string error : {"ECONNABORTED", "EPROTO", "ENETUNREACH", "EHOSTUNREACH"}) {
     start({"accept/1x2:" + error, 1, "", false});
@@ -69,8 +72,8 @@
   }
 }
 
-// The loop must not stand still until one more comes.
-TEST_F(Waits, BehindTheOnlyConnectionThatFailedInTheQueueOthersAreServed) {
+// The router must go on without waiting for another connection to arrive in the queue.
+TEST_F(Waits, OnlyQueuedConnectionFailed_OtherClientsAreServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   for (const std::string error : {"ECONNABORTED", "EPROTO"}) {
     start({"accept/1x1:" + error, 1, "", false});
@@ -88,8 +91,8 @@
   }
 }
 
-// Interrupted, or kept from it by a rule: the connection is still there.
-TEST_F(Waits, AnAcceptThatIsInterruptedIsMadeAgain) {
+// After EINTR (interrupted) or EPERM (forbidden by a firewall rule) the connection is still in the queue.
+TEST_F(Waits, AcceptIsInterrupted_IsRetried) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   for (const std::string error : {"EINTR", "EPERM"}) {
     start({"accept/1x3:" + error, 1, "", false});
@@ -102,25 +105,27 @@
   }
 }
 
-// An accept that fails for good must not spin either, whatever it says.
-TEST_F(Waits, AnAcceptThatAlwaysFailsDoesNotSpin) {
+// An accept() that always fails must not be repeated without a pause, whatever its error is.
+TEST_F(Waits, AcceptAlwaysFails_IsRetriedAtALowRate) {
   start({"accept/1:EPERM", 1, "", false});
   router_->counts().arm(true);
   FakeClient client(io, address_);
   ASSERT_TRUE(wait_for([&] { return router_->counts().faults(Call::accept) >= 1; }));
   const std::uint64_t accepts = calls(Call::accept);
   quiet(1'000);
-  EXPECT_LE(calls(Call::accept) - accepts, kMaxAcceptsInASecond + kPassedOverAtOnce);
+  EXPECT_LE(calls(Call::accept) - accepts, kMaxAcceptsInASecond + kMaxSkippedAtOnce);
 }
 
-// What the kernel has accepted is taken before the listener closes, also past failures.
-TEST_F(Waits, ToldToStopTheQueueIsTakenThoughAcceptFails) {
+// Connections in the kernel's queue are accepted before the listener closes, even if accept() fails
+// meanwhile.
+TEST_F(Waits, AcceptFailsDuringShutdown_QueuedClientsAreServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   for (const std::string fault : {"accept/1x4:EPERM", "accept/1x4:EMFILE", "accept/1x4:EINTR"}) {
     start({fault, 1, "", false});
     router_->signal(SIGTERM);
     quiet(300);
-    // Stopped until accepting has to end: the client is in the kernel's queue alone.
+    // The process is stopped until the time to accept has passed, so that the client is only in the kernel's
+    // queue.
     router_->signal(SIGSTOP);
     router_->counts().arm(true);
     FakeClient client(io, address_);
@@ -138,7 +143,7 @@
   }
 }
 
-TEST_F(Waits, AWaitThatIsInterruptedEachSecondTimeIsWaitedAgain) {
+TEST_F(Waits, EverySecondWaitIsInterrupted_RequestsAreServed) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start({"wait/2:EINTR"});
   FakeClient client(io, address_);
@@ -150,9 +155,9 @@
   EXPECT_GE(router_->counts().faults(Call::wait), 10U);
 }
 
-// A connection that fails under a request, with its last byte out: as one that was reset. A read is asked of
-// another server, a write that may have run is not sent again.
-TEST_F(Waits, ALiveConnectionThatFailsCountsAsReset) {
+// An upstream connection that fails after the request was sent counts as reset: a read is sent to another
+// server, a write that may have run is not sent again.
+TEST_F(Waits, ConnectionFailsAfterTheRequestWasSent_CountsAsReset) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   origin.answer = [](const std::string&) { return response(200, "y"); };
   for (const std::string error : {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}) {
@@ -178,8 +183,8 @@
   }
 }
 
-// Not a byte of it had left: also a write may be sent again.
-TEST_F(Waits, ALiveConnectionThatFailsBeforeTheFirstByteIsNoAttemptThatRan) {
+// The connection fails before any byte of the request was sent, so that even a write may be sent again.
+TEST_F(Waits, ConnectionFailsBeforeTheFirstByte_WriteIsSentAgain) {
   origin.answer = [](const std::string&) { return response(200, "y"); };
   for (const std::string error : {"ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"}) {
     start({"server_send/1x1:" + error, 1, "", false});
