--- a/bench/datapath/counters.h
+++ b/bench/datapath/counters.h
@@ -1,5 +1,5 @@
-// What the counting shim counts in a program, and where the measurement reads it: a file of this form that
-// both have mapped. STREAMPICK_COUNTERS names it to the shim.
+// The counters of the counting shim, as the layout of a file. The shim maps the file that the environment
+// variable STREAMPICK_COUNTERS names and updates it; the benchmark reads it.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
   epoll_wait,
   epoll_ctl,
   receive,       // recv, recvfrom, recvmsg, read, readv
-  receive_none,  // ... that found nothing, or the end
+  receive_none,  // those of `receive` that returned no bytes, an error or the end of the stream
   peek,
   send,  // send, sendto, sendmsg, write, writev
   accept,
@@ -28,7 +28,7 @@
 struct Counters {
   std::array<std::uint64_t, static_cast<std::size_t>(Call::last)> calls{};
   std::uint64_t received_bytes = 0, sent_bytes = 0;
-  std::uint64_t copied_bytes = 0;  // by memcpy and memmove, where the compiler left a call
+  std::uint64_t copied_bytes = 0;  // by calls of memcpy and memmove that the compiler did not inline
   std::uint64_t allocations = 0, allocated_bytes = 0;
 };
 
--- a/bench/datapath/counting_shim.cpp
+++ b/bench/datapath/counting_shim.cpp
@@ -1,5 +1,6 @@
-// Preloaded into a program (LD_PRELOAD), counts its system calls on sockets, its allocations and its copies.
-// It counts for one thread; calls that libc makes within itself are not seen.
+// A library for LD_PRELOAD that counts a program's system calls on sockets, allocations and copies. The
+// counters are not synchronized, so the program must have one thread. Calls that libc makes internally are
+// not counted.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -27,38 +28,38 @@
 using streampick::bench::Call;
 using streampick::bench::Counters;
 
-Counters nowhere;
-Counters* counters = &nowhere;
+Counters unmapped_counters;
+Counters* counters = &unmapped_counters;
 
 __attribute__((constructor)) void map_counters() {
   const char* path = std::getenv("STREAMPICK_COUNTERS");
   if (path == nullptr) return;
   const int file = ::open(path, O_RDWR);
   if (file < 0) return;
-  void* at = ::mmap(nullptr, sizeof(Counters), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+  void* address = ::mmap(nullptr, sizeof(Counters), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
-  if (at != MAP_FAILED) counters = static_cast<Counters*>(at);
+  if (address != MAP_FAILED) counters = static_cast<Counters*>(address);
 }
 
 void count(Call call) { ++counters->calls[static_cast<std::size_t>(call)]; }
-ssize_t received(ssize_t got, bool peek = false) {
+ssize_t received(ssize_t result, bool peek = false) {
   count(peek ? Call::peek : Call::receive);
-  if (got <= 0 && !peek) count(Call::receive_none);
-  if (got > 0 && !peek) counters->received_bytes += static_cast<std::uint64_t>(got);
-  return got;
+  if (result <= 0 && !peek) count(Call::receive_none);
+  if (result > 0 && !peek) counters->received_bytes += static_cast<std::uint64_t>(result);
+  return result;
 }
-ssize_t sent(ssize_t put) {
+ssize_t sent(ssize_t result) {
   count(Call::send);
-  if (put > 0) counters->sent_bytes += static_cast<std::uint64_t>(put);
-  return put;
+  if (result > 0) counters->sent_bytes += static_cast<std::uint64_t>(result);
+  return result;
 }
-void* allocated(void* at, std::size_t bytes) {
+void* allocated(void* address, std::size_t bytes) {
   ++counters->allocations;
   counters->allocated_bytes += bytes;
-  return at;
+  return address;
 }
 
-// The next definition of the function that this one stands before.
+// The definition of a function that the shim's own definition overrides.
 template <typename Function>
 Function* next(Function*& cached, const char* name) {
   if (cached == nullptr) cached = reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
@@ -73,35 +74,35 @@
 
 extern "C" {
 
-int epoll_wait(int fd, epoll_event* events, int most, int time_out) {
+int epoll_wait(int fd, epoll_event* events, int capacity, int timeout_ms) {
   count(Call::epoll_wait);
   NEXT(epoll_wait);
-  return cached_epoll_wait(fd, events, most, time_out);
+  return cached_epoll_wait(fd, events, capacity, timeout_ms);
 }
-int epoll_ctl(int fd, int what, int of, epoll_event* event) noexcept {
+int epoll_ctl(int fd, int operation, int target, epoll_event* event) noexcept {
   count(Call::epoll_ctl);
   NEXT(epoll_ctl);
-  return cached_epoll_ctl(fd, what, of, event);
+  return cached_epoll_ctl(fd, operation, target, event);
 }
-ssize_t recv(int fd, void* to, std::size_t most, int flags) {
+ssize_t recv(int fd, void* to, std::size_t capacity, int flags) {
   NEXT(recv);
-  return received(cached_recv(fd, to, most, flags), (flags & MSG_PEEK) != 0);
+  return received(cached_recv(fd, to, capacity, flags), (flags & MSG_PEEK) != 0);
 }
-ssize_t recvfrom(int fd, void* to, std::size_t most, int flags, sockaddr* from, socklen_t* length) {
+ssize_t recvfrom(int fd, void* to, std::size_t capacity, int flags, sockaddr* from, socklen_t* length) {
   NEXT(recvfrom);
-  return received(cached_recvfrom(fd, to, most, flags, from, length), (flags & MSG_PEEK) != 0);
+  return received(cached_recvfrom(fd, to, capacity, flags, from, length), (flags & MSG_PEEK) != 0);
 }
 ssize_t recvmsg(int fd, msghdr* message, int flags) {
   NEXT(recvmsg);
   return received(cached_recvmsg(fd, message, flags), (flags & MSG_PEEK) != 0);
 }
-ssize_t read(int fd, void* to, std::size_t most) {
+ssize_t read(int fd, void* to, std::size_t capacity) {
   NEXT(read);
-  return received(cached_read(fd, to, most));
+  return received(cached_read(fd, to, capacity));
 }
-ssize_t readv(int fd, const iovec* parts, int count_of) {
+ssize_t readv(int fd, const iovec* buffers, int element_count) {
   NEXT(readv);
-  return received(cached_readv(fd, parts, count_of));
+  return received(cached_readv(fd, buffers, element_count));
 }
 ssize_t send(int fd, const void* from, std::size_t length, int flags) {
   NEXT(send);
@@ -119,9 +120,9 @@
   NEXT(write);
   return sent(cached_write(fd, from, length));
 }
-ssize_t writev(int fd, const iovec* parts, int count_of) {
+ssize_t writev(int fd, const iovec* buffers, int element_count) {
   NEXT(writev);
-  return sent(cached_writev(fd, parts, count_of));
+  return sent(cached_writev(fd, buffers, element_count));
 }
 int accept(int fd, sockaddr* from, socklen_t* length) {
   count(Call::accept);
@@ -167,22 +168,22 @@
   static int (*following)(int, unsigned long, ...) = nullptr;
   return next(following, "ioctl")(fd, request, argument);
 }
-int timerfd_settime(int fd, int flags, const itimerspec* at, itimerspec* before) noexcept {
+int timerfd_settime(int fd, int flags, const itimerspec* new_value, itimerspec* old_value) noexcept {
   count(Call::timer_set);
   NEXT(timerfd_settime);
-  return cached_timerfd_settime(fd, flags, at, before);
+  return cached_timerfd_settime(fd, flags, new_value, old_value);
 }
 
 void* malloc(std::size_t bytes) { return allocated(__libc_malloc(bytes), bytes); }
-void* calloc(std::size_t count_of, std::size_t bytes) {
-  return allocated(__libc_calloc(count_of, bytes), count_of * bytes);
+void* calloc(std::size_t element_count, std::size_t bytes) {
+  return allocated(__libc_calloc(element_count, bytes), element_count * bytes);
 }
-void* realloc(void* at, std::size_t bytes) { return allocated(__libc_realloc(at, bytes), bytes); }
+void* realloc(void* address, std::size_t bytes) { return allocated(__libc_realloc(address, bytes), bytes); }
 void* aligned_alloc(std::size_t alignment, std::size_t bytes) {
   return allocated(__libc_memalign(alignment, bytes), bytes);
 }
 
-// The checked forms are libc's own and not stood before.
+// Calls libc's checked variants, which the shim does not override.
 void* memcpy(void* to, const void* from, std::size_t bytes) {
   counters->copied_bytes += bytes;
   return __memcpy_chk(to, from, bytes, SIZE_MAX);
--- a/bench/datapath/floor.cpp
+++ b/bench/datapath/floor.cpp
@@ -1,6 +1,8 @@
-// The least that a forwarder can do: bytes of a client go to a server and the other way, on one connection
-// each. One edge-triggered registration a socket for life, reads when the loop says so, writes at once. It
-// parses nothing, knows no time and keeps no request apart: what a router costs above it is the router's own.
+// A minimal TCP forwarder, as the baseline of the benchmark. Each client connection has one server
+// connection, and bytes are copied between the two. Each socket has one edge-triggered registration for its
+// lifetime; it is read when epoll reports it, and the bytes are written at once. The forwarder parses
+// nothing, has no timers and does not separate requests, so any cost of the router above it is due to the
+// router's own work.
 //   bench_floor LISTEN_PORT SERVER_PORT...        (127.0.0.1)
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -27,8 +29,8 @@
 }
 
 void no_delay(int fd) {
-  const int on = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int enabled = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 void watch(int loop, int fd) {
@@ -47,16 +49,16 @@
   }
   ::signal(SIGPIPE, SIG_IGN);
   const int listener = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0), loop = ::epoll_create1(0);
-  const int on = 1;
-  ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  const sockaddr_in here = address_of(argv[1]);
-  if (::bind(listener, reinterpret_cast<const sockaddr*>(&here), sizeof here) != 0 ||
+  const int enabled = 1;
+  ::setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  const sockaddr_in listen_address = address_of(argv[1]);
+  if (::bind(listener, reinterpret_cast<const sockaddr*>(&listen_address), sizeof listen_address) != 0 ||
       ::listen(listener, 512) != 0) {
     std::perror("bench_floor");
     return 1;
   }
   watch(loop, listener);
-  std::vector<int> other(4096, -1);  // by descriptor: the other side
+  std::vector<int> peer_of(4096, -1);  // indexed by descriptor: the descriptor of the other connection
   std::array<epoll_event, 64> events{};
   std::array<char, 64 * 1024> bytes{};
   int next_server = 0;
@@ -67,30 +69,32 @@
       if (fd == listener) {
         for (int client; (client = ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK)) >= 0;) {
           const int server = ::socket(AF_INET, SOCK_STREAM, 0);
-          const sockaddr_in to = address_of(argv[2 + next_server++ % (argc - 2)]);
-          if (::connect(server, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) return 1;
+          const sockaddr_in server_address = address_of(argv[2 + next_server++ % (argc - 2)]);
+          if (::connect(server, reinterpret_cast<const sockaddr*>(&server_address), sizeof server_address) !=
+              0)
+            return 1;
           no_delay(client);
           no_delay(server);
-          other[static_cast<std::size_t>(client)] = server;
-          other[static_cast<std::size_t>(server)] = client;
+          peer_of[static_cast<std::size_t>(client)] = server;
+          peer_of[static_cast<std::size_t>(server)] = client;
           watch(loop, client);
           watch(loop, server);
         }
         continue;
       }
-      const int to = other[static_cast<std::size_t>(fd)];
-      if (to < 0) continue;
+      const int peer = peer_of[static_cast<std::size_t>(fd)];
+      if (peer < 0) continue;
       for (;;) {
-        const ssize_t got = ::recv(fd, bytes.data(), bytes.size(), MSG_DONTWAIT);
-        if (got > 0) {
-          if (::send(to, bytes.data(), static_cast<std::size_t>(got), 0) != got) return 1;
-          if (static_cast<std::size_t>(got) == bytes.size()) continue;
-          break;  // a short read: there is no more, and the next arrival is told
+        const ssize_t received = ::recv(fd, bytes.data(), bytes.size(), MSG_DONTWAIT);
+        if (received > 0) {
+          if (::send(peer, bytes.data(), static_cast<std::size_t>(received), 0) != received) return 1;
+          if (static_cast<std::size_t>(received) == bytes.size()) continue;
+          break;  // after a short read no bytes are left, and epoll reports the next ones
         }
-        if (got == 0) {
-          other[static_cast<std::size_t>(fd)] = other[static_cast<std::size_t>(to)] = -1;
+        if (received == 0) {
+          peer_of[static_cast<std::size_t>(fd)] = peer_of[static_cast<std::size_t>(peer)] = -1;
           ::close(fd);
-          ::close(to);
+          ::close(peer);
         }
         break;
       }
--- a/bench/datapath/load.h
+++ b/bench/datapath/load.h
@@ -1,4 +1,4 @@
-// A load client in a thread of its own: connections to one address, each with one GET out at a time.
+// A load generator: keeps a number of connections to one address, each with one GET in flight at a time.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,20 @@
 struct LoadPlan {
   unsigned short port = 0;  // of 127.0.0.1
   int connections = 8;
-  int requests = 10'000;  // answered, over all
+  int requests = 10'000;  // number of requests to end, over all connections
   int keys = 100;
-  int leave_every = 0;  // the client of each n-th request closes `leave_after` after asking; 0: none does
-  int leave_after_us = 2'000;
+  int disconnect_every = 0;         // after every n-th request its client disconnects; 0: no client does
+  int disconnect_after_us = 2'000;  // from the request to the disconnect
 };
 
 struct LoadResult {
-  int good = 0, bad = 0, left = 0;  // answers 200, others, clients that left
+  int served = 0, failed = 0,
+      disconnected = 0;  // responses 200, other responses and failures, clients that disconnected
   double seconds = 0;
 };
 
-// Runs to its end, in the calling thread. Throws std::runtime_error when a connection can't be made.
+// Runs the plan in the calling thread until all requests have ended. Throws std::runtime_error if a
+// connection can't be established, a request can't be written, or no response arrives for 5 s.
 LoadResult run_load(const LoadPlan& plan);
 
 }  // namespace streampick::bench
--- a/tests/http1/client_connection.h
+++ b/tests/http1/client_connection.h
@@ -1,6 +1,6 @@
 /// \file
-/// A router and raw clients whose disconnects, and the router's own closes, race with requests and responses.
-/// A test brings each race about by the order in which both sides run.
+/// A router and raw clients. Closes of a connection by the client or by the router race with requests and
+/// responses; a test forces each order by when it runs the event loop.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,18 @@
 class ClientConnection : public Loopback {
  protected:
   void drain() {
-    host->drain([this] { done = true; });
+    host->drain([this] { drained = true; });
   }
   using Raw = RawClient;
   using Way = RawClient::Way;
-  bool ended(Raw& client) {
+  bool wait_for_end(Raw& client) {
     return wait_for([&] {
       client.take();
       return static_cast<bool>(client.end);
     });
   }
-  /// Blocks for `milliseconds`, then runs `event` ahead of every handler that has become due meanwhile.
-  void run_before_what_is_due(int milliseconds, std::function<void()> event) {
+  /// Blocks for `milliseconds`, then runs `event` before any handler that became due while it blocked.
+  void run_before_due_handlers(int milliseconds, std::function<void()> event) {
     asio::steady_timer first(io, std::chrono::steady_clock::time_point{});
     bool ran = false;
     first.async_wait([&](net::error_code) {
@@ -36,12 +36,12 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(milliseconds));
     ASSERT_TRUE(wait_for([&] { return ran; }));
   }
-  /// No further request may reach a server.
-  void expect_nothing_more(std::size_t before) {
-    quiet(1'200);  // past the hedge delay, the admission queue and the kernel's next SYN
+  /// Expects that no request reaches a server after the first `before`.
+  void expect_no_further_requests(std::size_t before) {
+    quiet(1'200);  // longer than the hedge delay, the wait in the admission queue and the kernel's next SYN
     EXPECT_EQ(cache.requests.size() + origin.requests.size(), before);
   }
-  bool done = false;
+  bool drained = false;
 };
 
 }  // namespace streampick::test
--- a/tests/http1/deadline_test.cpp
+++ b/tests/http1/deadline_test.cpp
@@ -1,5 +1,5 @@
-// X-Remaining towards a server is at most the time that the client has left when the bytes are written. The
-// tests allow no slack but the rounding.
+// X-Remaining towards a server is at most the time that the client has left when the request is written. The
+// tests tolerate only the rounding to milliseconds.
 #include <unistd.h>
 
 #include "http1/one_server.h"
@@ -10,7 +10,7 @@
 
 using Steady = std::chrono::steady_clock;
 
-constexpr Time kRounding = 1'000;
+constexpr Time kRoundingUs = 1'000;
 
 // X-Remaining of a request, in microseconds; -1: absent.
 Time remaining_of(const std::string& request) {
@@ -21,14 +21,14 @@
 
 class RemainingHeader : public Loopback {
  protected:
-  Time since_asked() const {
-    return std::chrono::duration_cast<std::chrono::microseconds>(Steady::now() - asked_).count();
+  Time time_since_sending() const {
+    return std::chrono::duration_cast<std::chrono::microseconds>(Steady::now() - sent_at_).count();
   }
-  void ask(RawClient& one, const std::string& request) {
-    asked_ = Steady::now();
-    one.write(request);
+  void ask(RawClient& http_client, const std::string& request) {
+    sent_at_ = Steady::now();
+    http_client.write(request);
   }
-  Steady::time_point asked_;
+  Steady::time_point sent_at_;
 };
 
 TEST_F(RemainingHeader, HedgeAfterALoopDelay_CarriesTheTimeLeft) {
@@ -36,68 +36,68 @@
   start(list_json(1, true,
                   {{"s-1", cache.address()}, {"s-2", other.address()}, {"s-o", origin.address(), "origin"}}));
   const auto all = [&] { return cache.requests.size() + other.requests.size(); };
-  RawClient one(io, host->address());
-  ask(one, request_text("GET", "/read/1", "read", "", "4.0"));
+  RawClient http_client(io, host->address());
+  ask(http_client, request_text("GET", "/read/1", "read", "", "4.0"));
   ASSERT_TRUE(wait_for([&] { return all() == 1; }));
   const bool first_at_cache = !cache.requests.empty();
   EXPECT_LE(remaining_of(first_at_cache ? cache.requests[0] : other.requests[0]), 4'000'000);
   ::usleep(950'000);
-  const Time past = since_asked();
+  const Time elapsed = time_since_sending();
   ASSERT_TRUE(wait_for([&] { return all() == 2; }));
   const std::string& hedge = first_at_cache ? other.requests.at(0) : cache.requests.at(0);
   EXPECT_GT(remaining_of(hedge), 0);
-  EXPECT_LE(remaining_of(hedge), 4'000'000 - past + kRounding);
+  EXPECT_LE(remaining_of(hedge), 4'000'000 - elapsed + kRoundingUs);
 }
 
 TEST_F(RemainingHeader, RetryAfterALoopDelay_CarriesTheTimeLeft) {
   start();
   cache.answer = [&](const std::string&) {
-    ::usleep(200'000);  // delays the loop, which is the test's too, before it reads the response
+    ::usleep(200'000);  // delays the event loop, which the router shares, before it reads the response
     return response(503, "", "X-Turned-Away: 1\r\n");
   };
-  RawClient one(io, host->address());
-  ask(one, request_text("GET", "/read/1", "read", "", "4.0"));
-  Time past = 0;
+  RawClient http_client(io, host->address());
+  ask(http_client, request_text("GET", "/read/1", "read", "", "4.0"));
+  Time elapsed = 0;
   ASSERT_TRUE(wait_for([&] {
-    if (cache.requests.size() == 1 && past == 0) past = since_asked();
+    if (cache.requests.size() == 1 && elapsed == 0) elapsed = time_since_sending();
     return cache.requests.size() + origin.requests.size() >= 2;
   }));
   const std::string& retry = origin.requests.empty() ? cache.requests[1] : origin.requests[0];
-  EXPECT_GE(past, 200'000);
-  EXPECT_LE(remaining_of(retry), 4'000'000 - past + kRounding);
+  EXPECT_GE(elapsed, 200'000);
+  EXPECT_LE(remaining_of(retry), 4'000'000 - elapsed + kRoundingUs);
 }
 
-// Of a streamed body: the client's time counts from its last byte.
+// The client's time counts from the last byte of its body, which a streamed upload has not sent yet.
 TEST_F(RemainingHeader, Upload_CarriesAtMostTheClientsTime) {
   start();
-  RawClient one(io, host->address());
+  RawClient http_client(io, host->address());
   const std::string body(2'000'000, 'x');
   const std::string request = request_text("PUT", "/pay/1", "pay", body, "2.0");
-  ask(one, request.substr(0, 200'000));
+  ask(http_client, request.substr(0, 200'000));
   ASSERT_TRUE(wait_for(
       [&] { return !origin.peers.empty() && origin.peers[0]->got.find("\r\n\r\n") != std::string::npos; }));
   EXPECT_GT(remaining_of(origin.peers[0]->got), 0);
   EXPECT_LE(remaining_of(origin.peers[0]->got), 2'000'000);
 }
 
-// Servers may drop a request with hardly any time left, without a response.
-TEST_F(RemainingHeader, HardlyAnyTimeLeft_ClientIsAnsweredInTime) {
+// Servers may drop a request that has little time left, without a response.
+TEST_F(RemainingHeader, LittleTimeLeft_ClientIsAnsweredInTime) {
   start();
   for (const char* const remaining : {"0.000", "0.001", "0.010", "0.030", "0.100"}) {
-    const auto one = client();
+    const auto http_client = client();
     const Time began = clock.now();
-    one->ask(request_text("GET", "/read/1", "read", "", remaining));
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << remaining;
-    EXPECT_NE(one->status(), 200) << remaining;
+    http_client->ask(request_text("GET", "/read/1", "read", "", remaining));
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; })) << remaining;
+    EXPECT_NE(http_client->status(), 200) << remaining;
     EXPECT_LT(clock.now() - began, static_cast<Time>(std::stod(remaining) * 1e6) + 500'000) << remaining;
   }
   EXPECT_EQ(host->counts().requests,
             host->counts().failed + host->counts().refused + host->counts().cancelled_by_client);
 }
 
-class UpstreamRemainingHeader : public ToOneServer {
+class UpstreamRemainingHeader : public SingleServerTest {
  protected:
-  /// Leaves an idle connection that has answered once.
+  /// Serves one request, so that an idle connection is left.
   void warm_up() {
     cache.answer = [](const std::string&) { return response(200, "x"); };
     send(0);
@@ -106,22 +106,23 @@
   }
 };
 
-// The clock is read once for each batch of events; the delay is within a batch, after that.
+// The clock is read once for each batch of events. A delay within a batch makes that reading too old for
+// X-Remaining.
 TEST_F(UpstreamRemainingHeader, LoopDelayWithinABatch_TimeIsReadAgain) {
   warm_up();
   const Time expires = clock.now() + 2'000'000;
   ::usleep(300'000);
-  upstream.send({1, 1}, forward, expires, kNever);
+  upstream.send({1, 1}, message, expires, kNever);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 2; }));
-  EXPECT_LE(remaining_of(cache.requests[1]), 1'700'000 + kRounding);
+  EXPECT_LE(remaining_of(cache.requests[1]), 1'700'000 + kRoundingUs);
 }
 
 TEST_F(UpstreamRemainingHeader, ExpiredWithinABatch_IsNotSent) {
   warm_up();
   const Time now = clock.now();
   ::usleep(100'000);
-  upstream.send({1, 1}, forward, now + 80'000, kNever);
-  upstream.send({1, 2}, forward, now + 2'000'000, now + 80'000);
+  upstream.send({1, 1}, message, now + 80'000, kNever);
+  upstream.send({1, 2}, message, now + 2'000'000, now + 80'000);
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 3; }));
   EXPECT_EQ(record.ended[1].second, Outcome::not_sent);
   EXPECT_EQ(record.ended[2].second, Outcome::not_sent);
@@ -131,30 +132,30 @@
 TEST_F(UpstreamRemainingHeader, ConnectionWait_IsSubtracted) {
   upstream.set_address(full.address());
   const Time expires = clock.now() + 4'000'000;
-  upstream.send({1, 0}, forward, expires, kNever);
+  upstream.send({1, 0}, message, expires, kNever);
   quiet(20);
   full.open();
   quiet(20);
-  ::usleep(1'300'000);  // the kernel has tried again
+  ::usleep(1'300'000);  // the kernel has sent another SYN
   const Time left = expires - clock.fresh();
   ASSERT_TRUE(wait_for([&] { return full.requests() == 1; }));
   for (const auto& peer : full.peers) {
     if (!peer->got.empty()) {
-      EXPECT_LE(remaining_of(peer->got), left + kRounding);
+      EXPECT_LE(remaining_of(peer->got), left + kRoundingUs);
     }
   }
 }
 
-// The kernel takes only a part of the head, since its server reads nothing for a while.
+// The server reads nothing for a while, so the kernel accepts only a part of the request's head.
 class PartiallyWrittenHead : public UpstreamRemainingHeader {
  protected:
   PartiallyWrittenHead() {
-    forward->target = "/read/" + std::string(8'000'000, 'x');
-    upstream.set_address(text_of(slow.local_endpoint()));
-    slow.async_accept(peer, [](net::error_code) {});
+    message->target = "/read/" + std::string(8'000'000, 'x');
+    upstream.set_address(text_of(slow_server.local_endpoint()));
+    slow_server.async_accept(peer, [](net::error_code) {});
   }
-  /// Reads until the end of the head or of the connection. Returns whether the head was complete.
-  bool head_comes() {
+  /// Reads until the head is complete or the connection ends. Returns whether the head was complete.
+  bool read_head() {
     peer.non_blocking(true);
     std::vector<char> chunk(1'000'000);
     std::string last;
@@ -170,21 +171,21 @@
     EXPECT_TRUE(done);
     return !ended;
   }
-  net::tcp::acceptor slow{io, any_port()};
+  net::tcp::acceptor slow_server{io, any_port()};
   net::tcp::socket peer{io};
 };
 
 TEST_F(PartiallyWrittenHead, RestFollowsSoon_IsWrittenCompletely) {
   send(0);
   quiet(30);
-  EXPECT_TRUE(head_comes());
+  EXPECT_TRUE(read_head());
   EXPECT_TRUE(record.ended.empty());
 }
 
 TEST_F(PartiallyWrittenHead, RestIsLate_AttemptEndsAsNotRun) {
   send(0);
   quiet(300);
-  EXPECT_FALSE(head_comes());
+  EXPECT_FALSE(read_head());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::connect_failed);
 }
@@ -193,8 +194,8 @@
 TEST_F(PartiallyWrittenHead, ClientDisconnects_AttemptEndsAsNotRun) {
   send(0);
   quiet(30);
-  record.wanted = false;
-  EXPECT_FALSE(head_comes());
+  record.attempts_needed = false;
+  EXPECT_FALSE(read_head());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::connect_failed);
 }
--- a/tests/http1/loop_delay_test.cpp
+++ b/tests/http1/loop_delay_test.cpp
@@ -1,6 +1,6 @@
-// A delayed event loop finds a client's disconnect and an event that would start an attempt for it ready in
-// one turn, in either order: no attempt is started. The delay is made by not running the loop, or by a
-// handler that blocks.
+// An event loop that was delayed finds two events ready at once, in either order: the disconnect of a client,
+// and an event that would start an attempt for that client. No attempt must be started. The tests delay the
+// loop by not running it, or by a handler that blocks.
 #include <unistd.h>
 
 #include "http1/one_server.h"
@@ -9,45 +9,45 @@
 namespace streampick::test {
 namespace {
 
-// Reads that fill the initial concurrency limit of one server.
-constexpr std::size_t kEnough = 3;
+// The number of reads that fill the initial concurrency limit of one server.
+constexpr std::size_t kInitialConcurrency = 3;
 constexpr int kLoopDelayUs = 150'000;
-constexpr int kPastTheHedgeUs = 900'000;
+constexpr int kPastHedgeDelayUs = 900'000;
 
-enum class First { client, attempt };  // which of the two becomes ready first
+enum class First { client, attempt };  // which of the two events becomes ready first
 struct Case {
   RawClient::Way way;
   First first;
 };
-std::string name_of(const Case& one) {
-  const std::string way = one.way == RawClient::Way::fin ? "Fin" : "Reset";
-  return way + (one.first == First::client ? "First" : "Last");
+std::string name_of(const Case& test_case) {
+  const std::string way = test_case.way == RawClient::Way::fin ? "Fin" : "Reset";
+  return way + (test_case.first == First::client ? "First" : "Last");
 }
-void PrintTo(const Case& one, std::ostream* out) { *out << name_of(one); }
+void PrintTo(const Case& test_case, std::ostream* out) { *out << name_of(test_case); }
 
 class DisconnectDuringLoopDelay : public Loopback, public ::testing::WithParamInterface<Case> {
  protected:
-  /// Blocks the loop ahead of the engine's timers that become due while it does not run.
+  /// Runs `block` on the event loop before the engine's timers that become due while the loop does not run.
   void block_ahead_of_timers(const std::function<void()>& block) {
     blocker.expires_after(std::chrono::microseconds(0));
     blocker.async_wait([block](net::error_code) { block(); });
   }
-  /// The client disconnects while the loop does not run, and the engine's timers become due.
-  void disconnect_while_timers_become_due(RawClient& one) {
+  /// Disconnects the client while the event loop does not run and the engine's timers become due.
+  void disconnect_while_timers_become_due(RawClient& http_client) {
     if (GetParam().first == First::client) {
-      one.go(GetParam().way);
-      ::usleep(kPastTheHedgeUs);
+      http_client.go(GetParam().way);
+      ::usleep(kPastHedgeDelayUs);
       return;
     }
-    block_ahead_of_timers([&one] {
-      one.go(GetParam().way);
+    block_ahead_of_timers([&http_client] {
+      http_client.go(GetParam().way);
       ::usleep(kLoopDelayUs);
     });
-    ::usleep(kPastTheHedgeUs);
+    ::usleep(kPastHedgeDelayUs);
   }
-  void expect_nothing_more(std::size_t before) {
+  void expect_no_further_requests(std::size_t before) {
     EXPECT_TRUE(wait_for([&] { return host->counts().cancelled_by_client == 1; }));
-    quiet(1'200);  // past the delay of a hedge, a wait in the queue and the kernel's next try at a connection
+    quiet(1'200);  // longer than the hedge delay, the wait in the admission queue and the kernel's next SYN
     EXPECT_EQ(cache.requests.size() + other.requests.size() + origin.requests.size(), before);
     EXPECT_EQ(host->counts().cancelled_by_client, 1U);
     EXPECT_EQ(host->counts().failed, 0U);
@@ -58,14 +58,15 @@
     start(list_json(
         1, true, {{"s-1", cache.address()}, {"s-2", other.address()}, {"s-o", origin.address(), "origin"}}));
   }
-  /// Opens connections to both, so that no attempt waits for one. Returns the number of requests they got.
+  /// Opens connections to both caches, so that no attempt waits for one. Returns the number of requests that
+  /// the caches received.
   std::size_t warm_up() {
     const auto answers = [](const std::string&) { return response(200, "x"); };
     cache.answer = other.answer = answers;
-    const auto one = client();
+    const auto http_client = client();
     for (std::size_t i = 0; i < 40; ++i) {
-      one->ask(request_text("GET", "/read/w" + std::to_string(i), "read"));
-      EXPECT_TRUE(wait_for([&] { return one->answers.size() == i + 1; }));
+      http_client->ask(request_text("GET", "/read/w" + std::to_string(i), "read"));
+      EXPECT_TRUE(wait_for([&] { return http_client->answers.size() == i + 1; }));
     }
     quiet(50);
     EXPECT_FALSE(cache.peers.empty() || other.peers.empty());
@@ -88,75 +89,75 @@
 TEST_P(DisconnectDuringLoopDelay, HedgeTimerDue_NoHedgeIsSent) {
   start_with_two();
   const std::size_t before = warm_up();
-  RawClient one(io, host->address());
-  one.write(a_read());
+  RawClient http_client(io, host->address());
+  http_client.write(a_read());
   ASSERT_TRUE(wait_for([&] { return at_caches() == before + 1; }));
-  disconnect_while_timers_become_due(one);
-  expect_nothing_more(before + 1);
+  disconnect_while_timers_become_due(http_client);
+  expect_no_further_requests(before + 1);
 }
 
 // Bytes of a further request, more than one read takes, precede the disconnect.
 TEST_P(DisconnectDuringLoopDelay, HedgeTimerDueAndBytesUnread_NoHedgeIsSent) {
   start_with_two();
   const std::size_t before = warm_up();
-  RawClient one(io, host->address());
-  one.write(a_read());
+  RawClient http_client(io, host->address());
+  http_client.write(a_read());
   ASSERT_TRUE(wait_for([&] { return at_caches() == before + 1; }));
-  one.write(std::string(10'000, 'x'));
-  disconnect_while_timers_become_due(one);
-  expect_nothing_more(before + 1);
+  http_client.write(std::string(10'000, 'x'));
+  disconnect_while_timers_become_due(http_client);
+  expect_no_further_requests(before + 1);
 }
 
 TEST_P(DisconnectDuringLoopDelay, RetryTimerDue_NoRetryIsSent) {
-  net::tcp::acceptor shut(io, any_port());
-  const net::tcp::endpoint nowhere = shut.local_endpoint();
-  shut.close();
-  start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", text_of(nowhere), "origin"}}));
-  RawClient one(io, host->address());
-  one.write(request_text("PUT", "/pay/1", "pay", "x"));
+  net::tcp::acceptor closed_listener(io, any_port());
+  const net::tcp::endpoint closed_address = closed_listener.local_endpoint();
+  closed_listener.close();
+  start(list_json(1, true, {{"s-1", cache.address()}, {"s-o", text_of(closed_address), "origin"}}));
+  RawClient http_client(io, host->address());
+  http_client.write(request_text("PUT", "/pay/1", "pay", "x"));
   const auto failed = [&] {
     return host->counts().outcomes[static_cast<std::size_t>(Outcome::connect_failed)];
   };
   ASSERT_TRUE(wait_for([&] { return failed() == 1; }));
-  const std::uint64_t dials = host->upstream_resources().connect_attempts;
-  net::tcp::acceptor back(io, nowhere);
-  disconnect_while_timers_become_due(one);
-  expect_nothing_more(0);
-  EXPECT_EQ(host->upstream_resources().connect_attempts, dials);
+  const std::uint64_t connects_before = host->upstream_resources().connect_attempts;
+  net::tcp::acceptor reopened(io, closed_address);
+  disconnect_while_timers_become_due(http_client);
+  expect_no_further_requests(0);
+  EXPECT_EQ(host->upstream_resources().connect_attempts, connects_before);
 }
 
 TEST_P(DisconnectDuringLoopDelay, QueuedRequest_IsNotAdmitted) {
   start();
   std::vector<std::unique_ptr<FakeClient>> busy;
-  for (std::size_t i = 0; i < kEnough; ++i) {
+  for (std::size_t i = 0; i < kInitialConcurrency; ++i) {
     busy.push_back(client());
     busy.back()->ask(request_text("GET", "/read/" + std::to_string(i), "read"));
   }
-  ASSERT_TRUE(wait_for([&] { return cache.requests.size() == kEnough; }));
-  RawClient one(io, host->address());
-  one.write(request_text("GET", "/read/77", "read"));
-  ASSERT_TRUE(wait_for([&] { return host->counts().requests == kEnough + 1; }));
+  ASSERT_TRUE(wait_for([&] { return cache.requests.size() == kInitialConcurrency; }));
+  RawClient http_client(io, host->address());
+  http_client.write(request_text("GET", "/read/77", "read"));
+  ASSERT_TRUE(wait_for([&] { return host->counts().requests == kInitialConcurrency + 1; }));
   quiet(20);
-  ASSERT_EQ(cache.requests.size(), kEnough);
-  if (GetParam().first == First::client) one.go(GetParam().way);
+  ASSERT_EQ(cache.requests.size(), kInitialConcurrency);
+  if (GetParam().first == First::client) http_client.go(GetParam().way);
   for (const auto& peer : cache.peers) peer->write(response(200, "x"));
-  if (GetParam().first == First::attempt) one.go(GetParam().way);
+  if (GetParam().first == First::attempt) http_client.go(GetParam().way);
   ::usleep(kLoopDelayUs);
   for (const auto& other : busy) ASSERT_TRUE(wait_for([&] { return other->answers.size() == 1; }));
-  expect_nothing_more(kEnough);
+  expect_no_further_requests(kInitialConcurrency);
 }
 
-// A pipelined request is started behind the response to the one before it.
+// A pipelined request is started after the response to the previous request.
 TEST_P(DisconnectDuringLoopDelay, PipelinedRequest_IsNotStarted) {
   start();
-  RawClient one(io, host->address());
-  one.write(a_read());
+  RawClient http_client(io, host->address());
+  http_client.write(a_read());
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
-  one.write(request_text("GET", "/read/77", "read"));
+  http_client.write(request_text("GET", "/read/77", "read"));
   quiet(20);
-  if (GetParam().first == First::client) one.go(GetParam().way);
+  if (GetParam().first == First::client) http_client.go(GetParam().way);
   cache.peers[0]->write(response(200, "x"));
-  if (GetParam().first == First::attempt) one.go(GetParam().way);
+  if (GetParam().first == First::attempt) http_client.go(GetParam().way);
   ::usleep(kLoopDelayUs);
   quiet(1'200);
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), 1U);
@@ -172,37 +173,37 @@
   config["settings"]["PolicyLimits"]["SecondCopies"] = false;
   settings = platform::parse_settings(config.dump());
   host = std::make_unique<daemon::Host>(io, clock, settings);
-  RawClient one(io, host->address());
-  one.write(a_read());
+  RawClient http_client(io, host->address());
+  http_client.write(a_read());
   ASSERT_TRUE(wait_for([&] { return host->upstream_resources().connect_attempts == 1; }));
   full.open();
   quiet(20);
-  if (GetParam().first == First::client) one.go(GetParam().way);
-  ::usleep(1'150'000);  // the kernel has tried again: the connection is made
-  if (GetParam().first == First::attempt) one.go(GetParam().way);
+  if (GetParam().first == First::client) http_client.go(GetParam().way);
+  ::usleep(1'150'000);  // the kernel has sent another SYN: the connection is established
+  if (GetParam().first == First::attempt) http_client.go(GetParam().way);
   ::usleep(kLoopDelayUs);
-  expect_nothing_more(0);
+  expect_no_further_requests(0);
   EXPECT_FALSE(full.peers.empty());
   EXPECT_EQ(full.requests(), 0U);
 }
 
-// The request itself is unread.
+// The request itself has not been read yet.
 TEST_P(DisconnectDuringLoopDelay, RequestReadWithItsDisconnect_IsNotStarted) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  RawClient one(io, host->address());
+  RawClient http_client(io, host->address());
   if (GetParam().first == First::attempt) {
-    one.write(a_read());  // an answer and a rest, so that the loop waits for the next one
+    http_client.write(a_read());  // served, after which the event loop waits for the next request
     ASSERT_TRUE(wait_for([&] {
-      one.take();
-      return !one.got.empty();
+      http_client.take();
+      return !http_client.got.empty();
     }));
     quiet(50);
   }
   const std::size_t before = cache.requests.size();
-  one.write(a_read());
-  if (GetParam().way == RawClient::Way::fin) one.write(std::string(10'000, 'x'));
-  one.socket.shutdown(net::tcp::socket::shutdown_send);
+  http_client.write(a_read());
+  if (GetParam().way == RawClient::Way::fin) http_client.write(std::string(10'000, 'x'));
+  http_client.socket.shutdown(net::tcp::socket::shutdown_send);
   ::usleep(kLoopDelayUs);
   quiet(300);
   EXPECT_EQ(cache.requests.size() + origin.requests.size(), before);
--- a/tests/http1/response_digest_test.cpp
+++ b/tests/http1/response_digest_test.cpp
@@ -22,7 +22,7 @@
  protected:
   void run(const std::vector<ScriptedResponse>& responses) {
     for (const ScriptedResponse& scripted : responses) {
-      note(scripted.name);
+      begin_section(scripted.name);
       const std::size_t connections = server.peers.size();
       const bool reused = resources.connections.open() > 0;
       send_read();
@@ -37,8 +37,8 @@
       if (scripted.end == ScriptedResponse::End::closes) peer(index).close();
       if (scripted.end == ScriptedResponse::End::resets) reset(index);
       expect_ended(next_attempt);
-      clock.advance(kSettle);
-      state();
+      clock.advance(kPastSettleTime);
+      record_state();
     }
   }
 };
@@ -132,15 +132,15 @@
  protected:
   UpstreamStreamDigest() { resources.streaming.max_buffered_body = 64 * 1024; }
   std::shared_ptr<engine::Message> streaming() {
-    auto made = message();
-    made->accepts_streaming = true;
-    return made;
+    auto request = message();
+    request->accepts_streaming = true;
+    return request;
   }
   static std::string head(std::size_t length) {
     return "HTTP/1.1 200 X\r\nContent-Type: image/x\r\nContent-Length: " + std::to_string(length) +
            "\r\n\r\n";
   }
-  /// Reads the last answer's stream until it ends, or up to `until` bytes.
+  /// Reads the stream of the last answer until it ends or `until` bytes were read.
   void read_stream(std::size_t until = SIZE_MAX) {
     std::string part;
     ASSERT_TRUE(wait_for([&] {
@@ -148,31 +148,31 @@
       return body.size() >= until || outcomes.last.stream->state() != engine::BodyStream::State::open;
     })) << transcript;
   }
-  void note_stream() {
+  void record_stream() {
     transcript += "stream " + printable(body) +
                   " state=" + std::to_string(static_cast<int>(outcomes.last.stream->state())) + "\n";
     body.clear();
     outcomes.last = {};
-    state();
-    clock.advance(kSettle);
+    record_state();
+    clock.advance(kPastSettleTime);
   }
   std::string body;
 };
 
 TEST_F(UpstreamStreamDigest, CompleteStreams) {
   const std::string bytes = pattern(300'000);
-  note("with a length");
+  begin_section("with a length");
   send(streaming());
   expect_request(0);
   peer(0).write(head(bytes.size()) + bytes.substr(0, 40'000));
   expect_ended(1);
   read_stream(40'000);
-  state();
+  record_state();
   asio::async_write(peer(0).socket, asio::buffer(bytes.data() + 40'000, bytes.size() - 40'000),
                     [](net::error_code, std::size_t) {});
   read_stream();
-  note_stream();
-  note("chunked");
+  record_stream();
+  begin_section("chunked");
   send(streaming());
   expect_request(0);
   const std::string chunk = "186a0\r\n" + bytes.substr(0, 100'000) + "\r\n";
@@ -181,8 +181,8 @@
   asio::async_write(peer(0).socket, asio::buffer(chunked), [](net::error_code, std::size_t) {});
   expect_ended(2);
   read_stream();
-  note_stream();
-  note("no length, closed");
+  record_stream();
+  begin_section("no length, closed");
   send(streaming());
   expect_request(0);
   const std::string unframed = "HTTP/1.1 200 X\r\n\r\n" + bytes;
@@ -190,8 +190,8 @@
                     [&](net::error_code, std::size_t) { peer(0).close(); });
   expect_ended(3);
   read_stream();
-  note_stream();
-  note("short but slow");
+  record_stream();
+  begin_section("short but slow");
   resources.streaming.max_buffered_body = 1'000'000;
   resources.streaming.max_buffering_time = 1'000;
   send(streaming());
@@ -201,7 +201,7 @@
   read_stream(1'000);
   peer(1).write(bytes.substr(0, 99'000));
   read_stream();
-  note_stream();
+  record_stream();
   expect_digest(0xf4c9e5531898021f);
 }
 
@@ -215,59 +215,59 @@
     read_stream(20'000);
     settle();
   };
-  note("closed");
+  begin_section("closed");
   begin(0, head(200'000) + bytes.substr(0, 20'000));
   peer(0).close();
   read_stream();
-  note_stream();
-  note("reset");
+  record_stream();
+  begin_section("reset");
   begin(1, head(200'000) + bytes.substr(0, 20'000));
   reset(1);
   read_stream();
-  note_stream();
-  note("bad chunk");
+  record_stream();
+  begin_section("bad chunk");
   begin(2, "HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + bytes);
   read_stream(100'000);
   peer(2).write("\r\nzz\r\n");
   read_stream();
-  note_stream();
-  note("longer than the limit");
+  record_stream();
+  begin_section("longer than the limit");
   resources.streaming.max_body = 150'000;
   begin(3, "HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + bytes);
   read_stream(100'000);
   peer(3).write("\r\n186a0\r\n" + bytes);
   read_stream();
   body.clear();
-  note_stream();
-  note("its reader closes");
+  record_stream();
+  begin_section("its reader closes");
   begin(4, head(120'000) + bytes.substr(0, 20'000));
-  state();
+  record_state();
   outcomes.last = {};
   expect_closed(4);
-  state();
-  note("idle connections are closed");
+  record_state();
+  begin_section("idle connections are closed");
   begin(5, head(120'000) + bytes.substr(0, 20'000));
   upstream->close_idle(kNever);
-  state();
+  record_state();
   expect_digest(0xea34a8eb64d910dd);
 }
 
 TEST_F(UpstreamStreamDigest, LimitsOfStreams) {
   resources.streaming.max_body = 150'000;
-  note("too long");
+  begin_section("too long");
   send(streaming());
   expect_request(0);
   peer(0).write(head(150'001));
   expect_ended(1);
-  state();
-  note("no memory for its buffer");
+  record_state();
+  begin_section("no memory for its buffer");
   resources.body_memory.set_limit(60'000);
   send(streaming());
   expect_request(1);
   peer(1).write(head(100'000));
   expect_ended(2);
-  state();
-  note("no memory for all of it, but for its buffer");
+  record_state();
+  begin_section("no memory for all of it, but for its buffer");
   resources.streaming.max_buffered_body = 1'000'000;
   resources.body_memory.set_limit(70'000);
   send(streaming());
@@ -275,8 +275,8 @@
   peer(2).write(head(100'000) + pattern(100'000));
   expect_ended(3);
   read_stream();
-  note_stream();
-  note("an error is never streamed");
+  record_stream();
+  begin_section("an error is never streamed");
   send(streaming());
   expect_request(2);
   peer(2).write("HTTP/1.1 500 X\r\nContent-Length: 100000\r\n\r\n");
@@ -293,12 +293,12 @@
   clock.advance(5'000'000);
   read_stream();
   expect_closed(0);
-  note_stream();
+  record_stream();
   expect_digest(0xdfb2b5faeb04aca9);
 }
 
 TEST_F(UpstreamStreamDigest, DestructionInEachState) {
-  note("idle, waiting for a response, draining, streaming");
+  begin_section("idle, waiting for a response, draining, streaming");
   for (int i = 0; i < 4; ++i) send_read();
   for (std::size_t i = 0; i < 4; ++i) expect_request(i);
   clock.advance(10'000'000);
@@ -306,7 +306,7 @@
     peer(i).write(response(200, "x"));
     expect_ended(i + 1);
   }
-  clock.advance(kSettle);
+  clock.advance(kPastSettleTime);
   send(streaming());
   expect_request(3);
   const std::uint32_t drained = send_read();
@@ -314,15 +314,15 @@
   send_read();
   expect_request(1);
   upstream->cancel({1, drained}, engine::CancelReason::no_longer_needed);
-  state();
+  record_state();
   peer(3).write(head(100'000) + pattern(1'000));
   settle();
-  state();
+  record_state();
   upstream.reset();
   transcript += "connections=" + std::to_string(resources.connections.open()) +
                 " draining=" + std::to_string(resources.drains.active) + "\n";
-  note_stream();
-  note("connecting, with an outcome under way");
+  record_stream();
+  begin_section("connecting, with an outcome under way");
   upstream = std::make_unique<http1::Upstream>(io, clock, resources, outcomes, "s-1");
   upstream->set_address(server.address());
   send_read();
@@ -331,7 +331,7 @@
   expect_digest(0x6342b1ca4adc4818);
 }
 
-TEST_F(UpstreamStreamDigest, SlowReaderHoldsTheServerBack) {
+TEST_F(UpstreamStreamDigest, SlowReaderPausesTheServer) {
   const std::string bytes = pattern(8 << 20);
   const std::string answer = head(bytes.size()) + bytes;
   send(streaming());
@@ -340,10 +340,10 @@
   expect_ended(1);
   settle();
   settle();
-  state();
+  record_state();
   read_stream();
   EXPECT_TRUE(body == bytes);
-  note_stream();
+  record_stream();
   expect_digest(0x46455a51109a5d3f);
 }
 
--- a/tests/http1/server_test.cpp
+++ b/tests/http1/server_test.cpp
@@ -1,4 +1,4 @@
-// Invalid requests, and limits on the number and time of client connections, over loopback sockets.
+// Invalid requests, and limits on the number and duration of client connections, over loopback sockets.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -37,10 +37,10 @@
       {"PUT /up HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405},
   };
   for (const auto& [text, status] : cases) {
-    const auto one = client();
-    one->ask(text);
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << text.substr(0, 200);
-    EXPECT_EQ(one->status(), status) << text.substr(0, 200);
+    const auto http_client = client();
+    http_client->ask(text);
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; })) << text.substr(0, 200);
+    EXPECT_EQ(http_client->status(), status) << text.substr(0, 200);
   }
   EXPECT_TRUE(cache.requests.empty() && origin.requests.empty());
 }
@@ -54,17 +54,17 @@
   };
   for (const std::string host : {"", "Host: a\r\nHost: a\r\n", "Host: a\r\nHost: b\r\n", "Host: a b\r\n",
                                  "Host: a/b\r\n", "Host: me@a\r\n"}) {
-    const auto one = client();
-    one->ask(with(host));
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << host;
-    EXPECT_EQ(one->status(), 400) << host;
+    const auto http_client = client();
+    http_client->ask(with(host));
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; })) << host;
+    EXPECT_EQ(http_client->status(), 400) << host;
   }
   EXPECT_TRUE(cache.requests.empty());
   for (const std::string host : {"Host: [::1]:80\r\n", "Host:\r\n"}) {
-    const auto one = client();
-    one->ask(with(host));
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << host;
-    EXPECT_EQ(one->status(), 200) << host;
+    const auto http_client = client();
+    http_client->ask(with(host));
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; })) << host;
+    EXPECT_EQ(http_client->status(), 200) << host;
   }
 }
 
@@ -72,10 +72,10 @@
 TEST_F(HttpServer, AbsoluteFormTarget_IsForwardedInOriginForm) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
-  one->ask(request_text("GET", "HTTP://app.svc:80/read/1?a=b", "read"));
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 200);
+  const auto http_client = client();
+  http_client->ask(request_text("GET", "HTTP://app.svc:80/read/1?a=b", "read"));
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 200);
   ASSERT_EQ(cache.requests.size(), 1U);
   EXPECT_EQ(cache.requests[0].rfind("GET /read/1?a=b HTTP/1.1\r\n", 0), 0U) << cache.requests[0];
   for (const char* target :
@@ -87,37 +87,38 @@
   }
 }
 
-// A proxy before the router, or the clients' own machine, limits connections too: clients that send one
-// request and stay would use them up, long before the router's own descriptors. 600 such clients against 224
-// descriptors, beside 20 active ones.
+// A proxy in front of the router, or the clients' own machine, also limits connections. Clients that send one
+// request and stay connected would exhaust that limit long before the router's own descriptors. Here 600 such
+// clients and 20 active ones share 224 descriptors.
 TEST_F(HttpServer, ConnectionPressure_ClosesClientsAfterTheirFirstResponse) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  std::vector<std::unique_ptr<FakeClient>> workers, stay;
-  const auto ask = [&](FakeClient& one, std::size_t answers) {
-    one.ask(a_read());
-    ASSERT_TRUE(wait_for([&] { return one.answers.size() == answers; }));
-    ASSERT_EQ(one.status(answers - 1), 200);
+  std::vector<std::unique_ptr<FakeClient>> workers, staying;
+  const auto ask = [&](FakeClient& http_client, std::size_t answers) {
+    http_client.ask(a_read());
+    ASSERT_TRUE(wait_for([&] { return http_client.answers.size() == answers; }));
+    ASSERT_EQ(http_client.status(answers - 1), 200);
   };
   for (int i = 0; i < 20; ++i) workers.push_back(client());
   for (std::size_t turn = 1; turn <= 30; ++turn) {
     for (const auto& worker : workers) ask(*worker, turn);
     for (int i = 0; i < 20; ++i) {
-      stay.push_back(client());
-      ask(*stay.back(), 1);
+      staying.push_back(client());
+      ask(*staying.back(), 1);
     }
   }
-  // All but 36, and as many again for each 2 s that this takes, when idle ones are closed.
-  const auto told_to_go = std::count_if(stay.begin(), stay.end(), [](const auto& one) {
-    return one->answers[0].find("Connection: close") != std::string::npos;
+  // All but 36 are told to close, and another 36 fewer for each 2 s that the loop takes, since idle
+  // connections are closed then.
+  const auto told_to_close = std::count_if(staying.begin(), staying.end(), [](const auto& http_client) {
+    return http_client->answers[0].find("Connection: close") != std::string::npos;
   });
-  EXPECT_GE(told_to_go, 100);
-  EXPECT_LT(told_to_go, 600);
-  ASSERT_TRUE(wait_for([&] { return stay.back()->peer->ended; }));
+  EXPECT_GE(told_to_close, 100);
+  EXPECT_LT(told_to_close, 600);
+  ASSERT_TRUE(wait_for([&] { return staying.back()->peer->ended; }));
   for (const auto& worker : workers) EXPECT_FALSE(worker->peer->ended);
 }
 
-// Descriptors that servers do not use are available to clients, and the other way round.
+// Descriptors that connections to servers do not use are available to clients, and vice versa.
 TEST_F(HttpServer, SilentClients_MayUseAllButTheServersReservedDescriptors) {
   start();
   const std::size_t most =
@@ -133,19 +134,20 @@
 TEST_F(HttpServer, PipelinedBodiesOf64KiB_AreServed) {
   origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
+  const auto http_client = client();
   const auto put = [] {
     return request_text("PUT", "/save/1", "save", std::string(64 * 1024, 'x'), "8.0",
                         "Idempotency-Key: k\r\n");
   };
-  one->ask(put() + put());
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
-  EXPECT_EQ(one->status(0), 200);
-  EXPECT_EQ(one->status(1), 200);
+  http_client->ask(put() + put());
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 2; }));
+  EXPECT_EQ(http_client->status(0), 200);
+  EXPECT_EQ(http_client->status(1), 200);
 }
 
-// In each of these two readers could see two different messages; most hide a second request.
-TEST_F(HttpServer, AmbiguousFraming_IsRejectedAndNothingBehindItIsForwarded) {
+// In each of these requests two HTTP implementations could find two different ends of the message. Most of
+// them contain a hidden second request.
+TEST_F(HttpServer, AmbiguousFraming_IsRejectedAndNothingAfterItIsForwarded) {
   cache.answer = origin.answer = [](const std::string&) { return response(200, "x"); };
   start();
   const std::string hidden = request_text("GET", "/read/77", "read");
@@ -174,25 +176,25 @@
       put("Transfer-Encoding: chunked\r\n") + "fffffffffffffffff\r\nvalue\r\n0\r\n\r\n" + hidden,
   };
   for (const std::string& form : forms) {
-    const auto one = client();
-    one->ask(form);
-    ASSERT_TRUE(wait_for([&] { return one->peer->ended; })) << form;
-    EXPECT_EQ(one->answers.size(), 1U) << form;
-    EXPECT_EQ(one->status(), 400) << form;
+    const auto http_client = client();
+    http_client->ask(form);
+    ASSERT_TRUE(wait_for([&] { return http_client->peer->ended; })) << form;
+    EXPECT_EQ(http_client->answers.size(), 1U) << form;
+    EXPECT_EQ(http_client->status(), 400) << form;
   }
   std::string old = put("Transfer-Encoding: chunked\r\n") + chunks + hidden;
   old.replace(old.find("HTTP/1.1"), 8, "HTTP/1.0");
-  const auto one = client();
-  one->ask(old);
-  ASSERT_TRUE(wait_for([&] { return one->peer->ended; }));
-  EXPECT_EQ(one->status(), 400);
+  const auto http_client = client();
+  http_client->ask(old);
+  ASSERT_TRUE(wait_for([&] { return http_client->peer->ended; }));
+  EXPECT_EQ(http_client->status(), 400);
   quiet();
   EXPECT_TRUE(cache.requests.empty() && origin.requests.empty());
   // An ordinary chunked body is accepted.
-  const auto two = client();
-  two->ask(put("Transfer-Encoding: chunked\r\n") + chunks);
-  ASSERT_TRUE(wait_for([&] { return two->answers.size() == 1; }));
-  EXPECT_EQ(two->status(), 200);
+  const auto second_client = client();
+  second_client->ask(put("Transfer-Encoding: chunked\r\n") + chunks);
+  ASSERT_TRUE(wait_for([&] { return second_client->answers.size() == 1; }));
+  EXPECT_EQ(second_client->status(), 200);
   EXPECT_EQ(origin.requests.at(0).substr(origin.requests[0].size() - 5), "value");
 }
 
@@ -209,16 +211,16 @@
           "1\r\nx\r\n0\r\nX-Txn: 0000000000000001\r\n\r\n",
   };
   for (const std::string& form : forms) {
-    const auto one = client();
-    one->ask(form);
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << form;
-    EXPECT_EQ(one->status(), 400) << form;
+    const auto http_client = client();
+    http_client->ask(form);
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; })) << form;
+    EXPECT_EQ(http_client->status(), 400) << form;
   }
   quiet();
   EXPECT_TRUE(cache.requests.empty() && origin.requests.empty());
 }
 
-// If it were forwarded, its response could be mistaken for the first one's.
+// If the second request were forwarded, its response could be mistaken for the response to the first one.
 TEST_F(HttpServer, DuplicateTransactionId_IsRejectedAndTheFirstRequestIsServed) {
   start();
   const auto first = client(), second = client();
@@ -233,7 +235,7 @@
   cache.peers[0]->write(response(200, "first"));
   ASSERT_TRUE(wait_for([&] { return first->answers.size() == 1; }));
   EXPECT_EQ(first->body(), "first");
-  // The first one has only just ended: a client's retry would have another id.
+  // The first request has only just ended, and a retry of the client would have another id.
   const auto third = client();
   third->ask(text);
   ASSERT_TRUE(wait_for([&] { return third->answers.size() == 1; }));
@@ -251,7 +253,7 @@
   const std::string text = a_read();
   first->ask(text);
   ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 1; }));
-  first.reset();  // the origin's work goes on for the caches
+  first.reset();  // the origin's work continues to fill the caches
   ASSERT_TRUE(wait_for([&] { return host->counts().cancelled_by_client == 1; }));
   const auto second = client();
   second->ask(text);
@@ -259,22 +261,22 @@
   EXPECT_EQ(second->status(), 409);
 }
 
-// Otherwise timers and the origin's work could outlive the request for as long as a client claims.
+// Otherwise a client could keep timers and work of the origin alive for as long as its X-Remaining says.
 TEST_F(HttpServer, RemainingOverTheClassLimit_IsCapped) {
   start();
-  const auto one = client();
-  one->ask(request_text("GET", "/read/1", "read", "", "3600"));
+  const auto http_client = client();
+  http_client->ask(request_text("GET", "/read/1", "read", "", "3600"));
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
   EXPECT_NE(cache.requests[0].find("X-Remaining: 7."), std::string::npos) << cache.requests[0];
 }
 
-TEST_F(HttpServer, RequestBehindAnInvalidOne_IsNotForwarded) {
+TEST_F(HttpServer, RequestAfterAnInvalidOne_IsNotForwarded) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
-  one->ask(request_text("GET", "/song/1", "song") + request_text("GET", "/read/1", "read"));
-  ASSERT_TRUE(wait_for([&] { return one->peer->ended; }));
-  EXPECT_EQ(one->answers.size(), 1U);
+  const auto http_client = client();
+  http_client->ask(request_text("GET", "/song/1", "song") + request_text("GET", "/read/1", "read"));
+  ASSERT_TRUE(wait_for([&] { return http_client->peer->ended; }));
+  EXPECT_EQ(http_client->answers.size(), 1U);
   EXPECT_TRUE(cache.requests.empty());
 }
 
@@ -283,12 +285,12 @@
 TEST_F(HttpServer, NoDescriptorLeft_AcceptingPausesAndResumes) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
-  one->ask(a_read());
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  one->peer->close();
+  const auto http_client = client();
+  http_client->ask(a_read());
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  http_client->peer->close();
   quiet(50);
-  const auto two = client();  // in the listener's queue: the loop has not run since
+  const auto second_client = client();  // in the listen queue: the event loop has not run since
   rlimit before{};
   getrlimit(RLIMIT_NOFILE, &before);
   const int next = dup(0);
@@ -304,10 +306,10 @@
     handlers += io.run_one_for(std::chrono::milliseconds(10));
   }
   setrlimit(RLIMIT_NOFILE, &before);
-  EXPECT_LT(handlers, 200U);  // it did not spin
-  two->ask(a_read());
-  ASSERT_TRUE(wait_for([&] { return two->answers.size() == 1; }));
-  EXPECT_EQ(two->status(), 200);
+  EXPECT_LT(handlers, 200U);  // the event loop did not spin
+  second_client->ask(a_read());
+  ASSERT_TRUE(wait_for([&] { return second_client->answers.size() == 1; }));
+  EXPECT_EQ(second_client->status(), 200);
 }
 
 TEST_F(HttpServer, MoreClientsThanDescriptors_EvictIdleConnections) {
@@ -315,7 +317,7 @@
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
-  config["limits"]["sockets"] = 64;  // at most 22 of them for clients
+  config["limits"]["sockets"] = 64;  // of which clients may use at most 22
   settings = platform::parse_settings(config.dump());
   host = std::make_unique<daemon::Host>(io, clock, settings);
   std::vector<std::unique_ptr<FakeClient>> all;
@@ -339,17 +341,17 @@
   EXPECT_LE(most, 22U);
 }
 
-// Both must be ended within 3 s of connecting.
+// A client that sends no request and one that sends half a request must be ended within 3 s of connecting.
 TEST_F(HttpServer, SilentOrHalfSentRequest_IsEndedInTime) {
   start();
-  const auto silent = client(), half = client(), dripping = client();
+  const auto silent = client(), half = client(), bytewise = client();
   const std::string text = a_read();
   half->ask(text.substr(0, 40));
   const auto begin = std::chrono::steady_clock::now();
-  std::size_t dripped = 0;
+  std::size_t bytes_sent = 0;
   ASSERT_TRUE(wait_for([&] {
-    if (dripped + 1 < text.size() && !dripping->peer->ended) dripping->ask(text.substr(dripped++, 1));
-    return silent->peer->ended && half->peer->ended && dripping->peer->ended;
+    if (bytes_sent + 1 < text.size() && !bytewise->peer->ended) bytewise->ask(text.substr(bytes_sent++, 1));
+    return silent->peer->ended && half->peer->ended && bytewise->peer->ended;
   }));
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(9));
   EXPECT_TRUE(silent->answers.empty());
@@ -363,35 +365,36 @@
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
-  config["limits"]["sockets"] = 64;  // at most 22 of them for clients
+  config["limits"]["sockets"] = 64;  // of which clients may use at most 22
   settings = platform::parse_settings(config.dump());
   host = std::make_unique<daemon::Host>(io, clock, settings);
-  const auto usual = client();
-  usual->ask(a_read());
-  ASSERT_TRUE(wait_for([&] { return usual->answers.size() == 1; }));
+  const auto active = client();
+  active->ask(a_read());
+  ASSERT_TRUE(wait_for([&] { return active->answers.size() == 1; }));
   std::vector<std::unique_ptr<FakeClient>> silent;
   for (int i = 0; i < 60; ++i) {
     silent.push_back(client());
     if (i % 2 == 0) silent.back()->ask("GET /read/1 HT");
   }
   quiet(400);
-  usual->ask(a_read());
-  ASSERT_TRUE(wait_for([&] { return usual->answers.size() == 2; }));
+  active->ask(a_read());
+  ASSERT_TRUE(wait_for([&] { return active->answers.size() == 2; }));
   const auto late = client();
   late->ask(a_read());
   ASSERT_TRUE(wait_for([&] { return late->answers.size() == 1; }));
   EXPECT_EQ(late->status(), 200);
-  EXPECT_FALSE(usual->peer->ended);
+  EXPECT_FALSE(active->peer->ended);
 }
 
-// Some clients send one request and stay, others send nothing: while a silent one is always too young to be
-// evicted, new clients must not wait for it in the listen queue.
+// Some clients send one request and stay connected, others send nothing. Even while there is always a
+// connection without a request that is too new to be evicted, new clients must not wait for it in the listen
+// queue.
 TEST_F(HttpServer, IdleClientsBesideSilentOnes_AreEvictedForNewClients) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   nlohmann::json config =
       config_json(text_of(discovery.local_endpoint()),
                   list_json(1, true, {{"s-1", cache.address()}, {"s-o", origin.address(), "origin"}}));
-  config["limits"]["sockets"] = 64;  // at most 22 of them for clients
+  config["limits"]["sockets"] = 64;  // of which clients may use at most 22
   settings = platform::parse_settings(config.dump());
   host = std::make_unique<daemon::Host>(io, clock, settings);
   std::vector<std::unique_ptr<FakeClient>> all, silent;
--- a/tests/http1/upload_digest_test.cpp
+++ b/tests/http1/upload_digest_test.cpp
@@ -10,9 +10,9 @@
  protected:
   std::shared_ptr<engine::Message> upload(std::optional<std::uint64_t> length) {
     stream = std::make_shared<engine::BodyStream>(length, 64 * 1024);
-    auto made = message(engine::Operation::write);
-    made->upload = stream;
-    return made;
+    auto request = message(engine::Operation::write);
+    request->upload = stream;
+    return request;
   }
   std::shared_ptr<engine::BodyStream> stream;
 };
@@ -20,57 +20,57 @@
 TEST_F(UpstreamUploadDigest, CompleteUploads) {
   using State = engine::BodyStream::State;
   for (const bool with_length : {true, false}) {
-    note(with_length ? "with a length" : "chunked");
+    begin_section(with_length ? "with a length" : "chunked");
     send(upload(with_length ? std::optional<std::uint64_t>(12) : std::nullopt));
     stream->write("first ");
     expect_request(0);
     stream->write("second");
     settle();
     take_bytes(0);
-    state();
+    record_state();
     stream->end(State::complete);
     settle();
     take_bytes(0);
-    state();
+    record_state();
     peer(0).write(response(200, "stored"));
     expect_ended(next_attempt);
-    clock.advance(kSettle);
+    clock.advance(kPastSettleTime);
   }
   expect_digest(0x5823694b17860c4f);
 }
 
 TEST_F(UpstreamUploadDigest, BrokenUploads) {
   using State = engine::BodyStream::State;
-  note("its client disconnects");
+  begin_section("its client disconnects");
   send(upload(100));
   stream->write("half");
   expect_request(0);
   stream->end(State::truncated);
   expect_ended(1);
-  state();
-  note("an early response");
+  record_state();
+  begin_section("an early response");
   send(upload(100));
   stream->write("half");
   expect_request(1);
   peer(1).write(response(200, "early"));
   expect_ended(2);
-  state();
-  note("closed while it waits for its client");
+  record_state();
+  begin_section("closed while it waits for its client");
   send(upload(std::nullopt));
   stream->write("half");
   expect_request(2);
   peer(2).close();
   expect_ended(3);
-  state();
-  note("cancelled while it waits for its client");
+  record_state();
+  begin_section("cancelled while it waits for its client");
   const std::uint32_t attempt = send(upload(std::nullopt));
   stream->write("half");
   expect_request(3);
   upstream->cancel({1, attempt}, engine::CancelReason::no_longer_needed);
   stream->write("more");
   expect_closed(3);
-  state();
-  note("truncated before its first part");
+  record_state();
+  begin_section("truncated before its first part");
   send(upload(std::nullopt));
   stream->end(State::truncated);
   expect_ended(4);
@@ -79,12 +79,12 @@
 
 class UpstreamPartialWriteDigest : public UpstreamDigest {
  protected:
-  /// A write that the sockets can't hold, to a server that does not read.
+  /// Starts a write that exceeds the socket buffers, to a server that does not read.
   void begin(std::size_t index) {
     server.reads = false;
-    auto made = message(engine::Operation::write);
-    made->body.assign(32 * 1024 * 1024, 'x');
-    send(made);
+    auto request = message(engine::Operation::write);
+    request->body.assign(32 * 1024 * 1024, 'x');
+    send(request);
     ASSERT_TRUE(wait_for([&] { return server.peers.size() > index && peer(index).socket.available() > 0; }));
     settle();
   }
@@ -111,27 +111,27 @@
 TEST_F(UpstreamPartialWriteDigest, EarlyResponseWaitsForTheRestOfTheRequest) {
   begin(0);
   peer(0).write(response(200, "early"));
-  state();
+  record_state();
   read_all(0);
   expect_digest(0x81063a04106611d1);
 }
 
 TEST_F(UpstreamPartialWriteDigest, RequestThatIsNeverComplete) {
-  note("closed");
+  begin_section("closed");
   begin(0);
   reset(0);
   expect_ended(1);
-  state();
-  note("its client disconnects");
+  record_state();
+  begin_section("its client disconnects");
   begin(1);
   outcomes.write_deadline = std::nullopt;
   read_all(1);
   outcomes.write_deadline = kNever;
-  state();
-  note("cancelled");
+  record_state();
+  begin_section("cancelled");
   begin(2);
   upstream->cancel({1, 2}, engine::CancelReason::no_longer_needed);
-  state();
+  record_state();
   expect_digest(0xf38f8ee99d2fa1dc);
 }
 
--- a/tests/http1/upload_test.cpp
+++ b/tests/http1/upload_test.cpp
@@ -1,4 +1,4 @@
-// Long request bodies, over loopback sockets: buffered while there is memory, streamed beyond that.
+// Long request bodies over loopback sockets: they are buffered while there is memory, otherwise streamed.
 #include "loopback.h"
 
 namespace streampick::test {
@@ -15,10 +15,10 @@
   static std::string body_of(const std::string& message) {
     return message.substr(message.find("\r\n\r\n") + 4);
   }
-  /// Writes in the background, as the router reads.
+  /// Writes asynchronously while the router reads.
   void send(FakeClient& to, std::string text) {
-    const auto held = std::make_shared<std::string>(std::move(text));
-    asio::async_write(to.peer->socket, asio::buffer(*held), [held](net::error_code, std::size_t) {});
+    const auto buffer = std::make_shared<std::string>(std::move(text));
+    asio::async_write(to.peer->socket, asio::buffer(*buffer), [buffer](net::error_code, std::size_t) {});
   }
 };
 
@@ -29,46 +29,46 @@
   origin.answer = [&](const std::string&) {
     return ++turn == 1 ? response(503, "", "X-Turned-Away: 1\r\n") : response(200, "done");
   };
-  const auto one = client();
-  send(*one, head(length_of(body)) + body);
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 200);
+  const auto http_client = client();
+  send(*http_client, head(length_of(body)) + body);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 200);
   ASSERT_EQ(origin.requests.size(), 2U);
   EXPECT_TRUE(body_of(origin.requests[0]) == body);
   EXPECT_TRUE(body_of(origin.requests[1]) == body);
   EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
-  one->ask(request_text("PUT", "/pay/1", "pay", "x"));  // the connection is good for more
-  EXPECT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
+  http_client->ask(request_text("PUT", "/pay/1", "pay", "x"));  // the connection can be used again
+  EXPECT_TRUE(wait_for([&] { return http_client->answers.size() == 2; }));
 }
 
 TEST_F(Upload, LongBody_IsStreamedWithABoundedBuffer) {
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(4 << 20);
-  const auto one = client();
+  const auto http_client = client();
   const std::string text = head(length_of(body)) + body;
-  send(*one, text.substr(0, 3 << 20));
-  // The server has what came, and the request is not whole.
+  send(*http_client, text.substr(0, 3 << 20));
+  // The server has received what the client sent so far, and the request is incomplete.
   ASSERT_TRUE(
       wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > (3U << 20) - 4'096; }));
   EXPECT_EQ(host->upstream_resources().body_memory.reserved(), 64U * 1024);
   EXPECT_TRUE(origin.requests.empty());
-  send(*one, text.substr(3 << 20));
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 200);
+  send(*http_client, text.substr(3 << 20));
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 200);
   ASSERT_EQ(origin.requests.size(), 1U);
   EXPECT_TRUE(body_of(origin.requests[0]) == body);
   EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
   quiet(30);
-  one->ask(request_text("PUT", "/pay/1", "pay", "x"));
-  EXPECT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
-  EXPECT_EQ(origin.peers.size(), 1U);  // and so is the server's
+  http_client->ask(request_text("PUT", "/pay/1", "pay", "x"));
+  EXPECT_TRUE(wait_for([&] { return http_client->answers.size() == 2; }));
+  EXPECT_EQ(origin.peers.size(), 1U);  // the connection to the server was used again too
 }
 
 TEST_F(Upload, ChunkedBodyWithExtensionsAndTrailers_IsForwardedUnchanged) {
   start();
   const std::string body = pattern(3 << 20);
-  const auto one = client();
+  const auto http_client = client();
   std::string text = head("Transfer-Encoding: chunked");
   for (std::size_t at = 0; at < body.size(); at += 100'000) {
     const std::string part = body.substr(at, 100'000);
@@ -76,8 +76,9 @@
     std::snprintf(size, sizeof size, "%zX;a=b\r\n", part.size());
     text += size + part + "\r\n";
   }
-  send(*one, text + "0\r\nX-Trailer: 1\r\n\r\n");
-  // The stand-in knows lengths only: it takes the head for one message and the chunks for the next.
+  send(*http_client, text + "0\r\nX-Trailer: 1\r\n\r\n");
+  // The fake server does not know chunked coding: it takes the head for one message and the chunks for
+  // another.
   ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 2; }));
   EXPECT_NE(origin.requests[0].find("Transfer-Encoding: chunked\r\n"), std::string::npos);
   const std::string& raw = origin.requests[1];
@@ -91,8 +92,8 @@
   }
   EXPECT_TRUE(got == body);
   origin.peers[0]->write(response(200, "done"));
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 200);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 200);
 }
 
 TEST_F(Upload, ServerFailsBeforeTheLastByte_IsRejectedAndNotRetried) {
@@ -100,14 +101,14 @@
   for (const std::string lane : {"pay", "save"}) {
     origin.peers.clear();
     const std::string body = pattern(4 << 20);
-    const auto one = client();
+    const auto http_client = client();
     const std::string text = head(length_of(body), lane, "Idempotency-Key: k\r\n") + body;
-    send(*one, text.substr(0, 2 << 20));
+    send(*http_client, text.substr(0, 2 << 20));
     ASSERT_TRUE(
         wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > (1U << 20); }));
     origin.peers[0]->close();
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; })) << lane;
-    EXPECT_EQ(one->status(), 503) << lane;  // the client may safely retry
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; })) << lane;
+    EXPECT_EQ(http_client->status(), 503) << lane;  // the client may safely retry
     quiet();
     EXPECT_EQ(origin.peers.size(), 1U) << lane;
   }
@@ -116,22 +117,22 @@
 TEST_F(Upload, ServerFailsAfterTheLastByte_UnsafeRequestFails) {
   start();
   const std::string body = pattern(2 << 20);
-  const auto one = client();
-  send(*one, head(length_of(body)) + body);
+  const auto http_client = client();
+  send(*http_client, head(length_of(body)) + body);
   ASSERT_TRUE(wait_for([&] { return origin.requests.size() == 1; }));
   origin.peers[0]->close();
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 502);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 502);
   quiet();
   EXPECT_EQ(origin.requests.size(), 1U);
 }
 
 TEST_F(Upload, ClientDisconnects_FreesServerAndMemory) {
   start();
-  auto one = client();
-  send(*one, head("Content-Length: 4000000") + pattern(2'000'000));
+  auto http_client = client();
+  send(*http_client, head("Content-Length: 4000000") + pattern(2'000'000));
   ASSERT_TRUE(wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > 1'000'000; }));
-  one.reset();
+  http_client.reset();
   ASSERT_TRUE(
       wait_for([&] { return origin.open() == 0 && host->upstream_resources().body_memory.reserved() == 0; }));
   EXPECT_EQ(host->counts().cancelled_by_client, 1U);
@@ -140,25 +141,26 @@
 
 TEST_F(Upload, ServerThatReadsNothing_PausesTheClient) {
   start();
-  net::tcp::acceptor deaf(io, any_port());
-  const auto known = list_json(
-      1, true, {{"s-cache", cache.address()}, {"s-origin", text_of(deaf.local_endpoint()), "origin"}});
-  Loopback::start(known);
-  net::tcp::socket taken(io);
-  bool came = false;
-  deaf.async_accept(taken, [&](net::error_code error) { came = !error; });
-  const auto one = client();
+  net::tcp::acceptor unread_server(io, any_port());
+  const auto list = list_json(
+      1, true,
+      {{"s-cache", cache.address()}, {"s-origin", text_of(unread_server.local_endpoint()), "origin"}});
+  Loopback::start(list);
+  net::tcp::socket accepted(io);
+  bool is_accepted = false;
+  unread_server.async_accept(accepted, [&](net::error_code error) { is_accepted = !error; });
+  const auto http_client = client();
   const auto text = std::make_shared<std::string>(head("Content-Length: 33554432") + pattern(32 << 20));
   std::size_t written = 0;
   std::function<void()> more = [&, text] {
-    one->peer->socket.async_write_some(asio::buffer(*text) + written,
-                                       [&, text](net::error_code error, std::size_t took) {
-                                         written += took;
-                                         if (!error && written < text->size()) more();
-                                       });
+    http_client->peer->socket.async_write_some(asio::buffer(*text) + written,
+                                               [&, text](net::error_code error, std::size_t took) {
+                                                 written += took;
+                                                 if (!error && written < text->size()) more();
+                                               });
   };
   more();
-  ASSERT_TRUE(wait_for([&] { return came; }));
+  ASSERT_TRUE(wait_for([&] { return is_accepted; }));
   for (std::size_t before = 1; before != written;) {
     before = written;
     quiet(200);
@@ -169,14 +171,14 @@
 
 TEST_F(Upload, TooLongOrTooSlow_IsRejected) {
   start();
-  const auto one = client();
-  one->ask(head("Content-Length: 33554433"));
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 413);
-  const auto two = client();
-  send(*two, head("Content-Length: 3000000") + pattern(1'000));
-  ASSERT_TRUE(wait_for([&] { return two->answers.size() == 1; }));
-  EXPECT_EQ(two->status(), 408);
+  const auto http_client = client();
+  http_client->ask(head("Content-Length: 33554433"));
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 413);
+  const auto slow_client = client();
+  send(*slow_client, head("Content-Length: 3000000") + pattern(1'000));
+  ASSERT_TRUE(wait_for([&] { return slow_client->answers.size() == 1; }));
+  EXPECT_EQ(slow_client->status(), 408);
   EXPECT_EQ(host->counts().served, 0U);
 }
 
@@ -184,14 +186,14 @@
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(220'000);
-  const auto one = client();
-  one->ask(head(length_of(body)));
+  const auto http_client = client();
+  http_client->ask(head(length_of(body)));
   for (std::size_t at = 0; at < body.size(); at += 16'000) {
-    one->ask(body.substr(at, 16'000));
+    http_client->ask(body.substr(at, 16'000));
     quiet(240);
   }
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 200);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 200);
   EXPECT_TRUE(body_of(origin.requests.at(0)) == body);
 }
 
@@ -207,29 +209,31 @@
   }
   ASSERT_TRUE(wait_for([&] {
     EXPECT_LE(host->upstream_resources().body_memory.reserved(), 2'000'000U);
-    return std::all_of(all.begin(), all.end(), [](const auto& one) { return one->answers.size() == 1; });
+    return std::all_of(all.begin(), all.end(),
+                       [](const auto& http_client) { return http_client->answers.size() == 1; });
   }));
   for (const std::string& message : origin.requests) EXPECT_TRUE(body_of(message) == body);
   std::size_t served = 0;
-  for (const auto& one : all) {
-    EXPECT_TRUE(one->status() == 200 || one->status() == 503) << one->status();
-    served += one->status() == 200 ? 1 : 0;
+  for (const auto& http_client : all) {
+    EXPECT_TRUE(http_client->status() == 200 || http_client->status() == 503) << http_client->status();
+    served += http_client->status() == 200 ? 1 : 0;
   }
   EXPECT_EQ(served, origin.requests.size());
   EXPECT_GT(served, 0U);
   EXPECT_TRUE(wait_for([&] { return host->upstream_resources().body_memory.reserved() == 0; }));
 }
 
-// The request ends while its body still arrives: the server must not wait for the rest.
+// The request ends while its body still arrives: the router must close the connection to the server, which
+// would otherwise wait for the rest.
 TEST_F(Upload, AnsweredEarly_ClosesTheServersConnection) {
   start();
-  const auto one = client();
-  send(*one, head("Content-Length: 4000000") + pattern(2'000'000));
+  const auto http_client = client();
+  send(*http_client, head("Content-Length: 4000000") + pattern(2'000'000));
   ASSERT_TRUE(wait_for([&] { return origin.peers.size() == 1 && origin.peers[0]->got.size() > 1'000'000; }));
   bool done = false;
   host->drain([&] { done = true; });
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_NE(one->status(), 200);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_NE(http_client->status(), 200);
   EXPECT_TRUE(wait_for([&] { return origin.open() == 0; }));
   EXPECT_TRUE(origin.requests.empty());
 }
@@ -239,14 +243,14 @@
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(60);
   const std::string text = request_text("PUT", "/pay/1", "pay", body);
-  const auto one = client();
-  one->ask(text.substr(0, text.size() - 100));
+  const auto http_client = client();
+  http_client->ask(text.substr(0, text.size() - 100));
   for (const char byte : text.substr(text.size() - 100)) {
-    one->ask(std::string(1, byte));
+    http_client->ask(std::string(1, byte));
     quiet(1);
   }
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
-  EXPECT_EQ(one->status(), 200);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
+  EXPECT_EQ(http_client->status(), 200);
   EXPECT_TRUE(body_of(origin.requests.at(0)) == body);
 }
 
@@ -254,13 +258,13 @@
   start();
   origin.answer = [](const std::string&) { return response(200, "done"); };
   const std::string body = pattern(2 << 20);
-  const auto one = client();
-  one->ask(head(length_of(body), "pay", "Expect: 100-continue\r\n"));
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() + one->peer->got.size() > 0; }));
-  send(*one, body);
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
-  EXPECT_EQ(one->status(0), 100);
-  EXPECT_EQ(one->status(1), 200);
+  const auto http_client = client();
+  http_client->ask(head(length_of(body), "pay", "Expect: 100-continue\r\n"));
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() + http_client->peer->got.size() > 0; }));
+  send(*http_client, body);
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 2; }));
+  EXPECT_EQ(http_client->status(0), 100);
+  EXPECT_EQ(http_client->status(1), 200);
   EXPECT_TRUE(body_of(origin.requests.at(0)) == body);
 }
 
--- a/tests/http1/upstream_digest.h
+++ b/tests/http1/upstream_digest.h
@@ -1,7 +1,7 @@
-// A digest of what http1::Upstream does with fixed attempts against scripted servers: the bytes of its
-// requests, the outcomes it reports, and the connections that it makes, closes and uses again. The clock is
-// scripted. The expected digests were recorded before the module was restructured; a change of one of them is
-// a change of behaviour. On a mismatch the whole transcript is printed.
+// Digests of what http1::Upstream does with fixed attempts against scripted servers: the bytes of its
+// requests, the outcomes that it reports, and the connections that it establishes, closes and uses again. The
+// clock is scripted. A digest that no longer matches means that the behaviour has changed; the test then
+// prints the whole transcript.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   return text.data();
 }
 
-/// Printable form of bytes; long ones as their size and hash.
+/// The bytes in printable form; of long ones only the size and hash.
 inline std::string printable(const std::string& bytes) {
   if (bytes.size() > 600) return std::to_string(bytes.size()) + " bytes " + hex(fnv1a(bytes));
   std::string text;
@@ -51,7 +51,7 @@
   return text;
 }
 
-/// Moves only when a test says so. Timers of asio still run in real time.
+/// A clock that advances only when a test calls advance(). Timers of asio still run in real time.
 class ScriptedClock final : public engine::TimeSource {
  public:
   Time now() override { return now_; }
@@ -97,7 +97,8 @@
     last = std::move(answer);
   }
   std::optional<Time> may_write(engine::AttemptId attempt) override {
-    // How often the rest of a partial write is resumed is up to the kernel: only changes are recorded.
+    // The kernel determines how often a partial write is resumed, so consecutive calls for one attempt are
+    // recorded once.
     if (asked_last_ != attempt) transcript_ += "may_write attempt=" + std::to_string(attempt.number) + "\n";
     asked_last_ = attempt;
     return write_deadline;
@@ -131,7 +132,7 @@
     }
     return true;
   }
-  /// Lets everything that is on its way over loopback arrive.
+  /// Runs the event loop until everything that was sent over loopback has arrived.
   void settle() {
     for (int turn = 0, idle = 0; turn < 60 && idle < 4; ++turn) {
       io.restart();
@@ -140,22 +141,22 @@
   }
 
   std::shared_ptr<engine::Message> message(engine::Operation operation = engine::Operation::read) {
-    const auto made = std::make_shared<engine::Message>();
-    made->operation = operation;
-    made->target = "/read/1?version=2";
-    made->transaction_id = "9b1f03aa5c7e2d41";
-    return made;
-  }
-  void note(const std::string& text) { transcript += "# " + text + "\n"; }
-  std::uint32_t send(std::shared_ptr<const engine::Message> made, Time within = 8'000'000,
+    const auto request = std::make_shared<engine::Message>();
+    request->operation = operation;
+    request->target = "/read/1?version=2";
+    request->transaction_id = "9b1f03aa5c7e2d41";
+    return request;
+  }
+  void begin_section(const std::string& text) { transcript += "# " + text + "\n"; }
+  std::uint32_t send(std::shared_ptr<const engine::Message> request, Time within = 8'000'000,
                      Time begin_by = kNever) {
-    upstream->send({1, next_attempt}, std::move(made), clock.now() + within, begin_by);
+    upstream->send({1, next_attempt}, std::move(request), clock.now() + within, begin_by);
     return next_attempt++;
   }
   std::uint32_t send_read() { return send(message()); }
 
   Peer& peer(std::size_t index) { return *server.peers.at(index); }
-  /// Waits for a whole request head on a connection and moves what arrived into the transcript.
+  /// Waits for a complete request head on a connection and moves the received bytes into the transcript.
   void expect_request(std::size_t index) {
     ASSERT_TRUE(wait_for([&] {
       return server.peers.size() > index && peer(index).got.find("\r\n\r\n") != std::string::npos;
@@ -178,7 +179,7 @@
     peer(index).socket.set_option(asio::socket_base::linger(true, 0), ignored);
     peer(index).close();
   }
-  /// One read that is served after `took` microseconds of the scripted clock, on connection `index`.
+  /// Sends a read that is served after `took` microseconds of the scripted clock, on connection `index`.
   void serve_read(std::size_t index, Time took) {
     const std::size_t ended = outcomes.ended;
     send_read();
@@ -187,7 +188,7 @@
     peer(index).write(response(200, "served"));
     expect_ended(ended + 1);
   }
-  void state() {
+  void record_state() {
     settle();
     transcript += "state dials=" + std::to_string(resources.connect_attempts) +
                   " connections=" + std::to_string(resources.connections.open()) +
@@ -204,7 +205,7 @@
     transcript += "\n";
   }
   void expect_digest(std::uint64_t expected) {
-    state();
+    record_state();
     EXPECT_EQ(hex(fnv1a(transcript)), hex(expected)) << transcript;
   }
 
@@ -219,6 +220,6 @@
   std::uint32_t next_attempt = 0;
 };
 
-inline constexpr Time kSettle = 20'000;  // over the time after which a connection may be used again
+inline constexpr Time kPastSettleTime = 20'000;  // microseconds; longer than the settle time of a connection
 
 }  // namespace streampick::test
--- a/tests/http1/upstream_test.cpp
+++ b/tests/http1/upstream_test.cpp
@@ -1,4 +1,4 @@
-// Connections to servers over loopback sockets.
+// Connections to servers, over loopback sockets.
 #include <unistd.h>
 
 #include "http1/one_server.h"
@@ -9,46 +9,46 @@
 TEST_F(Loopback, SequentialRequestsWithPauses_UseOneConnection) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
+  const auto http_client = client();
   for (std::size_t i = 1; i <= 5; ++i) {
-    one->ask(a_read());
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == i; }));
+    http_client->ask(a_read());
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == i; }));
     quiet(30);
   }
   EXPECT_EQ(cache.requests.size(), 5U);
   EXPECT_EQ(cache.peers.size(), 1U);
 }
 
-// A quick server answers within the settle time of a connection: a few more connections are established.
+// A fast server answers within the settle time of a connection, so a few more connections are established.
 TEST_F(Loopback, SequentialRequestsWithoutPauses_UseAFewConnections) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
+  const auto http_client = client();
   for (std::size_t i = 1; i <= 200; ++i) {
-    one->ask(a_read());
-    ASSERT_TRUE(wait_for([&] { return one->answers.size() == i; }));
+    http_client->ask(a_read());
+    ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == i; }));
   }
   EXPECT_EQ(cache.requests.size(), 200U);
   EXPECT_GT(cache.peers.size(), 1U);
   EXPECT_LE(cache.peers.size(), 64U);
-  for (std::size_t i = 0; i < 200; ++i) EXPECT_EQ(one->status(i), 200);
+  for (std::size_t i = 0; i < 200; ++i) EXPECT_EQ(http_client->status(i), 200);
 }
 
 TEST_F(Loopback, IdleConnectionClosedByServer_IsNotUsedAgain) {
   cache.answer = [](const std::string&) { return response(200, "x"); };
   start();
-  const auto one = client();
-  one->ask(a_read());
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 1; }));
+  const auto http_client = client();
+  http_client->ask(a_read());
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 1; }));
   cache.peers[0]->close();
   ASSERT_TRUE(wait_for([&] { return host->upstream_resources().connections.open() == 0; }));
-  one->ask(a_read());
-  ASSERT_TRUE(wait_for([&] { return one->answers.size() == 2; }));
-  EXPECT_EQ(one->status(1), 200);
+  http_client->ask(a_read());
+  ASSERT_TRUE(wait_for([&] { return http_client->answers.size() == 2; }));
+  EXPECT_EQ(http_client->status(1), 200);
   EXPECT_EQ(host->counts().outcomes[static_cast<std::size_t>(Outcome::reset)], 0U);
 }
 
-class UpstreamTest : public ToOneServer {
+class UpstreamTest : public SingleServerTest {
  protected:
   UpstreamTest() { record.connect_timeout = 250'000; }
 };
@@ -66,24 +66,24 @@
   record.connect_timeout = 60'000'000;
   upstream.set_address(full.address());
   send(0);
-  const auto ours = [&]() -> Peer* {
+  const auto peer_with_request = [&]() -> Peer* {
     for (const auto& peer : full.peers)
       if (!peer->got.empty()) return peer.get();
     return nullptr;
   };
   // Accepting the connections that fill the listener's queue lets the upstream's first connection in.
-  for (int i = 0; i < 8 && ours() == nullptr; ++i) {
+  for (int i = 0; i < 8 && peer_with_request() == nullptr; ++i) {
     const std::size_t before = full.peers.size();
-    full.take_one();
+    full.accept_one();
     ASSERT_TRUE(wait_for([&] { return full.peers.size() > before; }));
     quiet(20);
   }
-  ASSERT_TRUE(wait_for([&] { return ours() != nullptr; }));
-  full.fill();  // again: the next dial is not made
+  ASSERT_TRUE(wait_for([&] { return peer_with_request() != nullptr; }));
+  full.fill_queue();  // again, so that the next connect stays pending
   quiet(50);
   send(1);
   EXPECT_EQ(record.connect_attempts, 2U);
-  Peer& first = *ours();
+  Peer& first = *peer_with_request();
   first.got.clear();
   first.write(response(200, "x"));
   ASSERT_TRUE(wait_for([&] { return !first.got.empty(); }));
@@ -93,7 +93,7 @@
 }
 
 TEST_F(UpstreamTest, DrainGracePeriodOver_QueuedAttemptEndsAsNotSent) {
-  send(0);  // its connection is not made before the loop runs
+  send(0);  // its connection is not established before the event loop runs
   upstream.stop_sending_at(clock.now());
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::not_sent);
@@ -110,10 +110,10 @@
 }
 
 TEST_F(UpstreamTest, CancelUnsent_RemovesQueuedButNotWrittenAttempts) {
-  send(0);  // its connection is not made before the loop runs
+  send(0);  // its connection is not established before the event loop runs
   EXPECT_TRUE(upstream.cancel_unsent({1, 0}));
   EXPECT_FALSE(upstream.cancel_unsent({1, 0}));
-  ASSERT_TRUE(wait_for([&] { return cache.peers.size() == 1; }));  // the dial went on
+  ASSERT_TRUE(wait_for([&] { return cache.peers.size() == 1; }));  // the connect was not aborted
   quiet();
   EXPECT_TRUE(cache.requests.empty());
   send(1);
@@ -135,7 +135,7 @@
   quiet(20);
   cache.peers[0]->write(response(200, "x"));
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 2; }));
-  quiet(40);  // both have been quiet for long enough
+  quiet(40);  // both have settled
   send(2);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 3; }));
   cache.peers[0]->write(response(200, "x"));
@@ -160,7 +160,8 @@
   EXPECT_EQ(record.connections.open(), 0U);
 }
 
-// Such a body ends with its connection. A server that dies resets the connection: the rest is missing.
+// The end of the connection marks the end of such a body. A server that fails resets the connection, and then
+// the body is incomplete.
 TEST_F(UpstreamTest, UnframedBody_IsCompleteWhenConnectionCloses) {
   send(0);
   ASSERT_TRUE(wait_for([&] { return cache.requests.size() == 1; }));
@@ -214,10 +215,10 @@
   }
 }
 
-// A second response or noise right behind a response must not be taken for the next request's response.
-TEST_F(UpstreamTest, BytesBehindAResponse_AreNotTheNextResponse) {
+// A second response or garbage right after a response must not be taken for the response to the next request.
+TEST_F(UpstreamTest, BytesAfterAResponse_AreNotTakenForTheNextResponse) {
   for (const bool together : {true, false}) {
-    quiet(30);  // what answered last may be used again
+    quiet(30);  // the connection that was used last has settled
     const std::size_t n = record.ended.size(), peers = cache.peers.size();
     send(static_cast<std::uint32_t>(n));
     ASSERT_TRUE(wait_for([&] { return cache.requests.size() == n + 1; }));
@@ -226,7 +227,7 @@
     EXPECT_EQ(record.bodies[n], "first");
     if (!together) {
       cache.peers.back()->write(response(200, "stray"));
-      ::usleep(50'000);  // there, and not yet read: the loop does not run
+      ::usleep(50'000);  // delivered and not read: the event loop does not run
     }
     send(static_cast<std::uint32_t>(n + 1));
     ASSERT_TRUE(wait_for([&] { return cache.requests.size() == n + 2; }));
@@ -239,26 +240,27 @@
 }
 
 TEST_F(UpstreamTest, ResponseBeforeRequestIsWritten_IsMalformed) {
-  forward->operation = engine::Operation::write;
-  forward->body.assign(32 * 1024 * 1024, 'x');  // more than the sockets between can hold
-  net::tcp::acceptor strict(io, any_port());
-  upstream.set_address(text_of(strict.local_endpoint()));
-  net::tcp::socket taken(io);
-  strict.async_accept(taken, [](net::error_code) {});
+  message->operation = engine::Operation::write;
+  message->body.assign(32 * 1024 * 1024, 'x');  // more than the socket buffers hold
+  net::tcp::acceptor listener(io, any_port());
+  upstream.set_address(text_of(listener.local_endpoint()));
+  net::tcp::socket accepted(io);
+  listener.async_accept(accepted, [](net::error_code) {});
   send(0);
-  ASSERT_TRUE(wait_for([&] { return taken.is_open() && taken.available() > 0; }));
-  asio::write(taken, asio::buffer(response(200, "early")));
+  ASSERT_TRUE(wait_for([&] { return accepted.is_open() && accepted.available() > 0; }));
+  asio::write(accepted, asio::buffer(response(200, "early")));
   quiet();
   EXPECT_TRUE(record.ended.empty());
   std::vector<char> sink(1024 * 1024);
-  std::function<void()> take = [&] {
-    taken.async_read_some(asio::buffer(sink), [&](net::error_code error, std::size_t) {
-      if (!error) take();
+  std::function<void()> read_on = [&] {
+    accepted.async_read_some(asio::buffer(sink), [&](net::error_code error, std::size_t) {
+      if (!error) read_on();
     });
   };
-  take();
+  read_on();
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
-  EXPECT_EQ(record.ended[0].second, Outcome::malformed);  // all of it went out: it may have run
+  // The request was written completely, so the server may have run it.
+  EXPECT_EQ(record.ended[0].second, Outcome::malformed);
   EXPECT_TRUE(record.bodies[0].empty());
   quiet();
 }
@@ -275,7 +277,7 @@
 TEST_F(UpstreamTest, NoDescriptorLeft_EndsAttemptAsConnectFailed) {
   record.connections.set_limit(0);
   send(0);
-  EXPECT_TRUE(record.ended.empty());  // not from within send
+  EXPECT_TRUE(record.ended.empty());  // not reported within send()
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::connect_failed);
   EXPECT_TRUE(cache.peers.empty());
@@ -283,16 +285,16 @@
 
 TEST_F(UpstreamTest, ServerClosesBeforeRequestIsWritten_EndsAttemptAsConnectFailed) {
   // More than the socket buffers hold, so that the last byte is never written.
-  forward->operation = engine::Operation::write;
-  forward->body.assign(32 * 1024 * 1024, 'x');
-  net::tcp::acceptor strict(io, any_port());
-  upstream.set_address(text_of(strict.local_endpoint()));
-  net::tcp::socket taken(io);
-  strict.async_accept(taken, [](net::error_code) {});
+  message->operation = engine::Operation::write;
+  message->body.assign(32 * 1024 * 1024, 'x');
+  net::tcp::acceptor listener(io, any_port());
+  upstream.set_address(text_of(listener.local_endpoint()));
+  net::tcp::socket accepted(io);
+  listener.async_accept(accepted, [](net::error_code) {});
   send(0);
-  ASSERT_TRUE(wait_for([&] { return taken.is_open(); }));
+  ASSERT_TRUE(wait_for([&] { return accepted.is_open(); }));
   quiet();
-  taken.close();
+  accepted.close();
   ASSERT_TRUE(wait_for([&] { return record.ended.size() == 1; }));
   EXPECT_EQ(record.ended[0].second, Outcome::connect_failed);
 }
