--- a/bench/plugin/plugin.cpp
+++ b/bench/plugin/plugin.cpp
@@ -1,5 +1,5 @@
-// What a call costs by way of the client library, of the daemon and of a connection straight to a cache, in
-// one run; and what a client costs that rests.
+// Measures the latency of calls through the client library, through the daemon and directly to a cache, in
+// one run, and the wake-ups and memory of idle clients.
 //
 //   bench_plugin --router build-full/streampick_router
 #include <unistd.h>
@@ -62,11 +62,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("The client library beside the daemon and a straight connection.");
+  CLI::App app("Latency of the client library, the daemon and a direct connection.");
   std::string program = "build-full/streampick_router";
   int calls = 20'000;
-  app.add_option("--router", program, "the router's program")->check(CLI::ExistingFile);
-  app.add_option("--calls", calls, "of each way");
+  app.add_option("--router", program, "path of streampick_router")->check(CLI::ExistingFile);
+  app.add_option("--calls", calls, "number of calls for each path");
   CLI11_PARSE(app, argc, argv);
 
   asio::io_context io{1};
@@ -102,19 +102,19 @@
                        .id = ++last_id,
                        .value = {}}) == 200;
     };
-    std::vector<double> straight, through_daemon, through_client, through_stub;
-    using Way = std::pair<std::vector<double>*, std::function<bool(int)>>;
-    std::vector<Way> ways = {{&straight, [&](int i) { return get(cache, i); }},
-                             {&through_daemon, [&](int i) { return get(daemon, i); }},
-                             {&through_client, [&](int i) {
-                                return client.get("sheet-" + std::to_string(i % 97)).get().status ==
-                                       Status::served;
-                              }}};
+    std::vector<double> direct, through_daemon, through_client, through_stub;
+    using Path = std::pair<std::vector<double>*, std::function<bool(int)>>;
+    std::vector<Path> paths = {{&direct, [&](int i) { return get(cache, i); }},
+                               {&through_daemon, [&](int i) { return get(daemon, i); }},
+                               {&through_client, [&](int i) {
+                                  return client.get("sheet-" + std::to_string(i % 97)).get().status ==
+                                         Status::served;
+                                }}};
 #ifdef STREAMPICK_WITH_GRPC
     const auto stub = tiles::Tiles::NewStub(rpc::open_channel(
         std::make_shared<Client>(settings),
         {.routes = {{"streampick.tiles.Tiles/ReadTile", "tile-read", false, "{sheet}", "image"}}}));
-    ways.emplace_back(&through_stub, [&](int i) {
+    paths.emplace_back(&through_stub, [&](int i) {
       grpc::ClientContext context;
       tiles::ReadTileRequest request;
       request.set_sheet("sheet-" + std::to_string(i % 97));
@@ -122,40 +122,40 @@
       return stub->ReadTile(&context, request, &response).ok();
     });
 #endif
-    // By turns: what else the machine does falls on all three.
+    // The paths take turns, so that other load on the machine affects all of them.
     for (int round = 0; round < 10; ++round) {
-      for (auto& [to, call] : ways) {
+      for (auto& [to, call] : paths) {
         auto part = time_calls(calls / 10, call);
         to->insert(to->end(), part.begin(), part.end());
       }
     }
-    print("straight", straight);
+    print("direct", direct);
     print("daemon", through_daemon);
     print("library", through_client);
     if (!through_stub.empty()) print("gRPC stub", through_stub);
     std::printf("daemon: %ld KB resident\n", router.resident_kb());
     const std::uint64_t wakeups = client.counts().wakeups;
     std::this_thread::sleep_for(10s);
-    std::printf("library at rest for 10 s, its connections open: %llu wake-ups\n",
+    std::printf("library without calls for 10 s, connections open: %llu wake-ups\n",
                 static_cast<unsigned long long>(client.counts().wakeups - wakeups));
-    ClientSettings resting = settings;
-    resting.idle_after = 1s;
-    Client seldom(resting);
-    seldom.get("sheet-1").get();
+    ClientSettings idle_settings = settings;
+    idle_settings.idle_after = 1s;
+    Client idle_client(idle_settings);
+    idle_client.get("sheet-1").get();
     std::this_thread::sleep_for(3s);
-    const std::uint64_t before = seldom.counts().wakeups;
+    const std::uint64_t before = idle_client.counts().wakeups;
     std::this_thread::sleep_for(10s);
-    std::printf("with idle_after, for 10 s: %llu wake-ups, of which the question is one; %zu connections\n",
-                static_cast<unsigned long long>(seldom.counts().wakeups - before),
-                seldom.counts().connections);
-    std::vector<double> woken;
+    std::printf("idle (idle_after) for 10 s: %llu wake-ups, one of them by this query; %zu connections\n",
+                static_cast<unsigned long long>(idle_client.counts().wakeups - before),
+                idle_client.counts().connections);
+    std::vector<double> first_calls;
     for (int i = 0; i < 5; ++i) {
       const auto one =
-          time_calls(1, [&](int) { return seldom.get("sheet-1").get().status == Status::served; });
-      woken.insert(woken.end(), one.begin(), one.end());
+          time_calls(1, [&](int) { return idle_client.get("sheet-1").get().status == Status::served; });
+      first_calls.insert(first_calls.end(), one.begin(), one.end());
       std::this_thread::sleep_for(1'500ms);
     }
-    print("first call", woken);
+    print("first call", first_calls);
   }
   for (const std::size_t many : {1U, 10U, 100U}) {
     const long before = resident_kb();
--- a/examples/grpc_viewer/viewer.cpp
+++ b/examples/grpc_viewer/viewer.cpp
@@ -1,4 +1,4 @@
-// A sheet downloader on gRPC's generated stubs: what goes through the channel is routed inside this process.
+// Downloads the tiles of a map sheet with generated gRPC stubs, on a channel that the client library routes.
 //
 //   grpc_viewer CONFIG SHEET ROWS COLUMNS
 #include <grpcpp/grpcpp.h>
@@ -17,9 +17,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kTries = 4;
+constexpr int kMaxTries = 4;
 
-// How long a refusal asks to wait; the trailing metadata that gRPC's own clients know.
+// The delay before a retry, from the trailing metadata that gRPC's own retries use.
 std::chrono::milliseconds pushback(const grpc::ClientContext& context) {
   const auto& trailing = context.GetServerTrailingMetadata();
   const auto found = trailing.find("grpc-retry-pushback-ms");
@@ -43,7 +43,7 @@
       request.set_column(static_cast<std::uint32_t>(column));
       sheets::TileReply reply;
       grpc::Status status;
-      for (int tries = 0; tries < kTries; ++tries) {
+      for (int tries = 0; tries < kMaxTries; ++tries) {
         grpc::ClientContext context;
         context.set_deadline(std::chrono::system_clock::now() + 4s);
         status = stub.Tile(&context, request, &reply);
@@ -72,7 +72,7 @@
   try {
     streampick::ClientSettings settings;
     settings.config_path = argv[1];
-    settings.idle_after = 2s;  // between two sheets nothing is held open
+    settings.idle_after = 2s;  // closes connections between two sheets
     const auto client = std::make_shared<streampick::Client>(settings);
     const auto stub =
         sheets::Sheets::NewStub(streampick::rpc::open_channel(client, {.services = {"sheets.Sheets"}}));
--- a/examples/readme.cpp
+++ b/examples/readme.cpp
@@ -1,4 +1,4 @@
-// One read through the decision module: the smallest host there can be.
+// A minimal host of the decision module: it routes one read.
 #include <iostream>
 #include <vector>
 
@@ -13,7 +13,7 @@
     std::cout << "cancel attempt " << attempt << " of request " << request << '\n';
   }
   void reject(streampick::RequestId request, streampick::Time) override {
-    std::cout << "refuse request " << request << '\n';
+    std::cout << "reject request " << request << '\n';
   }
   void fail(streampick::RequestId request) override { std::cout << "fail request " << request << '\n'; }
   void poll_discovery() override {}
--- a/examples/viewer/viewer.cpp
+++ b/examples/viewer/viewer.cpp
@@ -1,5 +1,5 @@
-// A small desktop tool: fetches the tiles of one map sheet through the router inside its own process, shows
-// how far it is, and says plainly which tiles are missing.
+// A command-line tool that fetches the tiles of a map sheet with the client library, shows its progress and
+// lists the missing tiles.
 //
 //   sheet_viewer CONFIG SHEET ROWS COLUMNS [FOLDER]
 #include <algorithm>
@@ -24,29 +24,29 @@
 struct Tile {
   std::string key;
   int tries = 0;
-  std::string missing;  // why; empty: it is here
+  std::string error;  // empty: fetched, or not yet
 };
 
-// Waits for all tiles; those that are refused come again when they were told to, a few times.
+// Fetches all tiles of a sheet. Retries rejected calls after their retry_after, up to kMaxTries calls a tile.
 class Sheet {
  public:
   Sheet(streampick::Client& client, std::vector<Tile> tiles, std::filesystem::path folder)
       : client_(client), tiles_(std::move(tiles)), folder_(std::move(folder)) {}
 
   void fetch() {
-    // A viewer is not alone: a few at a time.
-    for (std::size_t i = 0; i < std::min<std::size_t>(kAtOnce, tiles_.size()); ++i) next();
+    // At most kMaxOpen calls are open, to leave capacity for other viewers.
+    for (std::size_t i = 0; i < std::min<std::size_t>(kMaxOpen, tiles_.size()); ++i) next();
     std::unique_lock lock(mutex_);
-    while (!all_.wait_for(lock, 100ms, [this] { return done_ == tiles_.size(); })) show();
-    show();
+    while (!all_.wait_for(lock, 100ms, [this] { return done_ == tiles_.size(); })) show_progress();
+    show_progress();
     std::printf("\n");
   }
   int report() const {
     int missing = 0;
     for (const Tile& tile : tiles_)
-      if (!tile.missing.empty()) {
+      if (!tile.error.empty()) {
         ++missing;
-        std::printf("missing: %s (%s)\n", tile.key.c_str(), tile.missing.c_str());
+        std::printf("missing: %s (%s)\n", tile.key.c_str(), tile.error.c_str());
       }
     std::printf("%zu tiles, %d missing, %llu bytes\n", tiles_.size(), missing,
                 static_cast<unsigned long long>(bytes_));
@@ -54,29 +54,29 @@
   }
 
  private:
-  static constexpr std::size_t kAtOnce = 8;
-  static constexpr int kTries = 4;
+  static constexpr std::size_t kMaxOpen = 8;
+  static constexpr int kMaxTries = 4;
 
   void next() {
-    const std::size_t i = begun_++;
-    if (i < tiles_.size()) ask(i);
+    const std::size_t i = started_++;
+    if (i < tiles_.size()) request(i);
   }
-  void ask(std::size_t i) {
+  void request(std::size_t i) {
     ++tiles_[i].tries;
     client_.get(tiles_[i].key, {.deadline = 4s},
-                [this, i](streampick::Result result) { came(i, std::move(result)); });
+                [this, i](streampick::Result result) { on_result(i, std::move(result)); });
   }
-  void came(std::size_t i, streampick::Result result) {
+  void on_result(std::size_t i, streampick::Result result) {
     using streampick::Status;
     Tile& tile = tiles_[i];
-    if (result.status == Status::rejected && tile.tries < kTries) {
+    if (result.status == Status::rejected && tile.tries < kMaxTries) {
       std::this_thread::sleep_for(std::max<std::chrono::microseconds>(result.retry_after, 20ms));
-      return ask(i);
+      return request(i);
     }
     if (result.status != Status::served)
-      tile.missing = result.status == streampick::Status::not_found ? "no such tile"
-                     : result.late                                  ? "too late"
-                                                                    : "no answer";
+      tile.error = result.status == streampick::Status::not_found ? "no such tile"
+                   : result.late                                  ? "too late"
+                                                                  : "no answer";
     if (result.status == Status::served) {
       bytes_ += result.value.size();
       if (!folder_.empty()) std::ofstream(folder_ / (tile.key + ".tile"), std::ios::binary) << result.value;
@@ -86,7 +86,7 @@
     ++done_;
     all_.notify_one();
   }
-  void show() const {
+  void show_progress() const {
     constexpr std::size_t kWidth = 40;
     const std::size_t full = tiles_.empty() ? kWidth : done_ * kWidth / tiles_.size();
     std::printf("\r[%s%s] %zu of %zu", std::string(full, '#').c_str(),
@@ -97,7 +97,7 @@
   streampick::Client& client_;
   std::vector<Tile> tiles_;
   std::filesystem::path folder_;
-  std::atomic<std::size_t> begun_{0};
+  std::atomic<std::size_t> started_{0};
   std::atomic<std::uint64_t> bytes_{0};
   std::mutex mutex_;
   std::condition_variable all_;
--- a/include/streampick/grpc.h
+++ b/include/streampick/grpc.h
@@ -1,10 +1,10 @@
-// The client library under stubs that gRPC's compiler made: a channel whose unary calls go through a Client.
-// An application keeps its stubs and its calls; what its channel was, a name and credentials, is the Client's
-// configuration now. Nothing of a routed call reaches gRPC's own transport, load balancing or retries.
+// A gRPC channel whose unary calls go through a Client, for stubs that protoc generates. An application keeps
+// its stubs and its calls; the Client's configuration replaces the channel's target and credentials. A routed
+// call never reaches gRPC's own transport, load balancing or retries.
 //
-// What a call's parts become:
+// How a call and its result are mapped:
 //
-//   deadline of the ClientContext     the call's deadline; never longer than the class's
+//   deadline of the ClientContext     the call's deadline, at most the class's
 //   TryCancel()                       Call::cancel()
 //   metadata named in the settings    tenant, idempotency key
 //   Status::served                    OK
@@ -12,11 +12,10 @@
 //   Status::failed, late              DEADLINE_EXCEEDED
 //   Status::not_found                 NOT_FOUND
 //   Status::failed                    UNKNOWN
-//   Status::cancelled                 CANCELLED, or UNAVAILABLE where the client was drained or ended
+//   Status::cancelled                 CANCELLED, or UNAVAILABLE if the client was drained or destroyed
 //   Status::invalid                   INVALID_ARGUMENT
 //
-// Trailing metadata streampick-may-have-run: 1 stands with a failed save that some server may have carried
-// out.
+// The trailing metadata streampick-may-have-run: 1 marks a failed save that some server may have executed.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -31,24 +30,26 @@
 namespace streampick::rpc {
 
 struct ChannelSettings {
-  // Services of this program whose methods' options (streampick.route) are read: "package.Service".
+  // Services of this program, as "package.Service", whose methods are routed by their option
+  // streampick.route.
   std::vector<std::string> services = {};
-  // Beside them, for methods whose service can't be annotated; what is said here comes before an option.
+  // Further routes, for methods whose service cannot be annotated. They take precedence over method options.
   std::vector<Route> routes = {};
-  // Names in a call's metadata, in lower case; empty: none is read.
+  // Keys of a call's metadata, in lower case; empty: not read.
   std::string tenant_metadata = "x-org", idempotency_metadata = "idempotency-key";
-  // The table [grpc] of an options file: its routes and names come before what is said here.
+  // An options file. The routes and metadata keys of its table [grpc] take precedence over those above.
   std::string options_path = {};
-  // Where calls go that no route names, streaming ones too; empty: they end as UNIMPLEMENTED.
+  // gRPC target for calls without a route, streaming ones too; empty: they end as UNIMPLEMENTED.
   std::string others_target = {};
   std::shared_ptr<grpc::ChannelCredentials> others_credentials = {};
 };
 
-// Calls on the channel are routed by `client`, which is kept for as long as the channel is. Its callbacks run
-// the application's: those of the callback API run where the client's callbacks do. Only for stubs that the
-// compiler made from .proto files: a GenericStub's messages are of another type, and can't be told apart.
-// Throws ClientError, with one line, for a service or method that this program lacks, a streaming method, a
-// class that the settings lack or whose effect does not fit, a field that is not there or can't be used.
+// Calls on the channel are routed by `client`, which the channel keeps alive. Callbacks of gRPC's callback
+// API run where the client's callbacks run. The channel is only for stubs that protoc generates from .proto
+// files: a GenericStub's messages are of another type, which the channel cannot detect. Throws ClientError,
+// with one line, for a service or method that this program lacks, a streaming method, a class that the
+// settings lack or whose effect does not match, and for a field that does not exist or has an unsuitable
+// type.
 STREAMPICK_API std::shared_ptr<grpc::Channel> open_channel(std::shared_ptr<Client> client,
                                                            const ChannelSettings& settings);
 
--- a/include/streampick/route.h
+++ b/include/streampick/route.h
@@ -1,4 +1,4 @@
-// How a method of a service is routed; streampick/route.proto says the same behind the method itself.
+// How a method of a service is routed. The method option of streampick/route.proto has the same fields.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 struct Route {
   std::string method;         // "package.Service/Method"
-  std::string request_class;  // as the platform's settings name it
+  std::string request_class;  // a name in the platform's settings
   bool save = false;
-  std::string key;    // of fields of the request: "{sheet}/{tile.x}"
-  std::string value;  // the field with the value: of a read's response, of a save's request; empty: all of it
+  std::string key;    // a template of request fields: "{sheet}/{tile.x}"
+  std::string value;  // the value's field in a read's response or a save's request; empty: the whole message
 };
 
 }  // namespace streampick::rpc
--- a/include/streampick/streampick.h
+++ b/include/streampick/streampick.h
@@ -1,5 +1,6 @@
-/* The client library for C and for languages that bind to C: the router inside a host process. What each
- * thing means is said in streampick/client.h. Functions may be called from any thread; strings are copied.
+/* The client library for C and for languages that bind to C: the router inside a host process.
+ * streampick/client.h documents the meaning of each field and function. Functions may be called from any
+ * thread; strings are copied.
  */
 #ifndef STREAMPICK_STREAMPICK_H
 #define STREAMPICK_STREAMPICK_H
@@ -32,15 +33,15 @@
 /* Valid only within the callback. */
 typedef struct streampick_result {
   streampick_status status;
-  const char* value; /* not ended by a zero byte */
+  const char* value; /* not null-terminated */
   size_t value_size;
   const char* content_type; /* never null */
   const char* reason;       /* never null */
-  int64_t retry_after_us;   /* of a refusal; 0: no advice */
+  int64_t retry_after_us;   /* of STREAMPICK_REFUSED; 0: no advice */
   int late, absent, may_have_run;
 } streampick_result;
 
-/* Null, or all zero, is every default. Strings may be null. */
+/* A null pointer or an all-zero struct selects all defaults. Strings may be null. */
 typedef struct streampick_options {
   const char* request_class;
   const char* tenant;
@@ -49,17 +50,17 @@
   int64_t deadline_us;
 } streampick_options;
 
-/* Called once for each call, on a thread of the client's. */
+/* Called once for each call, on one of the client's threads. */
 typedef void (*streampick_callback)(const streampick_result* result, void* user);
 
-/* `config`: the platform's configuration as JSON text. Null when it can't be used: then `error`, of
- * `error_size` bytes, holds one line that says why, ended by a zero byte. */
+/* `config`: the platform's configuration as JSON text. Returns null if it is invalid; then `error`, a buffer
+ * of `error_size` bytes, holds a null-terminated line that gives the reason. */
 STREAMPICK_C_API streampick_client* streampick_open(const char* config, char* error, size_t error_size);
-/* Open calls end as withdrawn first. Null does nothing. */
+/* Ends open calls with STREAMPICK_WITHDRAWN first. Null does nothing. */
 STREAMPICK_C_API void streampick_close(streampick_client* client);
 
-/* Each returns a call to be given to streampick_release, or null where the memory is used up; then no
- * callback comes. `key` is ended by a zero byte. */
+/* Each returns a call that must be passed to streampick_release, or null if there is not enough memory; then
+ * the callback is never called. `key` is null-terminated. */
 STREAMPICK_C_API streampick_call* streampick_get(streampick_client* client, const char* key,
                                                  const streampick_options* options,
                                                  streampick_callback callback, void* user);
@@ -68,11 +69,11 @@
                                                  const streampick_options* options,
                                                  streampick_callback callback, void* user);
 STREAMPICK_C_API void streampick_cancel(streampick_call* call);
-/* Forgets the handle; the call goes on. Null does nothing. */
+/* Frees the handle; the call continues. Null does nothing. */
 STREAMPICK_C_API void streampick_release(streampick_call* call);
-/* Takes no more calls and waits for the open ones; what is left after `longest_us` ends as withdrawn. Returns
- * 1 when none was left. */
-STREAMPICK_C_API int streampick_drain(streampick_client* client, int64_t longest_us);
+/* Accepts no more calls and waits for the open ones; those still open after `timeout_us` end with
+ * STREAMPICK_WITHDRAWN. Returns 1 if there were none. */
+STREAMPICK_C_API int streampick_drain(streampick_client* client, int64_t timeout_us);
 
 #ifdef __cplusplus
 }
--- a/src/grpc/answer.cpp
+++ b/src/grpc/answer.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-grpc::Status said(grpc::StatusCode code, std::string reason, const char* otherwise) {
-  return {code, reason.empty() ? otherwise : std::move(reason)};
+grpc::Status make_status(grpc::StatusCode code, std::string reason, const char* default_reason) {
+  return {code, reason.empty() ? default_reason : std::move(reason)};
 }
 
 grpc::Status status_of(Result& result, bool cancelled) {
@@ -13,26 +13,29 @@
   switch (result.status) {
     case Status::served: return grpc::Status::OK;
     case Status::rejected:
-      return said(StatusCode::UNAVAILABLE, std::move(result.reason), "refused; nothing ran");
+      return make_status(StatusCode::UNAVAILABLE, std::move(result.reason), "rejected; nothing ran");
     case Status::cancelled:
-      return cancelled ? said(StatusCode::CANCELLED, {}, "cancelled by the caller")
-                       : said(StatusCode::UNAVAILABLE, std::move(result.reason), "the client has ended");
+      return cancelled
+                 ? make_status(StatusCode::CANCELLED, {}, "cancelled by the caller")
+                 : make_status(StatusCode::UNAVAILABLE, std::move(result.reason), "the client is closed");
     case Status::invalid:
-      return said(StatusCode::INVALID_ARGUMENT, std::move(result.reason), "it could never be sent");
+      return make_status(StatusCode::INVALID_ARGUMENT, std::move(result.reason),
+                         "the arguments of the call are invalid");
     case Status::not_found:
-      return said(StatusCode::NOT_FOUND, std::move(result.reason), "there is no such key");
+      return make_status(StatusCode::NOT_FOUND, std::move(result.reason), "the key does not exist");
     case Status::failed: break;
   }
   if (result.late)
-    return said(StatusCode::DEADLINE_EXCEEDED, std::move(result.reason), "no answer within the deadline");
-  // Not UNAVAILABLE: what stands for that in most callers' settings is asked again.
-  return said(StatusCode::UNKNOWN, std::move(result.reason), "no server gave an answer that could be used");
+    return make_status(StatusCode::DEADLINE_EXCEEDED, std::move(result.reason),
+                       "no answer within the deadline");
+  // Not UNAVAILABLE: most callers' settings retry that code, and the request may have run.
+  return make_status(StatusCode::UNKNOWN, std::move(result.reason), "no server gave a usable answer");
 }
 
 }  // namespace
 
-Answer answer_of(Result result, bool cancelled, bool over) {
-  if (result.status == Status::rejected && over) {
+Answer answer_of(Result result, bool cancelled, bool deadline_passed) {
+  if (result.status == Status::rejected && deadline_passed) {
     result.status = Status::failed;
     result.late = true;
   }
@@ -40,7 +43,7 @@
   out.status = status_of(result, cancelled);
   out.value = std::move(result.value);
   if (result.status == Status::rejected) {
-    // Rounded up: who comes back a moment early is refused again.
+    // Rounded up: a caller that retries too early would be rejected again.
     const auto wait = std::chrono::ceil<std::chrono::milliseconds>(result.retry_after).count();
     if (wait > 0) out.trailing.emplace_back(kPushback, std::to_string(wait));
   }
--- a/src/grpc/call_deadline.h
+++ b/src/grpc/call_deadline.h
@@ -1,5 +1,5 @@
-// How long a call may take. gRPC tells its deadline as a time of the system's wall clock; from the call's
-// beginning on it is a span of monotonic time, which no step of the wall clock lengthens or cuts.
+// The deadline of a gRPC call. gRPC states it as a time of the wall clock; at the start of the call it is
+// converted to monotonic time, so that a step of the wall clock does not move it.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace streampick::rpc {
 
-/// The clocks that a call reads. Tests give one whose wall clock steps. For any thread.
+/// The clocks that a call reads; tests replace them. May be used from any thread.
 class CallClock {
  public:
   virtual ~CallClock() = default;
@@ -17,13 +17,13 @@
 
 class CallDeadline {
  public:
-  /// `deadline` as a ClientContext has it; time_point::max(): none. `clock` outlives it.
+  /// `deadline`: the ClientContext's; time_point::max(): none. `clock` must outlive the CallDeadline.
   CallDeadline(std::chrono::system_clock::time_point deadline, const CallClock& clock) : clock_(&clock) {
     if (deadline == std::chrono::system_clock::time_point::max()) return;
     left_ = std::chrono::floor<std::chrono::microseconds>(deadline - clock.wall());
     end_ = clock.monotonic() + *left_;
   }
-  /// What was left when the call began, zero or less where it was over; none: it has no deadline.
+  /// The time from the start of the call to the deadline, zero or less if it had passed; none: no deadline.
   std::optional<std::chrono::microseconds> left() const { return left_; }
   bool is_over() const { return end_ && clock_->monotonic() >= *end_; }
 
--- a/src/grpc/channel.cpp
+++ b/src/grpc/channel.cpp
@@ -17,15 +17,15 @@
 
 namespace {
 
-// Calls may end after their channel, also while the process ends: it is never destroyed.
+// Never destroyed: calls may end after their channel, even while the process exits.
 const CallClock& system_clocks = *new CallClock;
 
 Options load(const std::string& path) {
   if (path.empty()) return {};
   std::ifstream file(path);
-  if (!file) throw options::Error(path + ": it can't be read");
+  if (!file) throw options::Error(path + ": the file cannot be read");
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-  // The other tables are other parts'.
+  // Other tables of the file are for other components.
   options::Table root = options::Table::parse(text, path);
   auto table = root.table("grpc");
   return table ? read_options(std::move(*table)) : Options{};
@@ -33,14 +33,17 @@
 
 class Factory final : public grpc::experimental::ClientInterceptorFactoryInterface {
  public:
-  Factory(std::shared_ptr<Client> client, RouteTable table, MetadataNames names, bool others)
-      : client_(std::move(client)), table_(std::move(table)), names_(std::move(names)), others_(others) {}
+  Factory(std::shared_ptr<Client> client, RouteTable table, MetadataNames names, bool pass_unrouted)
+      : client_(std::move(client)),
+        table_(std::move(table)),
+        names_(std::move(names)),
+        passes_unrouted_(pass_unrouted) {}
 
   grpc::experimental::Interceptor* CreateClientInterceptor(grpc::experimental::ClientRpcInfo* call) override {
     const CompiledRoute* const route = table_.find(call->method());
     if (route != nullptr)
       return new RoutedCall(*client_, *route, names_, system_clocks, call->client_context());
-    if (others_) return nullptr;  // it goes on as if there were no interceptor
+    if (passes_unrouted_) return nullptr;  // the call uses gRPC's own transport
     return new UnroutedCall(call->method());
   }
 
@@ -48,32 +51,33 @@
   std::shared_ptr<Client> client_;
   RouteTable table_;
   MetadataNames names_;
-  bool others_;
+  bool passes_unrouted_;
 };
 
 }  // namespace
 
 std::shared_ptr<grpc::Channel> open_channel(std::shared_ptr<Client> client, const ChannelSettings& settings) {
-  if (client == nullptr) throw ClientError("streampick channel: there is no client");
+  if (client == nullptr) throw ClientError("streampick channel: the client is null");
   std::unique_ptr<Factory> factory;
-  const bool others = !settings.others_target.empty();
+  const bool pass_unrouted = !settings.others_target.empty();
   try {
-    Options told = load(settings.options_path);
-    for (const Route& route : settings.routes) told.routes.push_back(route);
-    RouteTable table(told.routes, settings.services, *google::protobuf::DescriptorPool::generated_pool(),
+    Options file_options = load(settings.options_path);
+    for (const Route& route : settings.routes) file_options.routes.push_back(route);
+    RouteTable table(file_options.routes, settings.services,
+                     *google::protobuf::DescriptorPool::generated_pool(),
                      [&](const std::string& name) { return client->is_safe(name); });
-    MetadataNames names{told.tenant_metadata.value_or(settings.tenant_metadata),
-                        told.idempotency_metadata.value_or(settings.idempotency_metadata)};
-    factory = std::make_unique<Factory>(std::move(client), std::move(table), std::move(names), others);
+    MetadataNames names{file_options.tenant_metadata.value_or(settings.tenant_metadata),
+                        file_options.idempotency_metadata.value_or(settings.idempotency_metadata)};
+    factory = std::make_unique<Factory>(std::move(client), std::move(table), std::move(names), pass_unrouted);
   } catch (const std::runtime_error& error) {
     throw ClientError(std::string("streampick channel: ") + error.what());
   }
   std::vector<std::unique_ptr<grpc::experimental::ClientInterceptorFactoryInterface>> creators;
   creators.push_back(std::move(factory));
-  // Where there are no others the target is never looked at: gRPC connects with a call's first batch, and no
-  // call has one.
+  // Without others_target gRPC never connects to the target: it connects when a call's first batch reaches
+  // its core, and every call is intercepted before that.
   return grpc::experimental::CreateCustomChannelWithInterceptors(
-      others ? settings.others_target : "ipv4:127.0.0.1:9",
+      pass_unrouted ? settings.others_target : "ipv4:127.0.0.1:9",
       settings.others_credentials ? settings.others_credentials : grpc::InsecureChannelCredentials(),
       grpc::ChannelArguments(), std::move(creators));
 }
--- a/src/grpc/key_template.cpp
+++ b/src/grpc/key_template.cpp
@@ -9,44 +9,43 @@
 using google::protobuf::Message;
 
 namespace {
-constexpr std::size_t kLongest = 1024, kMostPieces = 64;
+constexpr std::size_t kMaxLength = 1024, kMaxPieces = 64;
 }
 
 KeyTemplate::KeyTemplate(std::string_view text, const Descriptor& request) {
-  const auto wrong = [&](const std::string& why) -> RouteError {
-    return RouteError("key \"" + std::string(text.substr(0, 80)) + "\": " + why);
+  const auto error = [&](const std::string& reason) -> RouteError {
+    return RouteError("key \"" + std::string(text.substr(0, 80)) + "\": " + reason);
   };
-  if (text.size() > kLongest) throw wrong("it is longer than 1024 characters");
+  if (text.size() > kMaxLength) throw error("it is longer than 1024 characters");
   escaped_.set('%');
-  bool fields = false;
+  bool has_fields = false;
   for (std::size_t at = 0; at < text.size();) {
-    if (pieces_.size() == kMostPieces) throw wrong("it has more than 64 pieces");
+    if (pieces_.size() == kMaxPieces) throw error("it has more than 64 pieces");
     const std::size_t open = text.find('{', at);
     if (open != at) {
       const std::string_view plain = text.substr(at, open == std::string_view::npos ? open : open - at);
-      if (plain.find('}') != std::string_view::npos) throw wrong("a } that closes nothing");
+      if (plain.find('}') != std::string_view::npos) throw error("a } has no matching {");
       for (const char c : plain) escaped_.set(static_cast<unsigned char>(c));
       pieces_.push_back({std::string(plain)});
       at += plain.size();
       continue;
     }
     const std::size_t close = text.find('}', open);
-    if (close == std::string_view::npos) throw wrong("a { that is not closed");
-    if (!pieces_.empty() && !pieces_.back().path.empty())
-      throw wrong("two fields need something between them");
+    if (close == std::string_view::npos) throw error("a { is not closed");
+    if (!pieces_.empty() && !pieces_.back().path.empty()) throw error("two fields need text between them");
     const std::string name(text.substr(open + 1, close - open - 1));
     try {
-      pieces_.push_back({name, find(name, request)});
-    } catch (const RouteError& error) {
-      throw wrong(error.what());
+      pieces_.push_back({name, resolve(name, request)});
+    } catch (const RouteError& cause) {
+      throw error(cause.what());
     }
-    fields = true;
+    has_fields = true;
     at = close + 1;
   }
-  if (!fields) throw wrong("it names no field: all requests would have one key");
+  if (!has_fields) throw error("it contains no field, so all requests would have the same key");
 }
 
-KeyTemplate::Path KeyTemplate::find(const std::string& name, const Descriptor& request) const {
+KeyTemplate::Path KeyTemplate::resolve(const std::string& name, const Descriptor& request) const {
   Path out;
   const Descriptor* in = &request;
   for (std::size_t at = 0;;) {
@@ -61,10 +60,10 @@
       const bool number = field->cpp_type() == FieldDescriptor::CPPTYPE_FLOAT ||
                           field->cpp_type() == FieldDescriptor::CPPTYPE_DOUBLE;
       if (message || number)
-        throw RouteError("the field '" + name + "' is no whole number, bool, enum, string or bytes");
+        throw RouteError("the field '" + name + "' is not an integer, bool, enum, string or bytes");
       return out;
     }
-    if (!message) throw RouteError("the field '" + part + "' is no message");
+    if (!message) throw RouteError("the field '" + part + "' is not a message");
     in = field->message_type();
     at = dot + 1;
   }
@@ -99,7 +98,7 @@
     case FieldDescriptor::CPPTYPE_UINT64: out += std::to_string(of.GetUInt64(*in, field)); return true;
     case FieldDescriptor::CPPTYPE_BOOL: out += of.GetBool(*in, field) ? "1" : "0"; return true;
     case FieldDescriptor::CPPTYPE_ENUM: out += std::to_string(of.GetEnumValue(*in, field)); return true;
-    default: {  // a string or bytes: find() takes nothing else
+    default: {  // a string or bytes: resolve() accepts no other type
       std::string scratch;
       const std::string& text = of.GetStringReference(*in, field, &scratch);
       escape(text, out);
@@ -108,13 +107,13 @@
   }
 }
 
-bool KeyTemplate::key(const Message& request, std::string& out, std::string& why) const {
+bool KeyTemplate::key(const Message& request, std::string& out, std::string& error) const {
   out.clear();
   for (const Piece& piece : pieces_) {
     if (piece.path.empty()) {
       out += piece.text;
     } else if (!append(piece.path, request, out)) {
-      why = "the field '" + piece.text + "' is needed for the key, and empty";
+      error = "the field '" + piece.text + "' is needed for the key but is empty";
       return false;
     }
   }
--- a/src/grpc/options.cpp
+++ b/src/grpc/options.cpp
@@ -7,30 +7,30 @@
 
 namespace {
 
-// A metadata key as HTTP/2 has it: lower case, and no binary one.
+// Reads a metadata key. HTTP/2 needs lower case; keys of binary metadata are not accepted.
 void metadata_name(options::Table& table, const char* key, std::optional<std::string>& out) {
   std::string name;
   if (!table.string(key, name, 64)) return;
   const bool fits = std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
   });
-  if (!fits) table.reject(key, "a metadata key has lower-case letters, digits, -, _ and .");
-  if (name.ends_with("-bin")) table.reject(key, "a binary metadata key can't be read");
+  if (!fits) table.reject(key, "a metadata key may contain only lower-case letters, digits, -, _ and .");
+  if (name.ends_with("-bin")) table.reject(key, "binary metadata (-bin) is not supported");
   out = std::move(name);
 }
 
 Route read_route(options::Table table) {
   Route out;
-  if (!table.string("method", out.method)) table.reject("", "a route needs its method");
+  if (!table.string("method", out.method)) table.reject("", "a route needs a method");
   const std::size_t slash = out.method.find('/');
   if (slash == std::string::npos || slash == 0 || slash + 1 == out.method.size())
-    table.reject("method", "it is written package.Service/Method");
+    table.reject("method", "the format is package.Service/Method");
   std::string save;
   const bool reads = table.string("read", out.request_class), saves = table.string("save", save);
-  if (reads == saves) table.reject("", "a route has either read or save, a class");
+  if (reads == saves) table.reject("", "a route needs either read or save, with a request class");
   if (saves) out.request_class = std::move(save);
   out.save = saves;
-  if (!table.string("key", out.key, 1024)) table.reject("", "a route needs its key");
+  if (!table.string("key", out.key, 1024)) table.reject("", "a route needs a key");
   table.string("value", out.value);
   table.reject_unknown_keys();
   return out;
@@ -47,7 +47,7 @@
     const std::string& method = out.routes.back().method;
     const auto same = [&](const Route& one) { return one.method == method; };
     if (std::count_if(out.routes.begin(), out.routes.end(), same) > 1)
-      table.reject("route", method + " is named twice");
+      table.reject("route", method + " has two routes");
   }
   table.reject_unknown_keys();
   return out;
--- a/src/grpc/options.h
+++ b/src/grpc/options.h
@@ -1,5 +1,5 @@
-// The table [grpc] of the options file: for programs with stubs on a routed channel. The daemon checks it and
-// takes nothing of it.
+// Reads the table [grpc] of the options file, for programs that use stubs on a routed channel. The daemon
+// only checks it.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 namespace streampick::rpc {
 
 struct Options {
-  std::optional<std::string> tenant_metadata, idempotency_metadata;  // set where the file names them
+  std::optional<std::string> tenant_metadata, idempotency_metadata;  // set if the file sets them
   std::vector<Route> routes;
 };
 
--- a/src/grpc/route_table.cpp
+++ b/src/grpc/route_table.cpp
@@ -24,7 +24,7 @@
 
 const Message& prototype(const Descriptor& type) {
   const Message* const out = google::protobuf::MessageFactory::generated_factory()->GetPrototype(&type);
-  if (out == nullptr) throw RouteError(type.full_name() + " is no type of this program");
+  if (out == nullptr) throw RouteError(type.full_name() + " is not a message type of this program");
   return *out;
 }
 
@@ -44,9 +44,9 @@
     throw RouteError("a streaming method can't be routed");
 }
 
-bool CompiledRoute::read(const Message& request, const std::string& serialized, Asked& out,
-                         std::string& why) const {
-  if (!key_.key(request, out.key, why)) return false;
+bool CompiledRoute::read(const Message& request, const std::string& serialized, KeyValue& out,
+                         std::string& error) const {
+  if (!key_.key(request, out.key, error)) return false;
   if (!save_) return true;
   if (value_ == nullptr) {
     out.value = serialized;
@@ -57,7 +57,7 @@
 }
 
 bool CompiledRoute::fill(std::string value, google::protobuf::MessageLite& response) const {
-  if (save_) return true;  // what a save is answered with is no message of the application's
+  if (save_) return true;  // the server's answer to a save is not a message of the application
   if (value_ == nullptr) return response.ParseFromString(value);
   auto* const message = dynamic_cast<Message*>(&response);
   if (message == nullptr || message->GetDescriptor() != value_->containing_type()) return false;
@@ -72,33 +72,35 @@
     if (const std::size_t slash = name.find('/'); slash != std::string::npos) name[slash] = '.';
     const MethodDescriptor* const method = pool.FindMethodByName(name);
     if (method == nullptr) throw RouteError("route '" + route.method + "': this program has no such method");
-    if (routes_.contains(path_of(*method))) throw RouteError("route '" + route.method + "': named twice");
+    if (routes_.contains(path_of(*method)))
+      throw RouteError("route '" + route.method + "': the method has two routes");
     add(route, *method, classes);
   }
   for (const std::string& name : services) {
     const auto* const service = pool.FindServiceByName(name);
-    if (service == nullptr) throw RouteError("service '" + name + "': this program has none of that name");
-    bool some = false;
+    if (service == nullptr) throw RouteError("service '" + name + "': this program has no such service");
+    bool has_routes = false;
     for (int i = 0; i < service->method_count(); ++i) {
       const MethodDescriptor& method = *service->method(i);
       if (routes_.contains(path_of(method))) {
-        some = true;
+        has_routes = true;
         continue;
       }
       if (!method.options().HasExtension(streampick::route)) continue;
-      const streampick::Route& told = method.options().GetExtension(streampick::route);
+      const streampick::Route& option = method.options().GetExtension(streampick::route);
       Route route;
       route.method = name + "/" + method.name();
-      route.save = told.kind_case() == streampick::Route::kSave;
-      route.request_class = route.save ? told.save() : told.read();
-      route.key = told.key();
-      route.value = told.value();
+      route.save = option.kind_case() == streampick::Route::kSave;
+      route.request_class = route.save ? option.save() : option.read();
+      route.key = option.key();
+      route.value = option.value();
       add(route, method, classes);
-      some = true;
+      has_routes = true;
     }
-    if (!some) throw RouteError("service '" + name + "': no method of it has the option streampick.route");
+    if (!has_routes)
+      throw RouteError("service '" + name + "': none of its methods has the option streampick.route");
   }
-  if (routes_.empty()) throw RouteError("neither routes nor services are named");
+  if (routes_.empty()) throw RouteError("neither routes nor services are given");
 }
 
 void RouteTable::add(const Route& route, const MethodDescriptor& method, const Classes& classes) {
--- a/src/grpc/route_table.h
+++ b/src/grpc/route_table.h
@@ -1,4 +1,5 @@
-// Which method goes how: routes compiled against the program's types, once, when a channel is opened. No I/O.
+// The routes of a channel, by method. They are compiled against the program's types once, when the channel is
+// opened. No I/O.
 #pragma once
 
 #include <google/protobuf/descriptor.h>
@@ -25,13 +26,14 @@
   const std::string& request_class() const { return class_; }
   const google::protobuf::Message& request_type() const { return *request_type_; }
 
-  struct Asked {
-    std::string key, value;  // the value is a save's
+  struct KeyValue {
+    std::string key, value;  // value: of a save
   };
-  // Of a request of its type; `serialized` is the same on the wire. Returns false, and why.
-  bool read(const google::protobuf::Message& request, const std::string& serialized, Asked& out,
-            std::string& why) const;
-  // Puts what a server answered into a response of the method's type. Returns false where it does not fit.
+  // Reads the key and value of a request; `serialized` is the request in wire format. Returns false and sets
+  // `error` if the request lacks a field of the key.
+  bool read(const google::protobuf::Message& request, const std::string& serialized, KeyValue& out,
+            std::string& error) const;
+  // Stores a server's answer in a response of the method's type. Returns false if it cannot be parsed.
   bool fill(std::string value, google::protobuf::MessageLite& response) const;
 
  private:
@@ -44,14 +46,14 @@
 
 class RouteTable {
  public:
-  // Whether a class is safe; nothing: there is none of that name.
+  // Returns whether a class is safe; nothing if there is no such class.
   using Classes = std::function<std::optional<bool>(const std::string& name)>;
 
-  // `routes` come before what the options of `services`' methods say. Throws RouteError.
+  // `routes` take precedence over the method options of `services`. Throws RouteError.
   RouteTable(const std::vector<Route>& routes, const std::vector<std::string>& services,
              const google::protobuf::DescriptorPool& pool, const Classes& classes);
 
-  // `path`: as gRPC has it, "/package.Service/Method". Null: no route.
+  // `path`: as in gRPC, "/package.Service/Method". Returns null if the method has no route.
   const CompiledRoute* find(std::string_view path) const;
   std::size_t size() const { return routes_.size(); }
 
--- a/src/grpc/routed_call.cpp
+++ b/src/grpc/routed_call.cpp
@@ -26,7 +26,7 @@
   return out;
 }
 
-std::string one_of(const std::multimap<std::string, std::string>& metadata, const std::string& name) {
+std::string metadata_value(const std::multimap<std::string, std::string>& metadata, const std::string& name) {
   if (name.empty()) return {};
   const auto found = metadata.find(name);
   return found == metadata.end() ? std::string{} : found->second;
@@ -34,22 +34,22 @@
 
 }  // namespace
 
-// Joins the call's end, which comes on a thread of the client's, with the batches that wait for it. It
-// outlives the call where an application drops its context early.
+// Connects the call's result, which arrives on one of the client's threads, with the batches that wait for
+// it. It outlives the call if an application destroys its context early.
 struct RoutedCall::State {
   std::mutex mutex;
   std::optional<Answer> answer;
   std::vector<InterceptorBatchMethods*> waiting;
   Call call;
-  bool cancelled = false, begun = false;
+  bool cancelled = false, started = false;
 
-  void answered(Answer ended, const CompiledRoute* route) {
+  void set_answer(Answer result, const CompiledRoute* route) {
     std::unique_lock lock(mutex);
     if (answer) return;
-    answer = std::move(ended);
+    answer = std::move(result);
     const auto batches = std::exchange(waiting, {});
     lock.unlock();
-    // The last may end the call, and this with it where nothing else holds it.
+    // The last batch may end the call, which destroys this State unless something else owns it.
     for (InterceptorBatchMethods* batch : batches) fill(batch, *route);
   }
   void receive(InterceptorBatchMethods* batch, const CompiledRoute& route) {
@@ -63,7 +63,8 @@
     if (batch->QueryInterceptionHookPoint(InterceptionHookPoints::PRE_RECV_MESSAGE)) {
       auto* const response = static_cast<google::protobuf::MessageLite*>(batch->GetRecvMessage());
       if (answer->status.ok() && response != nullptr && !route.fill(std::move(answer->value), *response))
-        answer->status = {grpc::StatusCode::INTERNAL, "the value that was read is no such message"};
+        answer->status = {grpc::StatusCode::INTERNAL,
+                          "the value that was read cannot be parsed as the response message"};
       if (!answer->status.ok()) batch->FailHijackedRecvMessage();
     }
     if (batch->QueryInterceptionHookPoint(InterceptionHookPoints::PRE_RECV_STATUS)) {
@@ -73,7 +74,7 @@
     }
     batch->Proceed();
   }
-  bool given_up() {
+  bool is_cancelled() {
     const std::lock_guard lock(mutex);
     return cancelled;
   }
@@ -81,9 +82,9 @@
     std::unique_lock lock(mutex);
     if (answer) return;
     cancelled = true;
-    const Call mine = call;
+    const Call handle = call;
     lock.unlock();
-    mine.cancel();
+    handle.cancel();
   }
 };
 
@@ -104,12 +105,12 @@
   const bool first = batch->QueryInterceptionHookPoint(Point::PRE_SEND_INITIAL_METADATA);
   if (first) {
     if (const auto* const metadata = batch->GetSendInitialMetadata()) {
-      options_.tenant = one_of(*metadata, names_.tenant);
-      options_.idempotency_key = one_of(*metadata, names_.idempotency);
+      options_.tenant = metadata_value(*metadata, names_.tenant);
+      options_.idempotency_key = metadata_value(*metadata, names_.idempotency);
     }
   }
   if (batch->QueryInterceptionHookPoint(Point::PRE_SEND_MESSAGE)) begin(batch->GetSerializedSendMessage());
-  // What comes next may run on another thread before this returns, and end the call.
+  // The next batch may run on another thread and end the call before this function returns.
   if (first) return batch->Hijack();
   if (batch->QueryInterceptionHookPoint(Point::PRE_RECV_MESSAGE) ||
       batch->QueryInterceptionHookPoint(Point::PRE_RECV_STATUS)) {
@@ -120,32 +121,34 @@
 }
 
 void RoutedCall::begin(const grpc::ByteBuffer* message) {
-  if (std::exchange(state_->begun, true)) return;
-  const auto fail = [&](grpc::StatusCode code, const std::string& why) {
-    state_->answered({{code, why}, {}, {}}, &route_);
+  if (std::exchange(state_->started, true)) return;
+  const auto fail = [&](grpc::StatusCode code, const std::string& error) {
+    state_->set_answer({{code, error}, {}, {}}, &route_);
   };
-  if (state_->given_up()) return fail(grpc::StatusCode::CANCELLED, "cancelled before it began");
+  if (state_->is_cancelled()) return fail(grpc::StatusCode::CANCELLED, "cancelled before the call was sent");
   const std::string serialized = message == nullptr ? std::string{} : bytes_of(*message);
   const std::unique_ptr<google::protobuf::Message> request(route_.request_type().New());
   if (!request->ParseFromString(serialized))
-    return fail(grpc::StatusCode::INTERNAL, "the request is no message of its method");
-  CompiledRoute::Asked asked;
-  std::string why;
-  if (!route_.read(*request, serialized, asked, why)) return fail(grpc::StatusCode::INVALID_ARGUMENT, why);
+    return fail(grpc::StatusCode::INTERNAL, "the request cannot be parsed as the method's request message");
+  CompiledRoute::KeyValue input;
+  std::string error;
+  if (!route_.read(*request, serialized, input, error))
+    return fail(grpc::StatusCode::INVALID_ARGUMENT, error);
   const CallDeadline deadline(context_->deadline(), clock_);
   if (const auto left = deadline.left()) {
     if (left->count() <= 0)
-      return fail(grpc::StatusCode::DEADLINE_EXCEEDED, "its time was up before it began");
+      return fail(grpc::StatusCode::DEADLINE_EXCEEDED, "the deadline passed before the call was sent");
     options_.deadline = *left;
   }
   options_.request_class = route_.request_class();
-  // The route outlives the channel's calls, and the state this object.
-  const auto ended = [state = state_, route = &route_, deadline](Result result) {
-    const bool cancelled = state->given_up();
-    state->answered(answer_of(std::move(result), cancelled, deadline.is_over()), route);
+  // The callback may run after this object is destroyed: it shares the state, and the route outlives the
+  // call.
+  const auto on_result = [state = state_, route = &route_, deadline](Result result) {
+    const bool cancelled = state->is_cancelled();
+    state->set_answer(answer_of(std::move(result), cancelled, deadline.is_over()), route);
   };
-  Call call = route_.save() ? client_.put(asked.key, std::move(asked.value), options_, ended)
-                            : client_.get(asked.key, options_, ended);
+  Call call = route_.save() ? client_.put(input.key, std::move(input.value), options_, on_result)
+                            : client_.get(input.key, options_, on_result);
   std::unique_lock lock(state_->mutex);
   state_->call = call;
   const bool cancelled = state_->cancelled;
@@ -161,7 +164,7 @@
     batch->FailHijackedSendMessage();
   if (batch->QueryInterceptionHookPoint(Point::PRE_RECV_MESSAGE)) batch->FailHijackedRecvMessage();
   if (batch->QueryInterceptionHookPoint(Point::PRE_RECV_STATUS))
-    *batch->GetRecvStatus() = {grpc::StatusCode::UNIMPLEMENTED, "no route names " + method_};
+    *batch->GetRecvStatus() = {grpc::StatusCode::UNIMPLEMENTED, "no route for method " + method_};
   if (batch->QueryInterceptionHookPoint(Point::PRE_SEND_INITIAL_METADATA)) return batch->Hijack();
   batch->Proceed();
 }
--- a/src/grpc/routed_call.h
+++ b/src/grpc/routed_call.h
@@ -1,11 +1,10 @@
-// One unary call of a stub, carried out by a Client in place of gRPC's transport.
+// A unary call of a stub that a Client executes instead of gRPC's transport.
 //
-// gRPC runs an interceptor at points of a call. At the first, before anything is sent, this one takes the
-// call over (hijacks it): from then on nothing of it reaches gRPC's core but empty batches, so neither a
-// connection nor a name, a load balancer or a retry of gRPC's has a part in it. It is taken over at once and
-// not only when the answer is there: a stub may start the batch that waits for the answer at any time, and
-// gRPC asks at that batch's start whether the call was taken over. That later batch is what is held until the
-// answer.
+// gRPC runs an interceptor at several points of a call. At the first one, before anything is sent, this
+// interceptor hijacks the call: after that only empty batches reach gRPC's core, which neither resolves a
+// name nor connects, balances or retries. It hijacks at once rather than when the result is known: a stub may
+// start the batch that receives the response at any time, and gRPC checks at the start of that batch whether
+// the call was hijacked. The interceptor holds that batch until the result is known.
 #pragma once
 
 #include <grpcpp/client_context.h>
@@ -26,7 +25,7 @@
 
 class RoutedCall final : public grpc::experimental::Interceptor {
  public:
-  // All but `context` outlive the call, and `clock` the client's calls too.
+  // All arguments but `context` must outlive the call; `clock` must also outlive the client's calls.
   RoutedCall(Client& client, const CompiledRoute& route, const MetadataNames& names, const CallClock& clock,
              grpc::ClientContext* context);
   ~RoutedCall() override;
@@ -45,7 +44,7 @@
   std::shared_ptr<State> state_;
 };
 
-// A call that no route names, where there is nowhere else for it to go.
+// A call without a route, on a channel without others_target: it ends as UNIMPLEMENTED.
 class UnroutedCall final : public grpc::experimental::Interceptor {
  public:
   explicit UnroutedCall(const char* method) : method_(method) {}
--- a/src/plugin/c_api.cpp
+++ b/src/plugin/c_api.cpp
@@ -17,20 +17,20 @@
 
 namespace {
 
-std::string text(const char* from) { return from == nullptr ? std::string() : std::string(from); }
+std::string string_or_empty(const char* from) { return from == nullptr ? std::string() : std::string(from); }
 
-streampick::CallOptions read(const streampick_options* options) {
+streampick::CallOptions call_options(const streampick_options* options) {
   streampick::CallOptions out;
   if (options == nullptr) return out;
-  out.request_class = text(options->request_class);
-  out.tenant = text(options->tenant);
-  out.idempotency_key = text(options->idempotency_key);
-  out.content_type = text(options->content_type);
+  out.request_class = string_or_empty(options->request_class);
+  out.tenant = string_or_empty(options->tenant);
+  out.idempotency_key = string_or_empty(options->idempotency_key);
+  out.content_type = string_or_empty(options->content_type);
   out.deadline = std::chrono::microseconds(options->deadline_us);
   return out;
 }
 
-streampick::Client::Callback wrap(streampick_callback callback, void* user) {
+streampick::Client::Callback cpp_callback(streampick_callback callback, void* user) {
   return [callback, user](const streampick::Result& result) {
     if (callback == nullptr) return;
     const streampick_result out{static_cast<streampick_status>(result.status),
@@ -46,7 +46,7 @@
   };
 }
 
-// No exception may reach a caller that has none.
+// A caller in C cannot handle exceptions.
 template <class Begin>
 streampick_call* begin(Begin call) {
   try {
@@ -61,17 +61,17 @@
 }  // namespace
 
 streampick_client* streampick_open(const char* config, char* error, size_t error_size) {
-  std::string why;
+  std::string message;
   try {
     streampick::ClientSettings settings;
-    settings.config = text(config);
+    settings.config = string_or_empty(config);
     return new streampick_client(settings);
-  } catch (const std::exception& wrong) {
-    why = wrong.what();
+  } catch (const std::exception& exception) {
+    message = exception.what();
   }
   if (error != nullptr && error_size > 0) {
-    const std::size_t size = std::min(why.size(), error_size - 1);
-    std::memcpy(error, why.data(), size);
+    const std::size_t size = std::min(message.size(), error_size - 1);
+    std::memcpy(error, message.data(), size);
     error[size] = '\0';
   }
   return nullptr;
@@ -81,7 +81,9 @@
 
 streampick_call* streampick_get(streampick_client* client, const char* key, const streampick_options* options,
                                 streampick_callback callback, void* user) {
-  return begin([&] { return client->client.get(text(key), read(options), wrap(callback, user)); });
+  return begin([&] {
+    return client->client.get(string_or_empty(key), call_options(options), cpp_callback(callback, user));
+  });
 }
 
 streampick_call* streampick_put(streampick_client* client, const char* key, const char* value,
@@ -89,7 +91,8 @@
                                 streampick_callback callback, void* user) {
   return begin([&] {
     std::string copy = value == nullptr ? std::string() : std::string(value, value_size);
-    return client->client.put(text(key), std::move(copy), read(options), wrap(callback, user));
+    return client->client.put(string_or_empty(key), std::move(copy), call_options(options),
+                              cpp_callback(callback, user));
   });
 }
 
@@ -98,6 +101,6 @@
 }
 void streampick_release(streampick_call* call) { delete call; }
 
-int streampick_drain(streampick_client* client, int64_t longest_us) {
-  return client->client.drain(std::chrono::microseconds(longest_us)) ? 1 : 0;
+int streampick_drain(streampick_client* client, int64_t timeout_us) {
+  return client->client.drain(std::chrono::microseconds(timeout_us)) ? 1 : 0;
 }
--- a/src/plugin/callbacks.cpp
+++ b/src/plugin/callbacks.cpp
@@ -8,18 +8,18 @@
 namespace streampick::plugin {
 
 Workers::Workers(std::size_t threads) : shared_(std::make_shared<Shared>()) {
-  const QuietSignals quiet;
+  const ScopedSignalBlock block_signals;
   for (std::size_t i = 0; i < threads; ++i)
     threads_.emplace_back([shared = shared_] {
       std::unique_lock lock(shared->mutex);
       for (;;) {
-        shared->some.wait(lock, [&] { return shared->ending || !shared->waiting.empty(); });
-        if (shared->waiting.empty()) return;
+        shared->work_available.wait(lock, [&] { return shared->stopping || !shared->queue.empty(); });
+        if (shared->queue.empty()) return;
         {
-          const std::function<void()> what = std::move(shared->waiting.front());
-          shared->waiting.pop_front();
+          const std::function<void()> task = std::move(shared->queue.front());
+          shared->queue.pop_front();
           lock.unlock();
-          what();
+          task();
         }
         lock.lock();
       }
@@ -29,22 +29,22 @@
 Workers::~Workers() {
   {
     const std::lock_guard lock(shared_->mutex);
-    shared_->ending = true;
+    shared_->stopping = true;
   }
-  shared_->some.notify_all();
+  shared_->work_available.notify_all();
   for (std::thread& thread : threads_)
     thread.get_id() == std::this_thread::get_id() ? thread.detach() : thread.join();
 }
 
-void Workers::run(std::function<void()> what) {
+void Workers::run(std::function<void()> task) {
   {
     const std::lock_guard lock(shared_->mutex);
-    shared_->waiting.push_back(std::move(what));
+    shared_->queue.push_back(std::move(task));
   }
-  shared_->some.notify_one();
+  shared_->work_available.notify_one();
 }
 
-bool Workers::inside() const {
+bool Workers::on_worker_thread() const {
   for (const std::thread& thread : threads_)
     if (thread.get_id() == std::this_thread::get_id()) return true;
   return false;
--- a/src/plugin/callbacks.h
+++ b/src/plugin/callbacks.h
@@ -1,4 +1,4 @@
-// Where callbacks run: threads of the client's own, the host's executor, or the client's I/O thread.
+// The threads of a client that run callbacks, unless the host supplies an executor or sets no such threads.
 #pragma once
 
 #include <condition_variable>
@@ -12,25 +12,26 @@
 
 namespace streampick::plugin {
 
-// Runs what it is given on its threads, in the order given, each once. It can be ended from within one of
-// them.
+// A thread pool with one FIFO queue. It may be destroyed by a task that runs on one of its own threads.
 class Workers {
  public:
   explicit Workers(std::size_t threads);
-  ~Workers();  // runs what is still waiting, then ends; a thread that ends it from within is not waited for
+  // Runs the queued tasks and joins the threads. If a task of the pool calls the destructor, the thread that
+  // runs that task is detached instead.
+  ~Workers();
   Workers(const Workers&) = delete;
   Workers& operator=(const Workers&) = delete;
 
-  void run(std::function<void()> what);
-  // Whether the caller runs on one of them.
-  bool inside() const;
+  void run(std::function<void()> task);
+  // Whether the caller runs on one of the pool's threads.
+  bool on_worker_thread() const;
 
  private:
   struct Shared {
     std::mutex mutex;
-    std::condition_variable some;
-    std::deque<std::function<void()>> waiting;
-    bool ending = false;
+    std::condition_variable work_available;
+    std::deque<std::function<void()>> queue;
+    bool stopping = false;
   };
   std::shared_ptr<Shared> shared_;
   std::vector<std::thread> threads_;
--- a/src/plugin/calls.h
+++ b/src/plugin/calls.h
@@ -1,9 +1,9 @@
-// The calls of one client, from begin to end: what of a caller's request reaches the engine, and what the
-// engine's answer is to the caller. No I/O and no thread: it is driven by whoever owns it, on an event loop
-// or on virtual time.
+// The open calls of one client: translates a call into a request to the engine, and the engine's response
+// into the caller's result. It does no I/O and has no thread; its owner drives it, on an event loop or on
+// virtual time.
 //
-// A call ends in one place, finish(), and once: by the engine's answer, its cancel, its time or the end of
-// all. Deadlines are in real time; the engine's own time may leave pauses out (resume.h).
+// Every call ends exactly once, in finish(): by the engine's response, by cancellation, at its deadline or
+// when the client closes. Deadlines are in real time; the engine's time leaves out suspensions (resume.h).
 #pragma once
 
 #include <cstdint>
@@ -20,52 +20,52 @@
 
 namespace streampick::plugin {
 
-// What a caller asks for, once it is found to be well formed.
-struct Asked {
+// A call whose arguments are valid.
+struct CallRequest {
   bool save = false;
   std::uint32_t request_class = 0, tenant = kNone;
-  Time gives_up = 0;  // real us
+  Time deadline = 0;  // us of real time
   std::shared_ptr<engine::Message> message;
 };
 
-// Finds fault with a call before anything of it is sent: `wrong` says it in one line. `default_class` is the
-// class of calls that name none; kNone: the settings have none that fits.
-struct Checked {
-  std::string wrong;
-  Asked asked;
+struct CheckedCall {
+  std::string error;  // one line; empty: the call is valid
+  CallRequest request;
 };
-Checked check_call(const Settings& settings, bool save, std::uint32_t default_class, std::string_view key,
-                   std::string value, const CallOptions& options, Time real_now);
+// Validates a call's arguments before anything is sent. `default_class` is the class of a call that names
+// none; kNone: the settings have no suitable class.
+CheckedCall check_call(const Settings& settings, bool save, std::uint32_t default_class, std::string_view key,
+                       std::string value, const CallOptions& options, Time real_now);
 
-// The engine's answer in the caller's words. `late`: the caller's time is up.
+// Translates the engine's response. `late`: the caller's deadline has passed.
 Result result_of(engine::Response reply, bool save, bool late);
 
 class Calls final : public engine::Downstream {
  public:
-  class Open : public engine::ResponseSink, public std::enable_shared_from_this<Open> {
+  class OpenCall : public engine::ResponseSink, public std::enable_shared_from_this<OpenCall> {
    public:
-    // Once for each call, from within a function of Calls or of the engine.
-    virtual void ended(Result result) = 0;
+    // Called once for each call, from within a function of Calls or of the engine.
+    virtual void on_end(Result result) = 0;
     void respond(std::uint64_t tag, engine::Response reply) final;
 
    private:
     friend class Calls;
     Calls* calls_ = nullptr;
     std::uint64_t number_ = 0;
-    RequestId request_ = 0;  // 0: not with the engine
-    Time gives_up_ = 0;
-    bool save_ = false, over_ = false;
+    RequestId request_ = 0;  // 0: not submitted to the engine
+    Time deadline_ = 0;      // us of real time
+    bool save_ = false, ended_ = false;
   };
 
-  // `first_id` differs between clients; `real_now` tells real us.
+  // `first_id` must differ between clients; `real_now` returns real time in us.
   Calls(const Settings& settings, std::uint64_t first_id, std::function<Time()> real_now);
-  // The engine; before the first submit().
-  void ask_from(engine::RequestHandler& requests) { requests_ = &requests; }
+  // Must be called before the first submit().
+  void set_engine(engine::RequestHandler& engine) { engine_ = &engine; }
 
-  void submit(const std::shared_ptr<Open>& call, Asked asked);
-  void cancel(const std::shared_ptr<Open>& call);
-  void finish(const std::shared_ptr<Open>& call, Result result);
-  // Ends all as withdrawn, and whatever is submitted later.
+  void submit(const std::shared_ptr<OpenCall>& call, CallRequest request);
+  void cancel(const std::shared_ptr<OpenCall>& call);
+  void finish(const std::shared_ptr<OpenCall>& call, Result result);
+  // Cancels all open calls, and every call that is submitted later.
   void close();
 
   struct Counts {
@@ -75,8 +75,8 @@
 
   void on_drain_started() override {}
   void stop_accepting() override {}
-  std::size_t unanswered() const override { return open_.size(); }
-  std::size_t open_connections() const override { return open_.size(); }
+  std::size_t unanswered() const override { return open_calls_.size(); }
+  std::size_t open_connections() const override { return open_calls_.size(); }
 
  private:
   void count(Status status);
@@ -84,8 +84,8 @@
   std::vector<bool> keyed_;  // by class
   std::uint64_t last_id_, last_number_ = 0;
   std::function<Time()> real_now_;
-  engine::RequestHandler* requests_ = nullptr;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Open>> open_;
+  engine::RequestHandler* engine_ = nullptr;
+  std::unordered_map<std::uint64_t, std::shared_ptr<OpenCall>> open_calls_;
   Counts counts_;
   bool closing_ = false;
 };
--- a/src/plugin/client.cpp
+++ b/src/plugin/client.cpp
@@ -35,7 +35,8 @@
 
 namespace {
 
-constexpr auto kBusy = std::chrono::milliseconds(50);  // when to come back, where too many calls are open
+// Advised to calls that are rejected because too many calls are open.
+constexpr auto kBusyRetryAfter = std::chrono::milliseconds(50);
 
 platform::NodeSettings read(const ClientSettings& settings) {
   try {
@@ -64,15 +65,15 @@
 
 }  // namespace
 
-// A call as the host holds it. What becomes of it is decided on the I/O thread, by plugin::Calls.
-struct Call::State final : plugin::Calls::Open {
+// The state behind a Call handle. plugin::Calls decides on the I/O thread how the call ends.
+struct Call::State final : plugin::Calls::OpenCall {
   std::weak_ptr<Client::Impl> owner;
   Client::Callback callback;
-  bool inline_callback = false;  // it does no more than to wake somebody: no thread is needed
-  bool submitted = false;        // told to the rest, which counts those that are open
+  bool inline_callback = false;  // it only completes a future, so it runs on the I/O thread
+  bool submitted = false;        // counted by idle_tracker
   std::atomic<bool> cancelled{false};
 
-  void ended(Result result) override;
+  void on_end(Result result) override;
   bool client_gone() override;
 };
 
@@ -83,65 +84,67 @@
   using CallState = Call::State;
 
   explicit Impl(const ClientSettings& settings)
-      : own(settings),
-        told(read(settings)),
-        clock(io, [this](Time length) { stood_still(length); }),
-        // Where the list is asked for, the module says when: there is no watch to end.
-        rest(told.settings.config.polls_discovery ? 0
-                                                  : std::chrono::microseconds(settings.idle_after).count()),
-        rest_timer(io) {
-    if (own.idle_after.count() < 0) throw ClientError("streampick client: idle_after is below 0");
-    read_class = class_named(told, settings.read_class, true);
-    save_class = class_named(told, settings.save_class, false);
-    // No two clients draw alike, also those that were given the same settings.
+      : client_settings(settings),
+        node(read(settings)),
+        clock(io, [this](Time length) { on_suspension(length); }),
+        // If discovery is polled there is no watch to close, and the engine schedules the polls.
+        idle_tracker(node.settings.config.polls_discovery
+                         ? 0
+                         : std::chrono::microseconds(settings.idle_after).count()),
+        idle_timer(io) {
+    if (client_settings.idle_after.count() < 0)
+      throw ClientError("streampick client: idle_after is negative");
+    read_class = class_named(node, settings.read_class, true);
+    save_class = class_named(node, settings.save_class, false);
+    // Clients with equal settings must differ in their random numbers.
     std::random_device device;
     const std::uint64_t first_id =
-        (static_cast<std::uint64_t>(device()) << 32U) ^ device() ^ told.settings.seed;
+        (static_cast<std::uint64_t>(device()) << 32U) ^ device() ^ node.settings.seed;
     const std::uint64_t seed = XXH3_64bits(&first_id, sizeof first_id);
     servers = make_servers(settings);
     descriptors = overload::DescriptorBudget(overload::DescriptorBudget::Limits{
-        platform::descriptor_limits(told).total, 0, platform::descriptor_limits(told).total});
+        platform::descriptor_limits(node).total, 0, platform::descriptor_limits(node).total});
     resources.connections.share_descriptors(descriptors);
-    resources.body_memory.set_limit(told.memory_mb * (1024 * 1024 / 4));
-    resources.connect_timeout = told.settings.config.connect_timeout;
-    resources.cancellation = overload::CancellationPolicy(told.overload);
+    resources.body_memory.set_limit(node.memory_mb * (1024 * 1024 / 4));
+    resources.connect_timeout = node.settings.config.connect_timeout;
+    resources.cancellation = overload::CancellationPolicy(node.overload);
     resources.evict_idle_connection = [this] { engine->evict_idle_connection(); };
-    engine::EngineSettings engine_settings{told.settings.config, seed};
+    engine::EngineSettings engine_settings{node.settings.config, seed};
     engine_settings.is_idle = [this] { return resources.connections.open() == 0; };
     engine.emplace(clock, engine_settings, static_cast<engine::UpstreamFactory&>(*this),
                    [](std::string_view text) { net::log(text); });
     servers->set_observer(*engine);
-    const bool polls_discovery = told.settings.config.polls_discovery;
-    discovery.emplace(io, told.settings.names, told.discovery, told.known.revision, !polls_discovery, seed,
+    const bool polls_discovery = node.settings.config.polls_discovery;
+    discovery.emplace(io, node.settings.names, node.discovery, node.known.revision, !polls_discovery, seed,
                       static_cast<engine::EndpointListObserver&>(*this));
-    calls.emplace(told.settings, first_id, [this] { return clock.real_now(); });
-    calls->ask_from(*engine);
+    calls.emplace(node.settings, first_id, [this] { return clock.real_now(); });
+    calls->set_engine(*engine);
     engine->add(*calls);
-    hold_over.emplace(io);
+    hold_timer.emplace(io);
     if (settings.callback_threads > 0 && !settings.run_callback)
-      workers = std::make_unique<plugin::Workers>(settings.callback_threads);
+      callback_threads = std::make_unique<plugin::Workers>(settings.callback_threads);
   }
 
   void start() {
-    const plugin::QuietSignals quiet;
+    const plugin::ScopedSignalBlock block_signals;
     thread = std::thread([self = shared_from_this()] { self->run(); });
     thread_id = thread.get_id();
   }
 
   std::unique_ptr<platform::ServerTransports> make_servers(const ClientSettings& settings) {
     if (settings.options.empty() && settings.options_path.empty())
-      return std::make_unique<platform::ServerTransports>(io, clock, resources, told);
-    // On the host's own thread, whose log is not ours.
+      return std::make_unique<platform::ServerTransports>(io, clock, resources, node);
+    // This runs on the host's thread, which has no log sink of the client.
     const net::ScopedLogSink sink([this](std::string_view text) {
-      if (own.log) own.log(text);
+      if (client_settings.log) client_settings.log(text);
     });
 #ifdef STREAMPICK_WITH_OPTIONS
     try {
       platform::Options options = settings.options.empty()
                                       ? platform::load_options(settings.options_path)
                                       : platform::parse_options(settings.options, "options");
-      platform::resolve(options, told);
-      return std::make_unique<platform::ServerTransports>(io, clock, resources, told, options);
+      platform::resolve(options, node);
+      return std::make_unique<platform::ServerTransports>(io, clock, resources, node, options);
     } catch (const options::Error& error) {
       throw ClientError(std::string("streampick client: ") + error.what());
     }
@@ -154,16 +157,16 @@
 
   void run() {
     net::ScopedLogSink sink([this](std::string_view text) {
-      if (own.log) own.log(text);
+      if (client_settings.log) client_settings.log(text);
     });
-    engine->start(*this, told.known);
-    if (!told.settings.config.polls_discovery) discovery->watch();
+    engine->start(*this, node.known);
+    if (!node.settings.config.polls_discovery) discovery->watch();
     while (!done) {
       clock.next_batch();
       if (io.run_one() == 0) break;
       ++wakeups;
     }
-    // What is left has an owner no more; handlers that are still queued must not outlive what they name.
+    // Ends the open calls and runs the queued handlers before the objects that they refer to are destroyed.
     discovery->stop();
     end_all();
     discovery.reset();
@@ -173,30 +176,30 @@
     idle.notify_all();
   }
 
-  void stood_still(Time length) {
-    ++pauses;
-    paused += length;
+  void on_suspension(Time length) {
+    ++suspensions;
+    suspended_time += length;
     if (std::exchange(resuming, true)) return;
     asio::post(io, [this] { resume(); });
   }
-  // The first thing that is done after a pause, or the next one but for the handler that was being run.
+  // Runs before anything else after a suspension, except for the rest of the handler that noticed it.
   void resume() {
     if (!std::exchange(resuming, false) || done) return;
-    const Time length = std::exchange(paused, 0);
-    net::log("the host stood still for " + std::to_string(length / 1000) + " ms");
+    const Time length = std::exchange(suspended_time, 0);
+    net::log("the host process was suspended for " + std::to_string(length / 1000) + " ms");
     engine->process_suspended(length);
     read_list();
   }
-  // Nothing new is sent until the list is in.
+  // New attempts are held until the endpoint list arrives, or until hold_until().
   void read_list() {
     discovery->refetch();
-    hold_over->expires_after(
-        std::chrono::microseconds(std::max<Time>(0, clock.resume().hold_until() - clock.real_now())));
-    hold_over->async_wait([this](const boost::system::error_code& cancelled) {
+    hold_timer->expires_after(
+        std::chrono::microseconds(std::max<Time>(0, clock.suspension().hold_until() - clock.real_now())));
+    hold_timer->async_wait([this](const boost::system::error_code& cancelled) {
       if (!cancelled) release();
     });
   }
-  bool may_send() { return clock.resume().may_send(clock.real_now()); }
+  bool may_send() { return clock.suspension().may_send(clock.real_now()); }
   void release() {
     if (!may_send()) return;
     for (plugin::HeldTransport* transport : transports) transport->release();
@@ -207,7 +210,7 @@
     auto held = std::make_unique<plugin::HeldTransport>(std::move(inner), [this] { return may_send(); });
     plugin::HeldTransport* const raw = held.get();
     transports.push_back(raw);
-    raw->on_end = [this, raw] { std::erase(transports, raw); };
+    raw->on_destroy = [this, raw] { std::erase(transports, raw); };
     return held;
   }
   void watch() override { discovery->watch(); }
@@ -215,31 +218,31 @@
     if (resuming) resume();
     engine->on_endpoint_list(list);
     if (!list.complete) return;
-    clock.resume().list_read();
+    clock.suspension().on_list_read();
     release();
   }
   void on_discovery_failed() override { engine->on_discovery_failed(); }
 
   // ---- Calls
 
-  void submit(const std::shared_ptr<CallState>& call, plugin::Asked asked) {
-    if (rest.began()) wake();
+  void submit(const std::shared_ptr<CallState>& call, plugin::CallRequest request) {
+    if (idle_tracker.on_call_started()) leave_idle();
     if (call->cancelled) return calls->finish(call, {.status = Status::cancelled});
-    clock.now();  // a pause shows here at the latest
+    clock.now();  // detects a suspension that no timer has shown yet
     if (resuming) resume();
-    calls->submit(call, std::move(asked));
+    calls->submit(call, std::move(request));
   }
-  // Asked for again after a rest.
-  void wake() {
-    clock.resume().hold(clock.real_now());
-    engine->process_suspended(0);  // what went meanwhile went unheard of, connections and servers
+  // The first call after an idle period.
+  void leave_idle() {
+    clock.suspension().hold(clock.real_now());
+    engine->process_suspended(0);  // the client did not learn which connections and servers were lost
     read_list();
   }
-  void look_at_rest(Time at) {
-    rest_timer.expires_after(std::chrono::microseconds(std::max<Time>(0, at - clock.real_now())));
-    rest_timer.async_wait([this](const boost::system::error_code& cancelled) {
-      if (cancelled || done || !rest.begins(clock.real_now())) return;
-      ++rests;
+  void schedule_idle_check(Time at) {
+    idle_timer.expires_after(std::chrono::microseconds(std::max<Time>(0, at - clock.real_now())));
+    idle_timer.async_wait([this](const boost::system::error_code& cancelled) {
+      if (cancelled || done || !idle_tracker.enter_if_due(clock.real_now())) return;
+      ++idle_periods;
       discovery->pause();
       while (engine->evict_idle_connection()) {
       }
@@ -249,7 +252,7 @@
     count(result.status);
     deliver(call, std::move(result));
     if (call->submitted) {
-      if (const Time at = rest.ended(clock.real_now()); at > 0) look_at_rest(at);
+      if (const Time at = idle_tracker.on_call_ended(clock.real_now()); at > 0) schedule_idle_check(at);
     }
     if (--open_calls == 0) {
       const std::lock_guard lock(mutex);
@@ -267,84 +270,84 @@
     }
   }
   void deliver(const std::shared_ptr<CallState>& call, Result result) {
-    ++telling;
-    struct Told {
+    ++pending_callbacks;
+    struct Completion {
       Client::Callback callback;
       Result result;
     };
-    auto run = [self = shared_from_this(),
-                told = std::make_shared<Told>(std::exchange(call->callback, nullptr), std::move(result))] {
+    auto run = [self = shared_from_this(), completion = std::make_shared<Completion>(
+                                               std::exchange(call->callback, nullptr), std::move(result))] {
       try {
-        told->callback(std::move(told->result));
+        completion->callback(std::move(completion->result));
       } catch (...) {
-        // Whose fault it is can't be told from here; the others' calls go on.
+        // A callback that throws must not affect other calls: the exception is only counted.
         ++self->counts.callback_exceptions;
       }
-      told->callback = nullptr;  // with all it held
-      if (--self->telling > 0) return;
+      completion->callback = nullptr;  // destroys what it captured
+      if (--self->pending_callbacks > 0) return;
       const std::lock_guard lock(self->mutex);
       self->idle.notify_all();
     };
     if (call->inline_callback) return run();
-    if (own.run_callback) return own.run_callback(std::move(run));
-    if (workers) return workers->run(std::move(run));
+    if (client_settings.run_callback) return client_settings.run_callback(std::move(run));
+    if (callback_threads) return callback_threads->run(std::move(run));
     asio::post(io, std::move(run));
   }
   void end_all() {
     calls->close();
-    // Calls that were posted and not looked at yet end too, as withdrawn.
+    // Runs the posted handlers: calls that were not submitted to the engine yet end as cancelled.
     io.restart();
     io.poll();
   }
 
-  ClientSettings own;
-  platform::NodeSettings told;
+  ClientSettings client_settings;
+  platform::NodeSettings node;
   asio::io_context io{1};
   asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
   plugin::HostClock clock;
   overload::DescriptorBudget descriptors;
   net::UpstreamResources resources;
   std::vector<plugin::HeldTransport*> transports;
-  std::unique_ptr<platform::ServerTransports> servers;  // the engine has its transports
+  std::unique_ptr<platform::ServerTransports> servers;  // the engine uses its transports
   std::optional<engine::Engine> engine;
   std::optional<discovery::Discovery> discovery;
-  std::optional<asio::steady_timer> hold_over;
+  std::optional<asio::steady_timer> hold_timer;
   std::optional<plugin::Calls> calls;
-  plugin::Rest rest;
-  asio::steady_timer rest_timer;
+  plugin::IdleTracker idle_tracker;
+  asio::steady_timer idle_timer;
   std::uint32_t read_class = kNone, save_class = kNone;
-  Time paused = 0;
+  Time suspended_time = 0;  // us, not reported to the engine yet
   bool resuming = false, done = false;
 
-  // ---- Of all threads
+  // ---- Used by all threads
   struct {
     std::atomic<std::uint64_t> calls{0}, served{0}, rejected{0}, failed{0}, cancelled{0}, invalid{0},
         not_found{0}, callback_exceptions{0};
   } counts;
-  std::atomic<std::uint64_t> wakeups{0}, pauses{0}, rests{0};
-  std::atomic<std::size_t> open_calls{0}, telling{0};  // telling: callbacks that wait, or run
-  std::atomic<bool> refusing{false};                   // drained, or about to be
-  std::atomic<bool> ending{false};                     // the client is being destroyed
+  std::atomic<std::uint64_t> wakeups{0}, suspensions{0}, idle_periods{0};
+  std::atomic<std::size_t> open_calls{0}, pending_callbacks{0};  // callbacks that are queued or run
+  std::atomic<bool> draining{false};                             // no new calls are accepted
+  std::atomic<bool> closing{false};                              // the client is being destroyed
   const pid_t pid = ::getpid();
   std::mutex mutex;
   std::condition_variable idle;
   bool stopped = false;
-  std::unique_ptr<plugin::Workers> workers;
+  std::unique_ptr<plugin::Workers> callback_threads;
   std::thread thread;
   std::thread::id thread_id;
 };
 
-void Call::State::ended(Result result) {
+void Call::State::on_end(Result result) {
   const auto client = owner.lock();
   if (client) client->call_ended(std::static_pointer_cast<State>(shared_from_this()), std::move(result));
 }
 
-// cancel() is called on any thread: the loop may be behind, and hear of it later. The end of the client
-// cancels all its calls.
+// cancel() may be called on any thread, and the I/O thread handles it later: the engine asks here whether the
+// call was cancelled meanwhile. The destruction of the client cancels all its calls.
 bool Call::State::client_gone() {
   if (cancelled) return true;
   const auto client = owner.lock();
-  return !client || client->ending;
+  return !client || client->closing;
 }
 
 void Call::cancel() const {
@@ -359,12 +362,13 @@
 
 Client::~Client() {
   if (::getpid() != impl_->pid) {
-    // A child of the process: it has none of the threads, and what they held can't be unlocked here.
+    // In a forked child the client's threads do not exist, and mutexes that they held stay locked: the state
+    // is leaked, because its destructor would block.
     new std::shared_ptr<Impl>(std::move(impl_));
     return;
   }
-  impl_->refusing = true;
-  impl_->ending = true;
+  impl_->draining = true;
+  impl_->closing = true;
   const auto impl = impl_;
   asio::post(impl->io, [raw = impl.get()] { raw->done = true; });
   if (std::this_thread::get_id() == impl->thread_id) {
@@ -372,44 +376,45 @@
     return;
   }
   impl->thread.join();
-  impl->workers.reset();  // what they still had to tell is told
+  impl->callback_threads.reset();  // runs the queued callbacks
 }
 
 Call Client::begin(bool save, std::string_view key, std::string value, const CallOptions& options,
-                   Callback callback, bool direct) {
+                   Callback callback, bool inline_callback) {
   const auto call = std::make_shared<Call::State>();
-  call->inline_callback = direct;
+  call->inline_callback = inline_callback;
   call->owner = impl_;
   call->callback = std::move(callback);
   if (::getpid() != impl_->pid) {
-    // Neither threads nor connections are this process's: told at once, here.
-    call->callback({.status = Status::invalid, .reason = "the process was forked: open a client of its own"});
+    // The client's threads and connections belong to the parent process, so the callback runs right here.
+    call->callback({.status = Status::invalid,
+                    .reason = "the process was forked: a child process must create its own client"});
     return {};
   }
   ++impl_->counts.calls;
   ++impl_->open_calls;
-  plugin::Checked checked =
-      plugin::check_call(impl_->told.settings, save, save ? impl_->save_class : impl_->read_class, key,
+  plugin::CheckedCall checked =
+      plugin::check_call(impl_->node.settings, save, save ? impl_->save_class : impl_->read_class, key,
                          std::move(value), options, impl_->clock.real_now());
-  const auto tell = [this, call](Result result) {
+  const auto finish = [this, call](Result result) {
     asio::post(impl_->io,
                [impl = impl_.get(), call, result = std::move(result)] { impl->calls->finish(call, result); });
   };
-  if (!checked.wrong.empty()) {
-    tell({.status = Status::invalid, .reason = checked.wrong});
+  if (!checked.error.empty()) {
+    finish({.status = Status::invalid, .reason = checked.error});
     return Call(call);
   }
-  if (impl_->refusing) {
-    tell({.status = Status::cancelled, .reason = "the client is drained"});
+  if (impl_->draining) {
+    finish({.status = Status::cancelled, .reason = "the client is draining or drained"});
     return Call(call);
   }
-  if (impl_->open_calls > impl_->own.max_open_calls) {
-    tell({.status = Status::rejected, .retry_after = kBusy, .reason = "too many calls are open"});
+  if (impl_->open_calls > impl_->client_settings.max_open_calls) {
+    finish({.status = Status::rejected, .retry_after = kBusyRetryAfter, .reason = "too many calls are open"});
     return Call(call);
   }
   call->submitted = true;
-  asio::post(impl_->io, [impl = impl_.get(), call, asked = std::move(checked.asked)]() mutable {
-    impl->submit(call, std::move(asked));
+  asio::post(impl_->io, [impl = impl_.get(), call, request = std::move(checked.request)]() mutable {
+    impl->submit(call, std::move(request));
   });
   return Call(call);
 }
@@ -431,25 +436,25 @@
 
 std::future<Result> Client::get(std::string_view key, const CallOptions& options) {
   auto [promise, future] = promised();
-  const auto tell = [promise = promise](Result result) { promise->set_value(std::move(result)); };
-  begin(false, key, {}, options, tell, true);
+  const auto finish = [promise = promise](Result result) { promise->set_value(std::move(result)); };
+  begin(false, key, {}, options, finish, true);
   return std::move(future);
 }
 std::future<Result> Client::put(std::string_view key, std::string value, const CallOptions& options) {
   auto [promise, future] = promised();
-  const auto tell = [promise = promise](Result result) { promise->set_value(std::move(result)); };
-  begin(true, key, std::move(value), options, tell, true);
+  const auto finish = [promise = promise](Result result) { promise->set_value(std::move(result)); };
+  begin(true, key, std::move(value), options, finish, true);
   return std::move(future);
 }
 
-bool Client::drain(std::chrono::microseconds longest) {
-  impl_->refusing = true;
+bool Client::drain(std::chrono::microseconds timeout) {
+  impl_->draining = true;
   std::unique_lock lock(impl_->mutex);
-  const bool all =
-      impl_->idle.wait_for(lock, longest, [&] { return impl_->open_calls == 0 && impl_->telling == 0; });
+  const bool all = impl_->idle.wait_for(
+      lock, timeout, [&] { return impl_->open_calls == 0 && impl_->pending_callbacks == 0; });
   lock.unlock();
   if (all || impl_->open_calls == 0) return true;
-  // Withdrawn, each told once.
+  // Cancels the calls that are still open.
   std::promise<void> ended;
   asio::post(impl_->io, [impl = impl_.get(), &ended] {
     impl->calls->close();
@@ -460,19 +465,19 @@
 }
 
 std::optional<bool> Client::is_safe(std::string_view request_class) const {
-  const std::uint32_t found = index_of(impl_->told.settings.names.classes, std::string(request_class));
+  const std::uint32_t found = index_of(impl_->node.settings.names.classes, std::string(request_class));
   if (found == kNone) return std::nullopt;
-  return impl_->told.settings.config.classes[found].effect == Effect::safe;
+  return impl_->node.settings.config.classes[found].effect == Effect::safe;
 }
 
 ClientCounts Client::counts() const {
   ClientCounts out;
   out.wakeups = impl_->wakeups;
   if (::getpid() == impl_->pid && std::this_thread::get_id() != impl_->thread_id) {
-    // On the I/O thread, where calls end: a call whose end was told is not counted as open any more.
+    // Read on the I/O thread, where calls end: a call whose callback has run is not counted as open.
     std::promise<void> read;
     asio::post(impl_->io, [&] {
-      // The turns before this one: read elsewhere it would count this one or not, as threads are scheduled.
+      // The wake-ups before this one. Read on another thread, the number might or might not include this one.
       out.wakeups = impl_->wakeups;
       out.attempts = impl_->engine->counts().attempts;
       out.cancels = impl_->engine->counts().cancelled_attempts;
@@ -491,8 +496,8 @@
   out.invalid = impl_->counts.invalid;
   out.not_found = impl_->counts.not_found;
   out.callback_exceptions = impl_->counts.callback_exceptions;
-  out.suspensions = impl_->pauses;
-  out.idle_periods = impl_->rests;
+  out.suspensions = impl_->suspensions;
+  out.idle_periods = impl_->idle_periods;
   out.open = impl_->open_calls;
   return out;
 }
--- a/src/plugin/held_transport.h
+++ b/src/plugin/held_transport.h
@@ -1,5 +1,6 @@
-// A transport that holds new attempts while nothing may be sent: after the host stood still, until the list
-// of servers has been read again. What is held is bounded by the calls that are open, and ends with them.
+// An upstream that queues new attempts while nothing may be sent: after the host was suspended, until the
+// endpoint list has been read again. The queue is bounded by the number of open calls, and a call that ends
+// removes its attempts.
 #pragma once
 
 #include <algorithm>
@@ -15,14 +16,14 @@
 
 class HeldTransport final : public engine::Upstream {
  public:
-  // `may_send` may turn true again at any time; then release() is to be called.
+  // When `may_send` becomes true again the owner must call release().
   HeldTransport(std::unique_ptr<engine::Upstream> inner, std::function<bool()> may_send)
       : inner_(std::move(inner)), may_send_(std::move(may_send)) {}
 
   ~HeldTransport() override {
-    if (on_end) on_end();
+    if (on_destroy) on_destroy();
   }
-  std::function<void()> on_end;
+  std::function<void()> on_destroy;
 
   void stop_sending_at(Time at) override {
     engine::Upstream::stop_sending_at(at);
@@ -35,8 +36,8 @@
     held_.push_back({attempt, std::move(message), expires, begin_by});
   }
   bool cancel_unsent(engine::AttemptId attempt) override {
-    const auto is_it = [&](const Held& one) { return one.attempt == attempt; };
-    return std::erase_if(held_, is_it) > 0 || inner_->cancel_unsent(attempt);
+    const auto is_attempt = [&](const Held& one) { return one.attempt == attempt; };
+    return std::erase_if(held_, is_attempt) > 0 || inner_->cancel_unsent(attempt);
   }
   void cancel(engine::AttemptId attempt, engine::CancelReason reason) override {
     if (!cancel_unsent(attempt)) inner_->cancel(attempt, reason);
@@ -50,8 +51,8 @@
   }
   void invalidate(const std::string& key) override { inner_->invalidate(key); }
 
-  // Sends what it holds. A server that was told to go meanwhile gets none of it: the inner one is told when
-  // it may be sent nothing more, and each attempt is checked against that when its first byte is about to go.
+  // Sends the queued attempts. A server that is leaving gets none of them: stop_sending_at() is passed on to
+  // the inner upstream, which checks it for each attempt before its first byte is written.
   void release() {
     auto held = std::exchange(held_, {});
     for (Held& one : held) forward(std::move(one));
--- a/src/plugin/quiet_signals.h
+++ b/src/plugin/quiet_signals.h
@@ -1,24 +1,24 @@
-// While it lives, threads that are started inherit a mask that blocks every signal: the host's handlers run
-// on the host's threads.
+// Blocks every signal in the calling thread. Threads that are started meanwhile inherit the mask, so that the
+// host's signal handlers run only on the host's own threads.
 #pragma once
 
 #include <csignal>
 
 namespace streampick::plugin {
 
-class QuietSignals {
+class ScopedSignalBlock {
  public:
-  QuietSignals() {
+  ScopedSignalBlock() {
     sigset_t all;
     sigfillset(&all);
-    pthread_sigmask(SIG_SETMASK, &all, &before_);
+    pthread_sigmask(SIG_SETMASK, &all, &previous_mask_);
   }
-  ~QuietSignals() { pthread_sigmask(SIG_SETMASK, &before_, nullptr); }
-  QuietSignals(const QuietSignals&) = delete;
-  QuietSignals& operator=(const QuietSignals&) = delete;
+  ~ScopedSignalBlock() { pthread_sigmask(SIG_SETMASK, &previous_mask_, nullptr); }
+  ScopedSignalBlock(const ScopedSignalBlock&) = delete;
+  ScopedSignalBlock& operator=(const ScopedSignalBlock&) = delete;
 
  private:
-  sigset_t before_;
+  sigset_t previous_mask_;
 };
 
 }  // namespace streampick::plugin
--- a/src/plugin/rest.h
+++ b/src/plugin/rest.h
@@ -1,47 +1,49 @@
-// When a client that is seldom asked lets go of what it holds: its idle connections and its watch on the list
-// of servers, so that nothing wakes it. No I/O.
+// Decides when a seldom used client becomes idle: it then closes its connections and its discovery watch, so
+// that it schedules no wake-ups. No I/O.
 //
-// A rest begins once no call has been open for `after`. The first call ends it; it may be sent only once the
-// list has been read anew, since a server may have gone meanwhile with nobody here to hear of it.
+// An idle period begins once no call has been open for `idle_after`. The next call ends it, and may be sent
+// only after the endpoint list has been read again: without a watch the client did not learn which servers
+// left.
 #pragma once
 
 #include <cstdint>
 
 namespace streampick::plugin {
 
-class Rest {
+class IdleTracker {
  public:
-  explicit Rest(long long after = 0) : after_(after) {}  // us without an open call; 0: it never rests
+  explicit IdleTracker(long long idle_after = 0)
+      : idle_after_(idle_after) {}  // us without an open call; 0: never idle
 
-  // A call began; returns whether it ends a rest, so that the list is to be read before it is sent.
-  bool began() {
-    ++open_;
-    due_ = 0;
-    const bool woken = resting_;
-    resting_ = false;
-    return woken;
+  // Returns whether the call ends an idle period: the endpoint list must be read before the call is sent.
+  bool on_call_started() {
+    ++open_calls_;
+    idle_at_ = 0;
+    const bool was_idle = idle_;
+    idle_ = false;
+    return was_idle;
   }
-  // A call ended, at `now` in us. Returns when to look again; 0: not at all.
-  long long ended(long long now) {
-    if (open_ > 0) --open_;
-    if (open_ > 0 || after_ <= 0) return 0;
-    return due_ = now + after_;
+  // `now` in us. Returns when to call enter_if_due(); 0: not at all.
+  long long on_call_ended(long long now) {
+    if (open_calls_ > 0) --open_calls_;
+    if (open_calls_ > 0 || idle_after_ <= 0) return 0;
+    return idle_at_ = now + idle_after_;
   }
-  // It is `now`: whether a rest begins, with this call of the function and no other.
-  bool begins(long long now) {
-    if (due_ == 0 || resting_ || open_ > 0 || now < due_) return false;
-    due_ = 0;
-    resting_ = true;
-    ++rests_;
+  // Returns whether an idle period begins with this call of the function.
+  bool enter_if_due(long long now) {
+    if (idle_at_ == 0 || idle_ || open_calls_ > 0 || now < idle_at_) return false;
+    idle_at_ = 0;
+    idle_ = true;
+    ++idle_periods_;
     return true;
   }
-  bool resting() const { return resting_; }
-  std::uint64_t rests() const { return rests_; }
+  bool is_idle() const { return idle_; }
+  std::uint64_t idle_periods() const { return idle_periods_; }
 
  private:
-  long long after_, due_ = 0;
-  std::uint64_t open_ = 0, rests_ = 0;
-  bool resting_ = false;
+  long long idle_after_, idle_at_ = 0;
+  std::uint64_t open_calls_ = 0, idle_periods_ = 0;
+  bool idle_ = false;
 };
 
 }  // namespace streampick::plugin
--- a/tests/grpc/call_deadline_test.cpp
+++ b/tests/grpc/call_deadline_test.cpp
@@ -1,4 +1,4 @@
-// The wall clock steps while a call is open: its deadline stays a span of real time.
+// The wall clock steps while a call is open: the deadline must not move in real time.
 #include "grpc/call_deadline.h"
 
 #include <google/protobuf/descriptor.h>
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-// Moves between the readings that begin a call and those after them.
+// Steps after its first reading of each clock, which the start of a call makes.
 struct SteppedClock final : CallClock {
   std::chrono::system_clock::time_point wall() const override {
     return wall_start + (wall_reads++ > 0 ? step : 0s);
@@ -31,7 +31,7 @@
 
 struct CallDeadlineSteps : ::testing::TestWithParam<std::chrono::seconds> {};
 
-TEST_P(CallDeadlineSteps, ACallIsOverOnceItsRealTimeIs) {
+TEST_P(CallDeadlineSteps, WallClockStep_DoesNotMoveTheDeadline) {
   for (const auto passes : {4s, 5s}) {
     SteppedClock clock;
     clock.step = GetParam();
@@ -42,14 +42,14 @@
   }
 }
 
-TEST(CallDeadline, NoneIsNeverOver) {
+TEST(CallDeadline, NoDeadline_IsNeverOver) {
   const CallClock clock;
   const CallDeadline none(std::chrono::system_clock::time_point::max(), clock);
   EXPECT_FALSE(none.left());
   EXPECT_FALSE(none.is_over());
 }
 
-// Calls of a channel, with a clock of the test's.
+// Intercepts the calls of a channel with the test's clock.
 class Factory final : public grpc::experimental::ClientInterceptorFactoryInterface {
  public:
   Factory(Client& client, const CallClock& clock)
@@ -69,8 +69,8 @@
   MetadataNames names_;
 };
 
-// A refusal that comes within the call's time says when to come back; one behind it is a deadline exceeded.
-TEST_P(CallDeadlineSteps, AnOpenCallEndsByItsRealTime) {
+// A rejection before the call's deadline is UNAVAILABLE, one after it is DEADLINE_EXCEEDED.
+TEST_P(CallDeadlineSteps, WallClockStepDuringACall_DoesNotChangeItsStatus) {
   for (const auto passes : {1s, 10s}) {
     test::StandinFleet fleet;
     fleet.on([&] { fleet.servers.clear(); });  // connections are refused
@@ -93,10 +93,11 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(By, CallDeadlineSteps, ::testing::Values(5s, -5s, 3'600s, -3'600s),
+INSTANTIATE_TEST_SUITE_P(WallClock, CallDeadlineSteps, ::testing::Values(5s, -5s, 3'600s, -3'600s),
                          [](const auto& info) {
                            const auto seconds = info.param.count();
-                           return (seconds < 0 ? "Back" : "Forth") + std::to_string(std::abs(seconds)) + "s";
+                           return (seconds < 0 ? "Backward" : "Forward") + std::to_string(std::abs(seconds)) +
+                                  "s";
                          });
 
 }  // namespace
--- a/tests/grpc/route_test.cpp
+++ b/tests/grpc/route_test.cpp
@@ -1,4 +1,4 @@
-// Keys and routes against the program's own types, and what ends of calls become.
+// Key templates, route tables, the options table [grpc], and the mapping of results to gRPC statuses.
 #include <gtest/gtest.h>
 
 #include "grpc/answer.h"
@@ -12,7 +12,7 @@
 using tiles::ReadTileRequest;
 using namespace std::chrono_literals;
 
-std::string why_not(const std::string& text) {
+std::string template_error(const std::string& text) {
   try {
     const KeyTemplate made(text, *ReadTileRequest::descriptor());
     return "";
@@ -25,39 +25,39 @@
   ReadTileRequest request;
   request.set_sheet(sheet);
   request.mutable_tile()->set_x(x);
-  std::string out, why;
-  return KeyTemplate(text, *ReadTileRequest::descriptor()).key(request, out, why) ? out : "?" + why;
+  std::string out, error;
+  return KeyTemplate(text, *ReadTileRequest::descriptor()).key(request, out, error) ? out : "?" + error;
 }
 
-TEST(GrpcKey, IsMadeOfFieldsAndOfWhatStandsBetweenThem) {
+TEST(GrpcKeyTemplate, FieldsAndText_AreJoined) {
   EXPECT_EQ(key_of("{sheet}/{tile.x}", "N48", 7), "N48/7");
   EXPECT_EQ(key_of("tile:{sheet}", "a b"), "tile:a b");
 }
 
-TEST(GrpcKey, DifferentFieldsNeverMakeOneKey) {
+TEST(GrpcKeyTemplate, DifferentFields_GiveDifferentKeys) {
   const std::string text = "{sheet}/{tile.x}";
   EXPECT_NE(key_of(text, "a/1", 2), key_of(text, "a", 1));
   EXPECT_EQ(key_of(text, "a/1", 2), "a%2F1/2");
   EXPECT_NE(key_of(text, "a%2F1", 2), key_of(text, "a/1", 2));
 }
 
-TEST(GrpcKey, WhatCanNeverWorkIsRefusedInWords) {
-  EXPECT_NE(why_not("{sheet").find("a { that is not closed"), std::string::npos);
-  EXPECT_NE(why_not("{sheet}}").find("a } that closes nothing"), std::string::npos);
-  EXPECT_NE(why_not("all").find("it names no field"), std::string::npos);
-  EXPECT_NE(why_not("{sheet}{tile.x}").find("something between"), std::string::npos);
-  EXPECT_NE(why_not("{page}").find("has no field 'page'"), std::string::npos);
-  EXPECT_NE(why_not("{tile}").find("no whole number"), std::string::npos);
-  EXPECT_NE(why_not("{sheet.x}").find("is no message"), std::string::npos);
-  EXPECT_NE(why_not(std::string(2000, 'x')).find("longer than"), std::string::npos);
+TEST(GrpcKeyTemplate, InvalidTemplate_ThrowsWithTheReason) {
+  EXPECT_NE(template_error("{sheet").find("a { is not closed"), std::string::npos);
+  EXPECT_NE(template_error("{sheet}}").find("a } has no matching {"), std::string::npos);
+  EXPECT_NE(template_error("all").find("it contains no field"), std::string::npos);
+  EXPECT_NE(template_error("{sheet}{tile.x}").find("text between"), std::string::npos);
+  EXPECT_NE(template_error("{page}").find("has no field 'page'"), std::string::npos);
+  EXPECT_NE(template_error("{tile}").find("is not an integer"), std::string::npos);
+  EXPECT_NE(template_error("{sheet.x}").find("is not a message"), std::string::npos);
+  EXPECT_NE(template_error(std::string(2000, 'x')).find("longer than"), std::string::npos);
 }
 
-TEST(GrpcKey, ARequestThatLacksAFieldHasNone) {
+TEST(GrpcKeyTemplate, MissingField_GivesNoKey) {
   EXPECT_NE(key_of("{sheet}", "").find("'sheet' is needed"), std::string::npos);
   ReadTileRequest request;
   request.set_sheet("s");
-  std::string out, why;
-  EXPECT_FALSE(KeyTemplate("{tile.x}", *ReadTileRequest::descriptor()).key(request, out, why));
+  std::string out, error;
+  EXPECT_FALSE(KeyTemplate("{tile.x}", *ReadTileRequest::descriptor()).key(request, out, error));
 }
 
 std::string table_error(const std::vector<Route>& routes, const std::vector<std::string>& services) {
@@ -74,12 +74,12 @@
   }
 }
 
-TEST(GrpcRoutes, ComeFromTheServicesOptionsAndMistakesAreNamed) {
+TEST(GrpcRouteTable, RoutesAndMethodOptions_AreCompiledAndMistakesNamed) {
   const std::string method = "streampick.tiles.Tiles/ReadTile";
   EXPECT_EQ(table_error({}, {"streampick.tiles.Tiles"}), "");
   EXPECT_EQ(table_error({{method, "tile-read", false, "{sheet}", "image"}}, {}), "");
   EXPECT_EQ(table_error({}, {"streampick.Nobody"}),
-            "service 'streampick.Nobody': this program has none of that name");
+            "service 'streampick.Nobody': this program has no such service");
   EXPECT_EQ(table_error({{"a.B/C", "tile-read", false, "{sheet}", ""}}, {}),
             "route 'a.B/C': this program has no such method");
   EXPECT_EQ(table_error({{method, "tiles", false, "{sheet}", ""}}, {}),
@@ -90,7 +90,7 @@
             "route '" + method + "': a save, but the class 'tile-read' is for reads");
   EXPECT_EQ(table_error({{method, "tile-read", false, "{sheet}", "sheet"}}, {}),
             "route '" + method + "': value: streampick.tiles.ReadTileResponse has no field 'sheet'");
-  EXPECT_EQ(table_error({}, {}), "neither routes nor services are named");
+  EXPECT_EQ(table_error({}, {}), "neither routes nor services are given");
 }
 
 Options parsed(const std::string& text) {
@@ -98,7 +98,7 @@
   return read_options(std::move(*root.table("grpc")));
 }
 
-TEST(GrpcOptions, AreReadAndMistakesNameTheKey) {
+TEST(GrpcOptions, TableGrpc_IsReadAndMistakesNameTheKey) {
   const Options read = parsed(
       "[grpc]\ntenant_metadata = \"x-team\"\n[[grpc.route]]\nmethod = \"a.B/C\"\nsave = \"annotation-save\"\n"
       "key = \"{k}\"\nvalue = \"v\"\n");
@@ -111,7 +111,7 @@
            {"[grpc]\ntenant = \"x\"\n", "tenant"},
            {"[[grpc.route]]\nmethod = \"a.B\"\nread = \"r\"\nkey = \"{k}\"\n", "package.Service/Method"},
            {"[[grpc.route]]\nmethod = \"a.B/C\"\nread = \"r\"\nsave = \"s\"\nkey = \"{k}\"\n", "either"},
-           {"[[grpc.route]]\nmethod = \"a.B/C\"\nread = \"r\"\n", "needs its key"}}) {
+           {"[[grpc.route]]\nmethod = \"a.B/C\"\nread = \"r\"\n", "needs a key"}}) {
     try {
       parsed(text);
       ADD_FAILURE() << text;
@@ -121,7 +121,7 @@
   }
 }
 
-TEST(GrpcAnswer, EachEndHasItsCodeAndARefusalSaysWhenToComeBack) {
+TEST(GrpcAnswer, EachResult_HasItsCodeAndTrailingMetadata) {
   using grpc::StatusCode;
   const auto code = [](Result result, bool cancelled = false) {
     return answer_of(std::move(result), cancelled).status.error_code();
@@ -133,15 +133,15 @@
   EXPECT_EQ(code({.status = Status::cancelled}, true), StatusCode::CANCELLED);
   EXPECT_EQ(code({.status = Status::cancelled}), StatusCode::UNAVAILABLE);
   EXPECT_EQ(code({.status = Status::invalid}), StatusCode::INVALID_ARGUMENT);
-  const Answer refused = answer_of({.status = Status::rejected, .retry_after = 1'200us}, false);
-  EXPECT_EQ(refused.status.error_code(), StatusCode::UNAVAILABLE);
-  ASSERT_EQ(refused.trailing.size(), 1U);
-  EXPECT_EQ(refused.trailing[0], std::make_pair(std::string("grpc-retry-pushback-ms"), std::string("2")));
+  const Answer rejected = answer_of({.status = Status::rejected, .retry_after = 1'200us}, false);
+  EXPECT_EQ(rejected.status.error_code(), StatusCode::UNAVAILABLE);
+  ASSERT_EQ(rejected.trailing.size(), 1U);
+  EXPECT_EQ(rejected.trailing[0], std::make_pair(std::string("grpc-retry-pushback-ms"), std::string("2")));
   EXPECT_EQ(answer_of({.status = Status::rejected, .retry_after = 1'200us}, false, true).status.error_code(),
             StatusCode::DEADLINE_EXCEEDED);
-  const Answer torn = answer_of({.status = Status::failed, .may_have_run = true}, false);
-  ASSERT_EQ(torn.trailing.size(), 1U);
-  EXPECT_EQ(torn.trailing[0].first, "streampick-may-have-run");
+  const Answer uncertain = answer_of({.status = Status::failed, .may_have_run = true}, false);
+  ASSERT_EQ(uncertain.trailing.size(), 1U);
+  EXPECT_EQ(uncertain.trailing[0].first, "streampick-may-have-run");
 }
 
 }  // namespace
--- a/tests/grpc/stubs_test.cpp
+++ b/tests/grpc/stubs_test.cpp
@@ -1,4 +1,4 @@
-// Stubs as gRPC's compiler makes them, over a client and stand-in caches.
+// Stubs that protoc generates, on a channel that a Client routes to stand-in caches.
 #include <grpcpp/generic/generic_stub.h>
 #include <gtest/gtest.h>
 
@@ -28,7 +28,7 @@
   return out;
 }
 
-// A call of a method that no route names; `meanwhile` runs when it is on its way.
+// Calls a method without a route; `meanwhile` runs after the call was started.
 grpc::Status unrouted(const std::shared_ptr<grpc::Channel>& channel, ClientContext& context,
                       const std::function<void()>& meanwhile) {
   grpc::GenericStub generic(channel);
@@ -67,7 +67,7 @@
   ReadTileResponse response;
 };
 
-TEST_F(GrpcStubs, AReadAndASaveAreServedByTheFleet) {
+TEST_F(GrpcStubs, ReadAndSave_AreServed) {
   ASSERT_TRUE(read(1).ok());
   EXPECT_EQ(response.image(), "tile");
   ClientContext context;
@@ -81,7 +81,7 @@
   EXPECT_EQ(client->counts().served, 2U);
 }
 
-TEST_F(GrpcStubs, EveryWayToCallEndsOnceAndAlike) {
+TEST_F(GrpcStubs, QueueFunctionAndReactorCalls_EndOnceAsServed) {
   {
     ClientContext context;
     grpc::CompletionQueue queue;
@@ -122,9 +122,9 @@
   EXPECT_EQ(client->counts().served, 3U);
 }
 
-TEST_F(GrpcStubs, ADeadlineEndsACallInTimeAndOneThatIsOverSendsNothing) {
+TEST_F(GrpcStubs, Deadline_EndsTheCallAndAPassedOneSendsNothing) {
   fleet.delay(30s);
-  // The router gives up a little before the deadline: then the caller is told to come back, as by the daemon.
+  // The router may reject the call shortly before its deadline, as the daemon does: that is UNAVAILABLE.
   const StatusCode code = read(1, 200ms).error_code();
   EXPECT_TRUE(code == StatusCode::DEADLINE_EXCEEDED || code == StatusCode::UNAVAILABLE) << code;
   const std::uint64_t calls = client->counts().calls;
@@ -132,7 +132,7 @@
   EXPECT_EQ(client->counts().calls, calls);
 }
 
-TEST_F(GrpcStubs, ACancelledCallIsWithdrawn) {
+TEST_F(GrpcStubs, TryCancel_CancelsTheClientsCall) {
   fleet.delay(5s);
   ClientContext context;
   std::thread other([&] {
@@ -144,14 +144,14 @@
   EXPECT_EQ(client->counts().cancelled, 1U);
 }
 
-TEST_F(GrpcStubs, WhatIsCancelledBeforeItBeginsSendsNothing) {
+TEST_F(GrpcStubs, TryCancelBeforeTheCall_SendsNothing) {
   ClientContext context;
   context.TryCancel();
   EXPECT_EQ(stub->ReadTile(&context, tile(1), &response).error_code(), StatusCode::CANCELLED);
   EXPECT_EQ(client->counts().calls, 0U);
 }
 
-TEST_F(GrpcStubs, ARefusalSaysWhenToComeBackAndADrainedClientIsUnavailable) {
+TEST_F(GrpcStubs, RejectionOrDrainedClient_IsUnavailable) {
   fleet.on([&] { fleet.servers.clear(); });  // connections are refused
   ClientContext context;
   EXPECT_EQ(stub->ReadTile(&context, tile(1), &response).error_code(), StatusCode::UNAVAILABLE);
@@ -161,7 +161,7 @@
   EXPECT_EQ(client->counts().cancelled, 1U);
 }
 
-TEST_F(GrpcStubs, WhatCanNotBeAKeyOrATenantIsAnInvalidArgument) {
+TEST_F(GrpcStubs, MissingKeyFieldOrUnknownTenant_IsAnInvalidArgument) {
   ClientContext context;
   EXPECT_EQ(stub->ReadTile(&context, {}, &response).error_code(), StatusCode::INVALID_ARGUMENT);
   ClientContext stranger;
@@ -170,14 +170,14 @@
   EXPECT_EQ(fleet.requests(), 0U);
 }
 
-TEST_F(GrpcStubs, AMethodThatNoRouteNamesIsUnimplemented) {
+TEST_F(GrpcStubs, MethodWithoutARoute_IsUnimplemented) {
   ClientContext context;
   const grpc::Status status = unrouted(channel, context, [] {});
   EXPECT_EQ(status.error_code(), StatusCode::UNIMPLEMENTED);
 }
 
-// Where the value is the whole message, and where it is no such message.
-TEST(GrpcStubsWhole, AValueMayBeTheWholeMessage) {
+// The value is the whole response message, or cannot be parsed as one.
+TEST(GrpcStubsWholeMessage, RouteWithoutAValueField_ParsesTheWholeMessage) {
   ReadTileResponse kept;
   kept.set_image(std::string(300, 'x'));
   for (const bool good : {true, false}) {
@@ -193,8 +193,8 @@
   }
 }
 
-// A listener where the channel points: only what no route names may ever come there.
-TEST(GrpcStubsTransport, NothingOfARoutedCallReachesGrpcsOwnTransport) {
+// A listener at the channel's target: only calls without a route may connect to it.
+TEST(GrpcStubsTransport, RoutedCalls_OpenNoConnectionOfGrpc) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor listener(io, {boost::asio::ip::address_v4::loopback(), 0});
   listener.non_blocking(true);
@@ -216,7 +216,7 @@
   for (int i = 0; i < 50; ++i) {
     ClientContext context;
     ReadTileResponse response;
-    // Half of them fail: what failed is not tried by gRPC either.
+    // The second half fails: gRPC must not retry these calls over its own transport.
     if (i == 25) fleet.on([&] { fleet.servers.clear(); });
     stub->ReadTile(&context, tile(i), &response);
   }
@@ -230,9 +230,9 @@
   });
 }
 
-// Eight threads, calls that are served, late, cancelled and refused: each ends once, and with the same count
-// on both sides.
-TEST_F(GrpcStubs, AllThatWasCalledEndsOnceWhateverBecomesOfIt) {
+// Calls of eight threads are served, late, cancelled or rejected. Each must end once, and the callers' and
+// the client's counts must agree.
+TEST_F(GrpcStubs, EightThreadsWithDeadlinesAndCancels_EveryCallEndsOnce) {
   constexpr int kThreads = 8, kEach = 60;
   std::array<std::atomic<int>, 17> codes{};
   std::vector<std::thread> threads;
@@ -263,12 +263,12 @@
   EXPECT_GT(codes[StatusCode::OK], kThreads * kEach / 3);
 }
 
-TEST(GrpcStubsApart, AChannelWhoseFleetIsDeadDoesNotTouchAnother) {
-  StandinFleet dead, well;
-  dead.on([&] { dead.servers.clear(); });
+TEST(GrpcStubsTwoChannels, FailingFleetOfOneChannel_DoesNotAffectTheOther) {
+  StandinFleet failing, healthy;
+  failing.on([&] { failing.servers.clear(); });
   const rpc::ChannelSettings settings{.services = {"streampick.tiles.Tiles"}};
-  const auto a = Tiles::NewStub(rpc::open_channel(std::make_shared<Client>(dead.settings), settings));
-  const auto b = Tiles::NewStub(rpc::open_channel(std::make_shared<Client>(well.settings), settings));
+  const auto a = Tiles::NewStub(rpc::open_channel(std::make_shared<Client>(failing.settings), settings));
+  const auto b = Tiles::NewStub(rpc::open_channel(std::make_shared<Client>(healthy.settings), settings));
   for (int i = 0; i < 20; ++i) {
     ClientContext first, second;
     ReadTileResponse response;
--- a/tests/plugin/c_caller.c
+++ b/tests/plugin/c_caller.c
@@ -1,4 +1,4 @@
-/* A caller that is C and nothing else. */
+/* A caller in plain C. */
 #include <pthread.h>
 #include <string.h>
 
@@ -33,7 +33,7 @@
   if (client == NULL) return 1;
   for (int i = 0; i < calls; ++i) streampick_release(streampick_get(client, "sheet", &options, ended, &tally));
   const int drained = streampick_drain(client, 10000000);
-  /* It takes no more: this one ends as withdrawn, cancelled or not. */
+  /* A drained client accepts no calls: this one ends as withdrawn, cancelled or not. */
   streampick_call* last = streampick_get(client, "sheet", NULL, ended, &tally);
   streampick_cancel(last);
   streampick_release(last);
@@ -43,4 +43,6 @@
   return drained == 1 && tally.wrong == 0 ? 0 : 2;
 }
 
-int open_badly_from_c(char* error, size_t size) { return streampick_open("{", error, size) == NULL; }
+int open_with_invalid_config_from_c(char* error, size_t size) {
+  return streampick_open("{", error, size) == NULL;
+}
--- a/tests/plugin/calls_test.cpp
+++ b/tests/plugin/calls_test.cpp
@@ -1,4 +1,5 @@
-// Calls from begin to end, without an engine: whatever crosses what, each ends once.
+// plugin::Calls with a fake engine: each call ends exactly once, in whatever order responses, cancels and
+// deadlines come.
 #include "plugin/calls.h"
 
 #include <gtest/gtest.h>
@@ -14,34 +15,34 @@
 using engine::Response;
 
 struct Engine final : engine::RequestHandler {
-  struct One {
-    std::shared_ptr<engine::ResponseSink> asker;
+  struct Submitted {
+    std::shared_ptr<engine::ResponseSink> sink;
     engine::IncomingRequest incoming;
-    bool withdrawn = false;
+    bool cancelled = false;
   };
-  RequestId on_request(const std::shared_ptr<engine::ResponseSink>& asker,
+  RequestId on_request(const std::shared_ptr<engine::ResponseSink>& sink,
                        engine::IncomingRequest incoming) override {
-    if (full) return 0;
-    all.push_back({asker, std::move(incoming)});
-    if (at_once) {
-      all.back().asker->respond(all.back().incoming.tag,
-                                {.kind = Response::Kind::rejected, .retry_after = 5});
+    if (reject_all) return 0;
+    submitted.push_back({sink, std::move(incoming)});
+    if (respond_within_request) {
+      submitted.back().sink->respond(submitted.back().incoming.tag,
+                                     {.kind = Response::Kind::rejected, .retry_after = 5});
     }
-    return all.size();
+    return submitted.size();
   }
   void on_client_cancelled(RequestId request) override {
-    EXPECT_FALSE(all.at(request - 1).withdrawn);
-    all.at(request - 1).withdrawn = true;
+    EXPECT_FALSE(submitted.at(request - 1).cancelled);
+    submitted.at(request - 1).cancelled = true;
   }
   void reply(std::size_t i, Response reply) {
-    all.at(i).asker->respond(all.at(i).incoming.tag, std::move(reply));
+    submitted.at(i).sink->respond(submitted.at(i).incoming.tag, std::move(reply));
   }
-  std::deque<One> all;
-  bool full = false, at_once = false;
+  std::deque<Submitted> submitted;
+  bool reject_all = false, respond_within_request = false;
 };
 
-struct Open final : Calls::Open {
-  void ended(Result result) override { ends.push_back(std::move(result)); }
+struct Open final : Calls::OpenCall {
+  void on_end(Result result) override { ends.push_back(std::move(result)); }
   std::vector<Result> ends;
 };
 
@@ -52,13 +53,13 @@
     settings.names.tenants = {"acme"};
     settings.config.classes = {{1'000, 5'000'000, 1, Effect::safe}, {1'000, 5'000'000, 1, Effect::keyed}};
     calls.emplace(settings, 1, [this] { return now; });
-    calls->ask_from(engine);
+    calls->set_engine(engine);
   }
   std::shared_ptr<Open> call(bool save = false, CallOptions options = {}) {
     auto open = std::make_shared<Open>();
-    Checked checked = check_call(settings, save, save ? 1 : 0, "k", "v", options, now);
-    EXPECT_EQ(checked.wrong, "");
-    calls->submit(open, std::move(checked.asked));
+    CheckedCall checked = check_call(settings, save, save ? 1 : 0, "k", "v", options, now);
+    EXPECT_EQ(checked.error, "");
+    calls->submit(open, std::move(checked.request));
     return open;
   }
   Settings settings;
@@ -67,12 +68,12 @@
   std::optional<Calls> calls;
 };
 
-TEST_F(PluginCalls, AreToldOnceWhateverCrossesWhat) {
+TEST_F(PluginCalls, CancelsRacingResponses_EndEachCallOnce) {
   std::minstd_rand random(7);
   std::vector<std::shared_ptr<Open>> all;
   for (int i = 0; i < 3'000; ++i) {
     all.push_back(call(random() % 4 == 0));
-    for (int turn = 0; turn < 3; ++turn) {
+    for (int event = 0; event < 3; ++event) {
       const std::size_t which = random() % all.size();
       switch (random() % 5) {
         case 0: calls->cancel(all[which]); break;
@@ -91,17 +92,17 @@
   EXPECT_GT(counts.cancelled, 0U);
 }
 
-TEST_F(PluginCalls, ThatTheEngineAnswersAtOnceAreNotWithdrawnLater) {
-  engine.at_once = true;
+TEST_F(PluginCalls, ResponseWithinSubmit_LeavesNothingToCancel) {
+  engine.respond_within_request = true;
   const auto one = call();
   ASSERT_EQ(one->ends.size(), 1U);
   EXPECT_EQ(one->ends[0].status, Status::rejected);
   calls->cancel(one);
   EXPECT_EQ(one->ends.size(), 1U);
-  EXPECT_FALSE(engine.all[0].withdrawn);
+  EXPECT_FALSE(engine.submitted[0].cancelled);
 }
 
-TEST_F(PluginCalls, AreLateByTheCallersTimeWhateverTheEngineThinks) {
+TEST_F(PluginCalls, ResponseAfterTheCallersDeadline_IsLate) {
   const auto read = call(false, {.deadline = std::chrono::milliseconds(10)});
   const auto save = call(true, {.deadline = std::chrono::milliseconds(10)});
   now += 10'001;
@@ -109,65 +110,67 @@
   engine.reply(1, {.kind = Response::Kind::served});
   EXPECT_TRUE(read->ends.at(0).status == Status::failed && read->ends[0].late && !read->ends[0].may_have_run);
   EXPECT_TRUE(save->ends.at(0).status == Status::failed && save->ends[0].late && save->ends[0].may_have_run);
-  // Its time was over before it came here at all.
-  Checked checked = check_call(settings, false, 0, "k", "", {.deadline = std::chrono::milliseconds(1)}, now);
+  // The deadline passed before submit().
+  CheckedCall checked =
+      check_call(settings, false, 0, "k", "", {.deadline = std::chrono::milliseconds(1)}, now);
   now += 1'000;
   const auto over = std::make_shared<Open>();
-  calls->submit(over, std::move(checked.asked));
+  calls->submit(over, std::move(checked.request));
   EXPECT_TRUE(over->ends.at(0).late);
-  EXPECT_EQ(engine.all.size(), 2U);
+  EXPECT_EQ(engine.submitted.size(), 2U);
 }
 
-TEST_F(PluginCalls, OfAKeyedClassHaveAKeyOfTheirOwnWhereNoneIsGivenAndNoTwoAreAlike) {
+TEST_F(PluginCalls, KeyedSaveWithoutIdempotencyKey_GetsAUniqueOne) {
   call(true);
   call(true);
   call(true, {.idempotency_key = "mine"});
   call(false);
-  EXPECT_FALSE(engine.all[0].incoming.message->idempotency_key.empty());
-  EXPECT_NE(engine.all[0].incoming.message->idempotency_key, engine.all[1].incoming.message->idempotency_key);
-  EXPECT_EQ(engine.all[2].incoming.message->idempotency_key, "mine");
-  EXPECT_EQ(engine.all[3].incoming.message->idempotency_key, "");
+  EXPECT_FALSE(engine.submitted[0].incoming.message->idempotency_key.empty());
+  EXPECT_NE(engine.submitted[0].incoming.message->idempotency_key,
+            engine.submitted[1].incoming.message->idempotency_key);
+  EXPECT_EQ(engine.submitted[2].incoming.message->idempotency_key, "mine");
+  EXPECT_EQ(engine.submitted[3].incoming.message->idempotency_key, "");
 }
 
-TEST_F(PluginCalls, ThatWereNotAskedToTheEndAreNotAbsent) {
+TEST_F(PluginCalls, ResponseOtherThanAServersMiss_IsNotReportedAsNotFound) {
   const auto code = [](Response reply, bool save = false, bool late = false) {
     return result_of(std::move(reply), save, late).status;
   };
-  const auto nothing = [] {
+  const auto null_answer = [] {
     Response out{.kind = Response::Kind::served};
     out.answer.form = engine::Answer::Form::nothing;
     return out;
   };
   EXPECT_EQ(code({.kind = Response::Kind::failed, .not_found = true}), Status::not_found);
-  EXPECT_EQ(code(nothing()), Status::not_found);
-  EXPECT_EQ(code(nothing(), true), Status::served);  // a write's answer may hold nothing
+  EXPECT_EQ(code(null_answer()), Status::not_found);
+  EXPECT_EQ(code(null_answer(), true), Status::served);  // a save may be answered with null
   EXPECT_EQ(code({.kind = Response::Kind::rejected, .not_found = true}), Status::rejected);
   EXPECT_EQ(code({.kind = Response::Kind::failed, .late = true, .not_found = true}), Status::failed);
   EXPECT_EQ(code({.kind = Response::Kind::failed, .not_found = true}, true), Status::failed);
-  EXPECT_EQ(code(nothing(), false, true), Status::failed);
+  EXPECT_EQ(code(null_answer(), false, true), Status::failed);
 }
 
-TEST(PluginRest, BeginsOnceNothingWasOpenForItsTimeAndEndsWithTheNextCall) {
-  Rest rest(1'000);
-  EXPECT_FALSE(rest.began());
-  EXPECT_FALSE(rest.began());
-  EXPECT_EQ(rest.ended(50), 0);  // one is open still
-  EXPECT_FALSE(rest.begins(5'000));
-  EXPECT_EQ(rest.ended(100), 1'100);
-  EXPECT_FALSE(rest.begins(1'099));
-  EXPECT_TRUE(rest.begins(1'100));
-  EXPECT_FALSE(rest.begins(1'200));  // it rests already
-  EXPECT_TRUE(rest.began());
-  EXPECT_FALSE(rest.resting());
-  EXPECT_EQ(rest.ended(2'000), 3'000);
-  EXPECT_FALSE(rest.began());  // before it was due
-  EXPECT_FALSE(rest.begins(3'000));
-  EXPECT_EQ(rest.ended(3'500), 4'500);
-  EXPECT_EQ(rest.rests(), 1U);
-  Rest never;
-  never.began();
-  EXPECT_EQ(never.ended(0), 0);
-  EXPECT_FALSE(never.begins(1'000'000'000));
+TEST(PluginIdleTracker, NoOpenCallForIdleAfter_IsIdleUntilTheNextCall) {
+  IdleTracker tracker(1'000);
+  EXPECT_FALSE(tracker.on_call_started());
+  EXPECT_FALSE(tracker.on_call_started());
+  EXPECT_EQ(tracker.on_call_ended(50), 0);  // one call is still open
+  EXPECT_FALSE(tracker.enter_if_due(5'000));
+  EXPECT_EQ(tracker.on_call_ended(100), 1'100);
+  EXPECT_FALSE(tracker.enter_if_due(1'099));
+  EXPECT_TRUE(tracker.enter_if_due(1'100));
+  EXPECT_FALSE(tracker.enter_if_due(1'200));  // it is idle already
+  EXPECT_TRUE(tracker.on_call_started());
+  EXPECT_FALSE(tracker.is_idle());
+  EXPECT_EQ(tracker.on_call_ended(2'000), 3'000);
+  EXPECT_FALSE(tracker.on_call_started());  // before the idle period was due
+  EXPECT_FALSE(tracker.enter_if_due(3'000));
+  EXPECT_EQ(tracker.on_call_ended(3'500), 4'500);
+  EXPECT_EQ(tracker.idle_periods(), 1U);
+  IdleTracker never;
+  never.on_call_started();
+  EXPECT_EQ(never.on_call_ended(0), 0);
+  EXPECT_FALSE(never.enter_if_due(1'000'000'000));
 }
 
 }  // namespace
--- a/tests/plugin/client_test.cpp
+++ b/tests/plugin/client_test.cpp
@@ -1,4 +1,4 @@
-// The client inside a process, over loopback sockets to stand-in servers.
+// Client over loopback sockets to stand-in servers.
 #include "streampick/client.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-// Counts what ends, and how often each does.
+// Counts the ends of each call, and ends by status.
 struct Ends {
   std::mutex mutex;
   std::vector<int> times;
@@ -42,7 +42,7 @@
   }
 };
 
-TEST(PluginClient, ReadsAndSavesAreServedByEveryWayOfAsking) {
+TEST(PluginClient, FutureAndCallbackCalls_AreServed) {
   StandinFleet fleet;
   Client client(fleet.settings);
   const Result read = client.get("sheet-7").get();
@@ -75,7 +75,7 @@
   out.set_value(first.value + "+" + second.value);
 }
 
-TEST(PluginClient, ACoroutineGoesOnWithTheAnswer) {
+TEST(PluginClient, AwaitedCall_ResumesTheCoroutineWithTheResult) {
   StandinFleet fleet;
   Client client(fleet.settings);
   std::promise<std::string> out;
@@ -83,7 +83,7 @@
   EXPECT_EQ(out.get_future().get(), "tile+tile");
 }
 
-TEST(PluginClient, WhatCanNeverBeSentIsSaidToBeInvalidAndRunsNowhere) {
+TEST(PluginClient, InvalidArguments_EndAsInvalidAndSendNothing) {
   StandinFleet fleet;
   Client client(fleet.settings);
   for (const CallOptions& wrong :
@@ -99,7 +99,7 @@
   EXPECT_EQ(fleet.requests(), 0U);
 }
 
-TEST(PluginClient, BadSettingsAreSaidInOneLine) {
+TEST(PluginClient, InvalidSettings_ThrowAnErrorOfOneLine) {
   StandinFleet fleet;
   for (const std::string& config : {std::string("{"), std::string("{}"), std::string()}) {
     ClientSettings settings = fleet.settings;
@@ -116,7 +116,7 @@
   EXPECT_THROW(Client{settings}, ClientError);
 }
 
-TEST(PluginClient, EightThreadsUseOneClientAndEveryCallEndsOnce) {
+TEST(PluginClient, EightThreadsOnOneClient_EveryCallEndsOnce) {
   StandinFleet fleet;
   Client client(fleet.settings);
   constexpr std::size_t kThreads = 8, kEach = 100;
@@ -138,7 +138,7 @@
   EXPECT_GT(counts.served, kThreads * kEach / 2);
 }
 
-TEST(PluginClient, ACancelThatRacesTheAnswerLeavesOneEnd) {
+TEST(PluginClient, CancelRacingTheResponse_EndsTheCallOnce) {
   StandinFleet fleet;
   Client client(fleet.settings);
   constexpr std::size_t kCalls = 10'000, kBatch = 50;
@@ -156,13 +156,13 @@
   EXPECT_GT(ends.count(Status::cancelled), 0);
 }
 
-TEST(PluginClient, ADrainWaitsForTheOpenCallsAndWithdrawsWhatIsLeft) {
+TEST(PluginClient, Drain_WaitsForOpenCallsAndCancelsTheRestAtItsTimeout) {
   StandinFleet fleet(2, 200ms);
   Client client(fleet.settings);
   Ends ends(3);
   client.get("a", {}, ends.of(0));
   EXPECT_TRUE(client.drain(10s));
-  client.get("b", {}, ends.of(1));  // it takes no more
+  client.get("b", {}, ends.of(1));  // a drained client accepts no calls
   Client other(fleet.settings);
   fleet.delay(5s);
   other.get("c", {}, ends.of(2));
@@ -172,7 +172,7 @@
   EXPECT_EQ(ends.count(Status::cancelled), 2);
 }
 
-TEST(PluginClient, ADrainWaitsForTheCallbacksToo) {
+TEST(PluginClient, DrainWithRunningCallbacks_WaitsForThem) {
   StandinFleet fleet;
   Client client(fleet.settings);
   std::atomic<int> ran{0};
@@ -185,7 +185,7 @@
   EXPECT_EQ(ran, 8);
 }
 
-TEST(PluginClient, WhatIsOpenWhenTheClientEndsIsWithdrawn) {
+TEST(PluginClient, OpenCallsAtDestruction_AreCancelled) {
   StandinFleet fleet(2, 5s);
   Ends ends(20);
   {
@@ -196,7 +196,7 @@
   EXPECT_EQ(ends.count(Status::cancelled), 20);
 }
 
-TEST(PluginClient, ItCanBeEndedFromWithinItsOwnCallbacks) {
+TEST(PluginClient, DestroyedWithinItsOwnCallback_DoesNotBlock) {
   for (const std::size_t threads : {0, 1, 2}) {
     StandinFleet fleet;
     ClientSettings settings = fleet.settings;
@@ -211,7 +211,7 @@
   }
 }
 
-TEST(PluginClient, ACallbackThatBlocksOrThrowsHoldsNobodyElseUp) {
+TEST(PluginClient, CallbackThatBlocksOrThrows_DelaysNoOtherCall) {
   StandinFleet fleet;
   Client client(fleet.settings);
   std::latch blocked(1), go_on(1);
@@ -220,27 +220,27 @@
     go_on.wait();
   });
   blocked.wait();
-  client.get("b", {}, [](const Result&) { throw std::runtime_error("the caller's own"); });
+  client.get("b", {}, [](const Result&) { throw std::runtime_error("thrown by the callback"); });
   std::promise<Status> other;
   client.get("c", {}, [&](const Result& result) { other.set_value(result.status); });
   auto told = other.get_future();
   EXPECT_EQ(told.wait_for(10s), std::future_status::ready);
-  EXPECT_EQ(client.get("d").get().status, Status::served);  // a future needs no thread at all
+  EXPECT_EQ(client.get("d").get().status, Status::served);  // completing a future needs no callback thread
   EXPECT_EQ(client.counts().callback_exceptions, 1U);
   go_on.count_down();
   EXPECT_TRUE(client.drain(10s));
 }
 
-TEST(PluginClient, TwoClientsOfOneProcessShareNothing) {
-  StandinFleet well(3, {}, "well"), dead(3, {}, "dead");
-  dead.delay(30s);
-  Client one(well.settings), two(dead.settings);
+TEST(PluginClient, TwoClientsInOneProcess_ShareNothing) {
+  StandinFleet healthy(3, {}, "healthy"), stalled(3, {}, "stalled");
+  stalled.delay(30s);
+  Client one(healthy.settings), two(stalled.settings);
   std::vector<std::future<Result>> stuck;
   for (int i = 0; i < 50; ++i) stuck.push_back(two.get("k" + std::to_string(i), {.deadline = 300ms}));
   for (int i = 0; i < 200; ++i) {
     const Result result = one.get("k" + std::to_string(i)).get();
     ASSERT_EQ(result.status, Status::served);
-    ASSERT_EQ(result.value, "well");
+    ASSERT_EQ(result.value, "healthy");
   }
   for (auto& call : stuck) EXPECT_NE(call.get().status, Status::served);
   const ClientCounts first = one.counts(), second = two.counts();
@@ -250,7 +250,7 @@
   EXPECT_EQ(second.calls, 50U);
 }
 
-TEST(PluginClient, MoreCallsThanMayBeOpenAreRefusedAtOnce) {
+TEST(PluginClient, CallsBeyondMaxOpenCalls_AreRejectedAtOnce) {
   StandinFleet fleet(2, 300ms);
   ClientSettings settings = fleet.settings;
   settings.max_open_calls = 5;
@@ -267,7 +267,7 @@
   EXPECT_EQ(busy, 3);
 }
 
-TEST(PluginClient, AChildOfTheProcessIsToldToOpenItsOwn) {
+TEST(PluginClient, CallInAForkedChild_EndsAsInvalid) {
   StandinFleet fleet(2, 200ms);
   auto client = std::make_unique<Client>(fleet.settings);
   auto open = client->get("a");  // in flight while the process forks
@@ -285,19 +285,19 @@
   EXPECT_EQ(open.get().status, Status::served);
 }
 
-TEST(PluginClient, AClientAtRestWakesNobody) {
+TEST(PluginClient, NoOpenCalls_SchedulesNoEngineWakeups) {
   StandinFleet fleet;
   Client client(fleet.settings);
   ASSERT_EQ(client.get("a").get().status, Status::served);
   std::this_thread::sleep_for(200ms);
   const std::uint64_t before = client.counts().wakeups;
   std::this_thread::sleep_for(2'500ms);
-  // The watch on discovery brings a line a second, and the open connection is looked at each second; the
-  // module's own ticks, five a second, do not come.
+  // The discovery watch sends a line each second, and the open connection is checked each second. The
+  // engine's wake-ups, five per second while it has work, must not occur.
   EXPECT_LE(client.counts().wakeups - before, 9U);
 }
 
-TEST(PluginClient, ThatRestsHoldsNothingIsWokenByNothingAndReadsTheListBeforeItSendsAgain) {
+TEST(PluginClient, IdleAfterElapsed_ClosesAllSchedulesNoWakeupsAndReadsTheListBeforeTheNextCall) {
   StandinFleet fleet;
   ClientSettings settings = fleet.settings;
   settings.idle_after = 100ms;
@@ -308,20 +308,20 @@
   while (client.counts().idle_periods == 0) std::this_thread::sleep_for(1ms);
   while (fleet.watches() > 0) std::this_thread::sleep_for(1ms);
   EXPECT_EQ(client.counts().connections, 0U);
-  // The turns of the client's thread are counted by that thread, each asking for them being one: between two
-  // askings a client that is woken by nothing has had the first one's turn and no other. What the engine
-  // still looked at once a second when the rest began comes late on a busy machine: waited for is the first
-  // stretch, of over a second, in which it brings no turn. A client that is woken each second never has one.
-  bool still = false;
-  for (int stretch = 0; stretch < 20 && !still; ++stretch) {
-    const std::uint64_t before_it = client.counts().wakeups;
+  // The client's thread counts its wake-ups, and each call of counts() causes one: an idle client has only
+  // those. The engine's last check, which it makes once a second, may come late on a busy machine, so the
+  // test waits for the first 1.5 s without another wake-up. A client that wakes up each second never has one.
+  bool quiet = false;
+  for (int period = 0; period < 20 && !quiet; ++period) {
+    const std::uint64_t period_start = client.counts().wakeups;
     std::this_thread::sleep_for(1'500ms);
-    constexpr std::uint64_t kAskings = 4;  // what was due while the thread had no processor runs between them
-    for (std::uint64_t asking = 1; asking < kAskings; ++asking) client.counts();
-    still = client.counts().wakeups - before_it == kAskings;
+    constexpr std::uint64_t kCountsCalls =
+        4;  // handlers that were delayed on a busy machine run between these calls
+    for (std::uint64_t call = 1; call < kCountsCalls; ++call) client.counts();
+    quiet = client.counts().wakeups - period_start == kCountsCalls;
   }
-  EXPECT_TRUE(still);
-  // A server leaves while nobody here hears of it.
+  EXPECT_TRUE(quiet);
+  // A server leaves while the client has no discovery watch.
   fleet.tell_leaves(1);
   before[1] = fleet.requests_at(1);
   for (int i = 0; i < 60; ++i) ASSERT_EQ(client.get("k" + std::to_string(i)).get().status, Status::served);
@@ -329,7 +329,7 @@
   EXPECT_GE(client.counts().idle_periods, 1U);
 }
 
-TEST(PluginClient, WhereTheListIsAskedForItDoesNotRest) {
+TEST(PluginClient, PolledDiscovery_IsNeverIdle) {
   StandinFleet fleet;
   ClientSettings settings = fleet.settings;
   auto config = nlohmann::json::parse(settings.config);
@@ -343,7 +343,7 @@
   EXPECT_EQ(client.get("b").get().status, Status::served);
 }
 
-TEST(PluginClient, ThatRestsBetweenEachTwoCallsStillEndsEachOnceAndInTime) {
+TEST(PluginClient, IdlePeriodBetweenCalls_EachCallIsServedOnce) {
   StandinFleet fleet;
   ClientSettings settings = fleet.settings;
   settings.idle_after = 5ms;
--- a/tests/plugin/equal_test.cpp
+++ b/tests/plugin/equal_test.cpp
@@ -1,5 +1,5 @@
-// One schedule of calls, through the daemon, the client and stubs on it, over fleets of the same kind: what
-// becomes of them must not differ by more than chance makes two runs of either differ.
+// Runs one schedule of calls through the daemon, the client library and gRPC stubs, over equal fleets. Their
+// outcomes may differ no more than two runs of one of them do.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -21,23 +21,23 @@
   const char* name;
   int calls = 300;
   std::chrono::milliseconds delay{2};
-  std::uint64_t keys = 0;           // of the caches: one key in so many is missing
-  std::size_t slots = 0, line = 0;  // strength of the servers; 0: no bound
+  std::uint64_t keys = 0;           // one of this many keys is missing in a cache; 0: none
+  std::size_t slots = 0, line = 0;  // requests that a server processes and queues at once; 0: no bound
   std::chrono::milliseconds deadline{2'000};
   int saves_every = 10;
 };
 
 void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
 
-struct Figures {
-  int served = 0, refused = 0, failed = 0;
+struct Outcomes {
+  int served = 0, rejected = 0, failed = 0;
   std::uint64_t attempts = 0;
   void count(Status status) {
-    ++(status == Status::served ? served : status == Status::rejected ? refused : failed);
+    ++(status == Status::served ? served : status == Status::rejected ? rejected : failed);
   }
-  void add(const Figures& other) {
+  void add(const Outcomes& other) {
     served += other.served;
-    refused += other.refused;
+    rejected += other.rejected;
     failed += other.failed;
   }
 };
@@ -52,30 +52,29 @@
 }
 std::string key_of(int i) { return "sheet-" + std::to_string(i * 7919 % 97); }
 
-// Sixteen callers, each with one call at a time.
-constexpr int kCallers = 16;
+constexpr int kCallers = 16;  // each with one open call at a time
 
-// Runs `calls` for each caller on a thread of its own; what became of all of them.
-Figures all_callers(const Scenario& scenario, const std::function<Figures(int caller)>& calls) {
-  std::vector<Figures> each(kCallers);
+// Runs `calls` for each caller on its own thread and returns the sum of their outcomes.
+Outcomes run_callers(const Scenario& scenario, const std::function<Outcomes(int caller)>& calls) {
+  std::vector<Outcomes> each(kCallers);
   std::vector<std::thread> callers;
   for (int c = 0; c < kCallers; ++c)
     callers.emplace_back([&, c] { each[static_cast<std::size_t>(c)] = calls(c); });
-  Figures all;
+  Outcomes all;
   for (int c = 0; c < kCallers; ++c) {
     callers[static_cast<std::size_t>(c)].join();
     all.add(each[static_cast<std::size_t>(c)]);
   }
-  EXPECT_EQ(all.served + all.refused + all.failed, scenario.calls);
+  EXPECT_EQ(all.served + all.rejected + all.failed, scenario.calls);
   return all;
 }
 
-Figures through_client(const Scenario& scenario) {
+Outcomes through_client(const Scenario& scenario) {
   StandinFleet fleet(4);
   set_up(fleet, scenario);
   Client client(fleet.settings);
-  Figures all = all_callers(scenario, [&](int caller) {
-    Figures out;
+  Outcomes all = run_callers(scenario, [&](int caller) {
+    Outcomes out;
     for (int i = caller; i < scenario.calls; i += kCallers) {
       const CallOptions options{.deadline = scenario.deadline};
       const bool save = i % scenario.saves_every == 0;
@@ -89,8 +88,8 @@
 }
 
 #ifdef STREAMPICK_WITH_GRPC
-// The same calls by stubs on a routed channel.
-Figures through_stubs(const Scenario& scenario) {
+// The same calls through stubs on a routed channel.
+Outcomes through_stubs(const Scenario& scenario) {
   StandinFleet fleet(4);
   set_up(fleet, scenario);
   const auto client = std::make_shared<Client>(fleet.settings);
@@ -98,8 +97,8 @@
       client, {.routes = {{"streampick.tiles.Tiles/ReadTile", "tile-read", false, "{sheet}", "image"},
                           {"streampick.tiles.Tiles/SaveAnnotation", "annotation-save", true, "{sheet}",
                            "drawing"}}}));
-  Figures all = all_callers(scenario, [&](int caller) {
-    Figures out;
+  Outcomes all = run_callers(scenario, [&](int caller) {
+    Outcomes out;
     for (int i = caller; i < scenario.calls; i += kCallers) {
       grpc::ClientContext context;
       context.set_deadline(std::chrono::system_clock::now() + scenario.deadline);
@@ -127,7 +126,7 @@
 }
 #endif
 
-Figures through_daemon(const Scenario& scenario) {
+Outcomes through_daemon(const Scenario& scenario) {
   StandinFleet fleet(4);
   set_up(fleet, scenario);
   asio::io_context io;
@@ -143,8 +142,8 @@
       std::this_thread::sleep_for(10ms);
     }
   }
-  Figures all = all_callers(scenario, [&](int caller) {
-    Figures out;
+  Outcomes all = run_callers(scenario, [&](int caller) {
+    Outcomes out;
     standin::HttpClient client(address);
     for (int i = caller; i < scenario.calls; i += kCallers) {
       const bool save = i % scenario.saves_every == 0;
@@ -162,28 +161,29 @@
   return all;
 }
 
-class SameAsTheDaemon : public ::testing::TestWithParam<Scenario> {};
+class ClientMatchesDaemon : public ::testing::TestWithParam<Scenario> {};
 
-void expect_alike(const Figures& one, const Figures& daemon, const Scenario& scenario) {
-  // Where servers are full, what is let in learns from what was: two runs of one way differ by up to a fifth.
+void expect_similar(const Outcomes& one, const Outcomes& daemon, const Scenario& scenario) {
+  // With overloaded servers admission adapts to earlier outcomes: two runs of one kind differ by up to a
+  // fifth.
   const int bound = 4 + scenario.calls * 3 / 10;
   EXPECT_NEAR(one.served, daemon.served, bound);
-  EXPECT_NEAR(one.refused, daemon.refused, bound);
+  EXPECT_NEAR(one.rejected, daemon.rejected, bound);
   EXPECT_NEAR(one.failed, daemon.failed, bound);
   EXPECT_NEAR(static_cast<double>(one.attempts), static_cast<double>(daemon.attempts),
               0.25 * static_cast<double>(daemon.attempts) + 10);
 }
 
-TEST_P(SameAsTheDaemon, InWhatBecomesOfItsCalls) {
-  const Figures daemon = through_daemon(GetParam());
-  expect_alike(through_client(GetParam()), daemon, GetParam());
+TEST_P(ClientMatchesDaemon, SameSchedule_HasSimilarOutcomes) {
+  const Outcomes daemon = through_daemon(GetParam());
+  expect_similar(through_client(GetParam()), daemon, GetParam());
 #ifdef STREAMPICK_WITH_GRPC
-  expect_alike(through_stubs(GetParam()), daemon, GetParam());
+  expect_similar(through_stubs(GetParam()), daemon, GetParam());
 #endif
 }
 
-// Where nothing hangs on timing the counts are equal.
-TEST(SameAsTheDaemonExactly, InACalmHour) {
+// With healthy servers the counts do not depend on timing, so they are equal.
+TEST(ClientMatchesDaemonExactly, HealthyServers_ServeEveryCall) {
   const Scenario calm{.name = "calm", .calls = 320};
   EXPECT_EQ(through_client(calm).served, 320);
   EXPECT_EQ(through_daemon(calm).served, 320);
@@ -193,7 +193,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Scenarios, SameAsTheDaemon,
+    Scenarios, ClientMatchesDaemon,
     ::testing::Values(Scenario{.name = "misses", .calls = 400, .keys = 3},
                       Scenario{.name = "crowded", .calls = 400, .delay = 20ms, .slots = 1, .line = 1},
                       Scenario{.name = "stalled", .calls = 64, .delay = 5'000ms, .deadline = 400ms}),
--- a/tests/plugin/fleet.h
+++ b/tests/plugin/fleet.h
@@ -1,4 +1,4 @@
-// A small fleet of stand-in servers on a thread of its own, and settings for a client of it.
+// A small fleet of stand-in servers that run on their own thread, and settings for a client of the fleet.
 #pragma once
 
 #include <atomic>
@@ -59,8 +59,8 @@
     });
     return all;
   }
-  // Tells the watches that this server goes; with a delay only those that are begun from now on, so much
-  // later.
+  // Lists the server as terminating. Without a delay the open watches are told at once; with one only watches
+  // that start later are told, after the delay.
   void tell_leaves(std::size_t server, std::chrono::milliseconds delay = {}) {
     on([&] {
       members.at(server).phase = "terminating";
--- a/tests/plugin/held_up_test.cpp
+++ b/tests/plugin/held_up_test.cpp
@@ -1,5 +1,5 @@
-// A client whose loop is held up by its host: what the host cancels meanwhile begins no attempt, though the
-// loop comes to the attempt's timer first.
+// A callback blocks the client's I/O loop. A call that is cancelled meanwhile must start no attempt, even if
+// the loop handles the attempt's overdue timer before the cancel.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -18,27 +18,29 @@
 
 using namespace std::chrono_literals;
 
-// A client whose callbacks run on its loop's own thread, and block it where told.
-class HeldUpByItsHost : public ::testing::Test {
+// A client whose callbacks run on its I/O thread, which block() blocks.
+class PluginBlockedLoop : public ::testing::Test {
  protected:
-  HeldUpByItsHost() : fleet(3) {
+  PluginBlockedLoop() : fleet(3) {
     fleet.settings.run_callback = [](std::function<void()> run) { run(); };
     client = std::make_shared<Client>(fleet.settings);
-    // Connections to all caches, so that an attempt has none to wait for; from here on none answers.
+    // Opens connections to all caches, so that attempts need no connect. After that no server answers in
+    // time.
     for (int key = 0; key < 40; ++key) client->get("warm-" + std::to_string(key)).get();
     std::this_thread::sleep_for(50ms);
     fleet.delay(5s);
     before = fleet.requests();
   }
-  // Ends at once, on the loop, which its callback then blocks.
+  // An invalid call: it ends at once, and its callback blocks the loop for `time`.
   void block(std::chrono::milliseconds time, std::atomic<bool>* begun = nullptr) {
     client->get("", {}, [time, begun](const Result&) {
       if (begun != nullptr) *begun = true;
       std::this_thread::sleep_for(time);
     });
   }
-  // The loop is held up from before the hedge's timer is due until behind that, and then once more, with the
-  // timer's handler waiting behind: `cancel` runs then. The whole is too short to count as a pause.
+  // Blocks the loop from before the hedge timer is due until after that, then a second time, with the timer's
+  // handler queued behind: `cancel` runs during the second block. Both together are too short to be taken for
+  // a suspension.
   void cancel_while_the_hedge_waits(const std::function<void()>& cancel) {
     while (fleet.requests() == before) std::this_thread::sleep_for(1ms);
     std::this_thread::sleep_for(kHedgeAfter - 30ms);
@@ -58,16 +60,16 @@
 
   StandinFleet fleet;
   std::shared_ptr<Client> client;
-  std::uint64_t before = 0;  // requests that the servers have had
+  std::uint64_t before = 0;  // requests received by the servers before the test
 };
 
-TEST_F(HeldUpByItsHost, ACallThatIsCancelledMeanwhileBeginsNoHedge) {
+TEST_F(PluginBlockedLoop, CancelBeforeAnOverdueHedgeTimer_SendsNoHedge) {
   const Call call = client->get("sheet-7", {}, [](const Result&) {});
   cancel_while_the_hedge_waits([&] { call.cancel(); });
   expect_no_hedge();
 }
 
-TEST_F(HeldUpByItsHost, ACallThatIsCancelledBeforeItIsReadBeginsNothing) {
+TEST_F(PluginBlockedLoop, CancelBeforeTheCallIsSubmitted_SendsNothing) {
   std::atomic<bool> begun{false};
   block(150ms, &begun);
   while (!begun) std::this_thread::yield();
@@ -78,7 +80,7 @@
 }
 
 #ifdef STREAMPICK_WITH_GRPC
-TEST_F(HeldUpByItsHost, AStubsCallThatIsCancelledMeanwhileBeginsNoHedge) {
+TEST_F(PluginBlockedLoop, StubCancelBeforeAnOverdueHedgeTimer_SendsNoHedge) {
   const auto stub =
       tiles::Tiles::NewStub(rpc::open_channel(client, {.services = {"streampick.tiles.Tiles"}}));
   grpc::ClientContext context;
--- a/tests/plugin/host_main.cpp
+++ b/tests/plugin/host_main.cpp
@@ -1,10 +1,10 @@
-// A host process for the tests that stop it: CONFIG CALLS DEADLINE_MS [MODE]; tells on descriptor 3 that its
-// calls are out, and in the end what became of them. Modes:
-//   saves    every other call is a save
-//   drain    it drains its client once its calls are out, for as long as their deadline
-//   again    it reads as many keys once more after the first are back, one after another
-//   nofile   it may open no descriptor while its calls begin
-//   exit     it ends by exit(), with its calls out and its client never ended
+// A host process for tests that suspend it. Arguments: CONFIG CALLS DEADLINE_MS [MODE]. It writes to
+// descriptor 3 one byte when its calls are in flight, and a Report when they have ended. Modes:
+//   saves    every second call is a save
+//   drain    drains the client when the calls are in flight, with their deadline as the timeout
+//   again    when the calls have ended, makes as many again, one after another
+//   nofile   cannot open a descriptor while it makes its first calls
+//   exit     calls exit() with calls in flight and without destroying the client
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -21,7 +21,7 @@
 
 using namespace streampick;
 
-// No descriptor beyond those that are open.
+// Limits descriptors to those that are open.
 struct NoDescriptors {
   NoDescriptors() {
     ::getrlimit(RLIMIT_NOFILE, &before);
@@ -38,9 +38,9 @@
 void count(test::Report& report, const Result& result) {
   ++report.ends;
   report.served += result.status == Status::served ? 1 : 0;
-  report.refused += result.status == Status::rejected ? 1 : 0;
+  report.rejected += result.status == Status::rejected ? 1 : 0;
   report.failed += result.status == Status::failed ? 1 : 0;
-  report.withdrawn += result.status == Status::cancelled ? 1 : 0;
+  report.cancelled += result.status == Status::cancelled ? 1 : 0;
   report.late += result.late ? 1 : 0;
 }
 
@@ -64,7 +64,7 @@
     std::vector<std::future<Result>> open;
     if (mode == "nofile") {
       while (client.counts().servers == 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-      std::this_thread::sleep_for(std::chrono::milliseconds(100));  // its watch is up
+      std::this_thread::sleep_for(std::chrono::milliseconds(100));  // until the discovery watch is open
       const NoDescriptors none;
       for (int i = 0; i < calls; ++i) count(report, ask(i).get());
     } else {
@@ -83,7 +83,7 @@
       for (int i = 0; i < calls; ++i) count(report, ask(i).get());
     const ClientCounts counts = client.counts();
     report.attempts = counts.attempts;
-    report.pauses = counts.suspensions;
+    report.suspensions = counts.suspensions;
   }
   return ::write(3, &report, sizeof report) == sizeof report ? 0 : 1;
 }
--- a/tests/plugin/pause_test.cpp
+++ b/tests/plugin/pause_test.cpp
@@ -1,4 +1,4 @@
-// A host that stands still with calls in flight: a child process that is stopped and let go on.
+// A host process that is suspended with calls in flight: a child process that gets SIGSTOP and SIGCONT.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,8 +17,8 @@
 
 using namespace std::chrono_literals;
 
-// Starts a process (host_main.cpp) that opens a client, asks for `calls` reads, says so, and reports what
-// became of them. Nothing but exec stands between fork and the new program.
+// Runs host_main.cpp as a child process, which opens a client, makes `calls` calls and reports their
+// outcomes. The child of fork() only calls exec, since this process has threads.
 class Host {
  public:
   Host(const ClientSettings& settings, int calls, std::chrono::milliseconds deadline,
@@ -65,7 +65,7 @@
   }
   Report report() {
     Report out;
-    if (::read(in_, &out, sizeof out) != sizeof out) ADD_FAILURE() << "the host said nothing";
+    if (::read(in_, &out, sizeof out) != sizeof out) ADD_FAILURE() << "the host process sent no report";
     int status = 0;
     ::waitpid(child_, &status, 0);
     EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0);
@@ -78,32 +78,32 @@
   int in_ = -1;
 };
 
-TEST(PluginPause, WhatItsTimeWasUpForMeanwhileIsNotServedThoughItsAnswerLiesThere) {
+TEST(PluginSuspension, DeadlineDuringSuspension_FailsAsLateDespiteReceivedResponses) {
   StandinFleet fleet(3, 300ms);
   Host host(fleet.settings, 4, 1'000ms);
   while (fleet.requests() < 4) std::this_thread::sleep_for(1ms);
-  host.stop_for(2'000ms);  // the answers come while it stands still
+  host.stop_for(2'000ms);  // the responses arrive during the suspension
   const Report report = host.report();
   EXPECT_EQ(report.ends, 4);
   EXPECT_EQ(report.served, 0);
   EXPECT_EQ(report.failed, 4);
   EXPECT_EQ(report.late, 4);
-  EXPECT_GE(report.pauses, 1U);
+  EXPECT_GE(report.suspensions, 1U);
 }
 
-TEST(PluginPause, WhatHasTimeLeftIsServedAndNoCopiesGoOutForTheTimersThatFellDue) {
+TEST(PluginSuspension, DeadlineAfterSuspension_IsServedWithoutHedgesFromOverdueTimers) {
   StandinFleet fleet(4, 600ms);
   Host host(fleet.settings, 8, 4'000ms);
   while (fleet.requests() < 8) std::this_thread::sleep_for(1ms);
   host.stop_for(1'000ms);
   const Report report = host.report();
   EXPECT_EQ(report.served, 8);
-  // Eight timers of 320 ms fell due during the pause; a copy for each would be sixteen attempts.
+  // Eight hedge timers of 320 ms fell due during the suspension; a hedge for each would make 16 attempts.
   EXPECT_LE(report.attempts, 10U);
-  EXPECT_GE(report.pauses, 1U);
+  EXPECT_GE(report.suspensions, 1U);
 }
 
-TEST(PluginPause, AShortOneChangesNothing) {
+TEST(PluginSuspension, StopOfFiftyMilliseconds_ChangesNothing) {
   StandinFleet fleet(3, 200ms);
   Host host(fleet.settings, 4, 4'000ms);
   host.stop_for(50ms);
@@ -112,7 +112,7 @@
   EXPECT_EQ(report.attempts, 4U);
 }
 
-TEST(PluginPause, AfterTwentySecondsReadsAndSavesHaveFailedOnceAndNoSaveWasCarriedOutAgain) {
+TEST(PluginSuspension, StopOfTwentySeconds_FailsEachCallOnceAndRepeatsNoSave) {
   StandinFleet fleet(3, 500ms);
   Host host(fleet.settings, 8, 3'000ms, "saves");
   while (fleet.requests() < 8) std::this_thread::sleep_for(1ms);
@@ -122,11 +122,11 @@
   EXPECT_EQ(report.ends, 8);
   EXPECT_EQ(report.failed, 8);
   EXPECT_EQ(report.late, 8);
-  EXPECT_GE(report.pauses, 1U);
-  EXPECT_EQ(fleet.requests(), before);  // for what is over nothing is sent
+  EXPECT_GE(report.suspensions, 1U);
+  EXPECT_EQ(fleet.requests(), before);  // calls past their deadline send nothing
 }
 
-TEST(PluginPause, AServerThatWasToldToGoMeanwhileGetsNothingNew) {
+TEST(PluginSuspension, ServerThatLeavesDuringSuspension_GetsNoNewRequests) {
   StandinFleet fleet(3, 300ms);
   Host host(fleet.settings, 8, 4'000ms, "again");
   while (fleet.requests() < 8) std::this_thread::sleep_for(1ms);
@@ -134,7 +134,7 @@
   host.stop_for(3'000ms, [&] {
     before = fleet.requests_at(0);
     EXPECT_GT(before, 0U);
-    fleet.tell_leaves(0, 200ms);  // the list takes its time, and calls wait for it
+    fleet.tell_leaves(0, 200ms);  // the list is delayed, and new calls wait for it
     fleet.delay(2ms);
   });
   const Report report = host.report();
@@ -143,7 +143,7 @@
   EXPECT_EQ(fleet.requests_at(0), before);
 }
 
-TEST(PluginPause, ADrainThatIsStoppedEndsEachCallOnceAndInItsTime) {
+TEST(PluginSuspension, SuspensionDuringDrain_EndsEachCallOnce) {
   StandinFleet fleet(3, 500ms);
   Host host(fleet.settings, 6, 2'000ms, "drain");
   while (fleet.requests() < 6) std::this_thread::sleep_for(1ms);
@@ -151,10 +151,10 @@
   const Report report = host.report();
   EXPECT_EQ(report.ends, 6);
   EXPECT_EQ(report.served, 0);
-  EXPECT_EQ(report.failed + report.withdrawn, 6);
+  EXPECT_EQ(report.failed + report.cancelled, 6);
 }
 
-TEST(PluginHost, ThatEndsWithoutADrainLeavesNoConnectionOpenAndNothingMoreIsSentForIt) {
+TEST(PluginHost, ExitWithoutDrain_ClosesConnectionsAndSendsNothingMore) {
   for (const bool killed : {true, false}) {
     StandinFleet fleet(3, 5'000ms);
     Host host(fleet.settings, 6, 4'000ms, killed ? "" : "exit");
@@ -168,18 +168,18 @@
     for (int i = 0; i < 2'000 && fleet.watches() > 0; ++i) std::this_thread::sleep_for(1ms);
     EXPECT_EQ(fleet.watches(), 0U);
     const std::uint64_t sent = fleet.requests();
-    std::this_thread::sleep_for(500ms);  // copies would have been due
+    std::this_thread::sleep_for(500ms);  // hedges would have been due
     EXPECT_EQ(fleet.requests(), sent);
   }
 }
 
-TEST(PluginHost, WithoutADescriptorLeftAnswersEachCallAndGoesOnOnceItHasSomeAgain) {
+TEST(PluginHost, NoFreeDescriptor_EndsEachCallAndServesAgainOnceThereAreSome) {
   StandinFleet fleet(3, 2ms);
   Host host(fleet.settings, 6, 1'500ms, "nofile");
   const Report report = host.report();
   EXPECT_EQ(report.ends, 12);
   EXPECT_EQ(report.served, 6);
-  EXPECT_EQ(report.refused + report.failed, 6);
+  EXPECT_EQ(report.rejected + report.failed, 6);
 }
 
 }  // namespace
--- a/tests/plugin/resp_servers_test.cpp
+++ b/tests/plugin/resp_servers_test.cpp
@@ -1,4 +1,4 @@
-// A client whose servers speak RESP, as an options file says: the same file as the daemon's.
+// A client whose servers speak RESP, set by an options file as for the daemon.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -55,7 +55,7 @@
   std::thread thread;
 };
 
-TEST_F(RespServers, ServeReadsAndSavesAndAreFilledWithWhatTheyMissed) {
+TEST_F(RespServers, ReadsAndSaves_AreServedAndMissesFillTheCache) {
   on([&] {
     for (auto& one : servers) one->values["everywhere"] = "v";
     servers[2]->values["at the origin"] = "w";
@@ -75,7 +75,7 @@
   EXPECT_EQ(on([&] { return servers[2]->values["mark"]; }), "ink");
 }
 
-TEST_F(RespServers, ASaveWhoseConnectionBreaksIsNotCarriedOutTwice) {
+TEST_F(RespServers, ConnectionClosedDuringSave_ExecutesTheSaveOnceAtMost) {
   on([&] {
     servers[2]->script = [n = 0](const std::vector<std::string>&, std::size_t) mutable {
       return standin::Fault{n++ % 2 == 0 ? standin::Fault::Kind::close : standin::Fault::Kind::none};
@@ -88,9 +88,9 @@
   for (const auto& [what, times] : executions) EXPECT_EQ(times, 1U) << what;
 }
 
-// What is said while the client is made is said to the host, and not on its standard error.
-TEST_F(RespServers, ThatAreToldNoKeysAreSpokenOfInTheHostsLog) {
-  std::mutex mutex;  // the client's own thread may speak too
+// Messages of the constructor go to the host's log function, not to standard error.
+TEST_F(RespServers, SendIdsIsFalse_WarnsInTheHostsLog) {
+  std::mutex mutex;  // the client's I/O thread may log too
   std::string said;
   settings.options = "[resp.servers]\nsend_ids = false\n";
   settings.log = [&](std::string_view text) {
@@ -102,7 +102,7 @@
   EXPECT_NE(said.find("keyed classes count as unsafe"), std::string::npos) << said;
 }
 
-TEST_F(RespServers, AMistakeInTheOptionsIsToldInOneLine) {
+TEST_F(RespServers, UnknownOption_ThrowsAnErrorOfOneLine) {
   settings.options = "[resp.servers]\nconnection = 4\n";
   try {
     const Client client(settings);
--- a/tests/plugin/resume_test.cpp
+++ b/tests/plugin/resume_test.cpp
@@ -7,40 +7,40 @@
 
 constexpr long long kMs = 1'000;
 
-TEST(Resume, ALittleLateIsNoPause) {
-  Resume resume;
-  EXPECT_EQ(resume.woke(1'000 * kMs, 990 * kMs), 0);
-  EXPECT_EQ(resume.woke(1'000 * kMs, 0), 0);            // nothing was due
-  EXPECT_EQ(resume.woke(1'000 * kMs, 2'000 * kMs), 0);  // woken by something else, early
-  EXPECT_TRUE(resume.may_send(1'000 * kMs));
+TEST(SuspensionDetector, ShortDelay_IsNoSuspension) {
+  SuspensionDetector detector;
+  EXPECT_EQ(detector.on_wakeup(1'000 * kMs, 990 * kMs), 0);
+  EXPECT_EQ(detector.on_wakeup(1'000 * kMs, 0), 0);            // nothing was due
+  EXPECT_EQ(detector.on_wakeup(1'000 * kMs, 2'000 * kMs), 0);  // woken by something else, early
+  EXPECT_TRUE(detector.may_send(1'000 * kMs));
 }
 
-TEST(Resume, APauseIsLeftOutAndHoldsWhatIsNewUntilTheListIsRead) {
-  Resume resume;
-  EXPECT_EQ(resume.woke(4'000 * kMs, 1'000 * kMs), 3'000 * kMs);
-  EXPECT_EQ(resume.skipped(), 3'000 * kMs);
-  EXPECT_FALSE(resume.may_send(4'000 * kMs));
-  resume.list_read();
-  EXPECT_TRUE(resume.may_send(4'001 * kMs));
-  EXPECT_EQ(resume.pauses(), 1U);
+TEST(SuspensionDetector, Suspension_IsLeftOutOfTheTimeAndHoldsAttemptsUntilTheListIsRead) {
+  SuspensionDetector detector;
+  EXPECT_EQ(detector.on_wakeup(4'000 * kMs, 1'000 * kMs), 3'000 * kMs);
+  EXPECT_EQ(detector.suspended_time(), 3'000 * kMs);
+  EXPECT_FALSE(detector.may_send(4'000 * kMs));
+  detector.on_list_read();
+  EXPECT_TRUE(detector.may_send(4'001 * kMs));
+  EXPECT_EQ(detector.suspensions(), 1U);
 }
 
-TEST(Resume, AListThatCanNotBeHadHoldsForABoundedTimeOnly) {
-  Resume resume({.least = 100 * kMs, .hold = 500 * kMs});
-  resume.woke(4'000 * kMs, 1'000 * kMs);
-  EXPECT_EQ(resume.hold_until(), 4'500 * kMs);
-  EXPECT_FALSE(resume.may_send(4'499 * kMs));
-  EXPECT_TRUE(resume.may_send(4'500 * kMs));
-  EXPECT_EQ(resume.hold_until(), 0);
+TEST(SuspensionDetector, UnreadableList_HoldsAttemptsForMaxHold) {
+  SuspensionDetector detector({.min_delay = 100 * kMs, .max_hold = 500 * kMs});
+  detector.on_wakeup(4'000 * kMs, 1'000 * kMs);
+  EXPECT_EQ(detector.hold_until(), 4'500 * kMs);
+  EXPECT_FALSE(detector.may_send(4'499 * kMs));
+  EXPECT_TRUE(detector.may_send(4'500 * kMs));
+  EXPECT_EQ(detector.hold_until(), 0);
 }
 
-TEST(Resume, EachPauseHoldsAnew) {
-  Resume resume;
-  resume.woke(2'000 * kMs, 1'000 * kMs);
-  resume.list_read();
-  resume.woke(9'000 * kMs, 5'000 * kMs);
-  EXPECT_FALSE(resume.may_send(9'000 * kMs));
-  EXPECT_EQ(resume.skipped(), 5'000 * kMs);
+TEST(SuspensionDetector, SecondSuspension_HoldsAttemptsAgain) {
+  SuspensionDetector detector;
+  detector.on_wakeup(2'000 * kMs, 1'000 * kMs);
+  detector.on_list_read();
+  detector.on_wakeup(9'000 * kMs, 5'000 * kMs);
+  EXPECT_FALSE(detector.may_send(9'000 * kMs));
+  EXPECT_EQ(detector.suspended_time(), 5'000 * kMs);
 }
 
 }  // namespace
--- a/tests/plugin/virtual_test.cpp
+++ b/tests/plugin/virtual_test.cpp
@@ -1,6 +1,6 @@
-// One schedule through the engine as the daemon has it and as the plug-in has it (plugin/calls, held
-// transports, rest between requests), on virtual time: call by call the same outcome at the same time, and
-// the same figures.
+// Runs one schedule of calls on virtual time through the engine as the daemon uses it and as the client
+// library uses it (plugin/calls, held transports, no wake-ups between requests). Each call must have the same
+// outcome at the same time, and the counters must be equal.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -22,7 +22,7 @@
   Time at;
   std::string id;
   Phase phase;
-  bool fresh = false;  // started just then: cold
+  bool just_started = false;  // begins its slow start
 };
 struct Scenario {
   const char* name;
@@ -69,10 +69,10 @@
 };
 std::ostream& operator<<(std::ostream& out, const End& end) {
   return out << "status " << static_cast<int>(end.result.status) << " at " << end.at << " ended " << end.ends
-             << " times, late " << end.result.late << ", to come back in " << end.result.retry_after.count();
+             << " times, late " << end.result.late << ", retry after " << end.result.retry_after.count();
 }
 
-Settings settings_of_both() {
+Settings common_settings() {
   Settings out;
   Config& config = out.config;
   config.cache_aside = true;
@@ -101,12 +101,12 @@
   return out;
 }
 
-// What both have in common.
+// The common part of both sides.
 struct Side : EndpointDiscovery {
   explicit Side(const Scenario& scenario) : fleet(time, 5, scenario.faults) {}
   void watch() override {}
 
-  // `transports`: the fleet, or what stands before it.
+  // `transports`: the fleet, or transports in front of it.
   void begin(UpstreamFactory& transports, Downstream& front, std::function<bool()> is_idle) {
     EngineSettings own{settings.config, 7};
     own.is_idle = std::move(is_idle);
@@ -122,7 +122,7 @@
     engine->on_endpoint_list(known);
   }
   virtual void call(std::size_t i, const Planned& planned) = 0;
-  virtual void told(const EndpointList& list) { engine->on_endpoint_list(list); }
+  virtual void on_list(const EndpointList& list) { engine->on_endpoint_list(list); }
 
   void run(const Scenario& scenario, const std::vector<Planned>& calls) {
     ends.resize(calls.size());
@@ -135,8 +135,8 @@
         time.advance(start + one.at - time.now());
         EndpointList list;
         list.revision = ++revision;
-        list.members.push_back(listed(one.id, 0, one.phase, one.fresh ? time.now() : 0));
-        told(list);
+        list.members.push_back(listed(one.id, 0, one.phase, one.just_started ? time.now() : 0));
+        on_list(list);
       }
       time.advance(start + calls[i].at - time.now());
       call(i, calls[i]);
@@ -150,13 +150,13 @@
   }
 
   ManualTime time;
-  Settings settings = settings_of_both();
+  Settings settings = common_settings();
   ScriptedUpstreams fleet;
   std::unique_ptr<Engine> engine;
   std::vector<End> ends;
 };
 
-// As a front of the daemon asks: the request as it was read, and the reply to whoever waits.
+// Submits requests as a downstream listener of the daemon does.
 struct Daemon final : Side {
   explicit Daemon(const Scenario& scenario) : Side(scenario) { begin(fleet, front, {}); }
   struct Waiting final : ResponseSink {
@@ -168,10 +168,10 @@
     }
   };
   void call(std::size_t i, const Planned& planned) override {
-    const auto asker = std::make_shared<Waiting>();
-    asker->owner = this;
-    asker->place = i;
-    asker->save = planned.save;
+    const auto sink = std::make_shared<Waiting>();
+    sink->owner = this;
+    sink->place = i;
+    sink->save = planned.save;
     IncomingRequest incoming;
     incoming.message = std::make_shared<Message>();
     incoming.message->operation = planned.save ? Operation::write : Operation::read;
@@ -183,26 +183,26 @@
     incoming.key = key_number(planned.key);
     incoming.has_key = true;
     incoming.remaining = planned.patience;
-    engine->on_request(asker, std::move(incoming));
+    engine->on_request(sink, std::move(incoming));
   }
   FakeDownstream front;
 };
 
-// As the client library does.
+// Submits calls as the client library does.
 struct Plugin final : Side, private UpstreamFactory {
   explicit Plugin(const Scenario& scenario) : Side(scenario) {
     calls = std::make_unique<plugin::Calls>(settings, 99, [this] { return time.now(); });
     begin(*this, *calls, [this] { return fleet.is_idle(); });
-    calls->ask_from(*engine);
+    calls->set_engine(*engine);
   }
-  struct Waiting final : plugin::Calls::Open {
+  struct Waiting final : plugin::Calls::OpenCall {
     Plugin* owner = nullptr;
     std::size_t place = 0;
-    void ended(Result result) override { owner->ended(place, std::move(result)); }
+    void on_end(Result result) override { owner->ended(place, std::move(result)); }
   };
   std::unique_ptr<Upstream> make(const std::string& name, std::uint32_t kind) override {
     return std::make_unique<plugin::HeldTransport>(fleet.make(name, kind),
-                                                   [this] { return resume.may_send(time.now()); });
+                                                   [this] { return detector.may_send(time.now()); });
   }
   void call(std::size_t i, const Planned& planned) override {
     const auto open = std::make_shared<Waiting>();
@@ -212,18 +212,18 @@
     options.request_class = settings.names.classes[planned.request_class];
     options.deadline = std::chrono::microseconds(planned.patience);
     if (planned.request_class == 1) options.idempotency_key = "save-" + std::to_string(i);
-    plugin::Checked checked =
+    plugin::CheckedCall checked =
         plugin::check_call(settings, planned.save, kNone, planned.key, "", options, time.now());
-    ASSERT_EQ(checked.wrong, "");
-    calls->submit(open, std::move(checked.asked));
+    ASSERT_EQ(checked.error, "");
+    calls->submit(open, std::move(checked.request));
   }
   std::unique_ptr<plugin::Calls> calls;
-  plugin::Resume resume;
+  plugin::SuspensionDetector detector;
 };
 
-class VirtualTime : public ::testing::TestWithParam<Scenario> {};
+class PluginVirtualTime : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(VirtualTime, DaemonAndPluginHaveTheSameOutcomesCallByCall) {
+TEST_P(PluginVirtualTime, DaemonAndPlugin_HaveEqualOutcomesForEachCall) {
   const Scenario& scenario = GetParam();
   const std::vector<Planned> calls = plan(scenario);
   Daemon daemon(scenario);
@@ -249,7 +249,7 @@
   EXPECT_EQ(one.deadline_guards + other.deadline_guards, 0U);
   EXPECT_EQ(daemon.fleet.requests, plugin.fleet.requests);
   EXPECT_GT(one.served, calls.size() / 4);
-  // What the class allows: a keyed save may run again under its key, an unsafe one never.
+  // A keyed save may run more than once under its idempotency key, an unsafe one may not.
   for (const Side* side : {static_cast<const Side*>(&daemon), static_cast<const Side*>(&plugin)}) {
     for (const auto& [id, runs] : side->fleet.saves)
       EXPECT_TRUE(runs == 1 || id.rfind("save-", 0) == 0) << id << " ran " << runs << " times";
@@ -264,25 +264,26 @@
 
 using K = ServerFault::Kind;
 INSTANTIATE_TEST_SUITE_P(
-    Days, VirtualTime,
+    Scenarios, PluginVirtualTime,
     ::testing::Values(
-        Scenario{"calm"},
+        Scenario{"no faults"},
         Scenario{"stalls",
                  {{K::stall, 2 * kSecond, 4 * kSecond, "c-1"}, {K::stall, 6 * kSecond, 7 * kSecond}}},
-        Scenario{"drains",
+        Scenario{"draining",
                  {},
                  {{2 * kSecond, "c-0", Phase::draining},
                   {3 * kSecond, "c-1", Phase::gone},
                   {5 * kSecond, "c-2", Phase::draining},
                   {6 * kSecond, "c-2", Phase::gone}}},
-        Scenario{
-            "cold", {}, {{2 * kSecond, "c-7", Phase::ready, true}, {3 * kSecond, "c-8", Phase::ready, true}}},
-        Scenario{"flush", {{K::flush, 3 * kSecond, 5 * kSecond}}},
+        Scenario{"slow start",
+                 {},
+                 {{2 * kSecond, "c-7", Phase::ready, true}, {3 * kSecond, "c-8", Phase::ready, true}}},
+        Scenario{"cache flush", {{K::flush, 3 * kSecond, 5 * kSecond}}},
         Scenario{"resets", {{K::reset, kSecond, 9 * kSecond, "", 150}}},
         Scenario{
-            "spoilt",
+            "malformed",
             {{K::malformed, kSecond, 9 * kSecond, "", 150}, {K::overloaded, kSecond, 9 * kSecond, "", 50}}},
-        Scenario{"all at once",
+        Scenario{"all faults",
                  {{K::reset, kSecond, 9 * kSecond, "", 60},
                   {K::stall, 3 * kSecond, 5 * kSecond, "c-3"},
                   {K::slow, 2 * kSecond, 6 * kSecond, "origin"},
