--- a/src/fleet/shared_limits.cpp
+++ b/src/fleet/shared_limits.cpp
@@ -154,7 +154,7 @@
     if (is_granter == was_granter_[shard]) continue;
     was_granter_[shard] = is_granter;
     hooks_.log("shares: this router is " + std::string(is_granter ? "now" : "no longer") +
-               " the home of seat " + std::to_string(shard) + " (grants its leases)");
+               " the home of seat " + std::to_string(shard));
   }
 }
 
